--- a/src/libverbenalead/decide/digest_readers.cc
+++ b/src/libverbenalead/decide/digest_readers.cc
@@ -9,7 +9,7 @@
 namespace {
 
 /// The wait of those that come right after the first ones.
-constexpr Duration kFirstPatience = 1s;
+constexpr Duration kFirstDelay = 1s;
 
 }  // namespace
 
@@ -25,13 +25,13 @@
 }
 
 Duration DigestPatience(size_t place) {
-  Duration patience{};
-  Duration next = kFirstPatience;
-  for (size_t asking = kDigestReaders; asking <= place; asking *= 2) {
-    patience += next;
-    next *= 2;
+  Duration delay{};
+  Duration step = kFirstDelay;
+  for (size_t readers = kDigestReaders; readers <= place; readers *= 2) {
+    delay += step;
+    step *= 2;
   }
-  return patience;
+  return delay;
 }
 
 }  // namespace verbenalead::decide
--- a/src/libverbenalead/decide/digest_readers_test.cc
+++ b/src/libverbenalead/decide/digest_readers_test.cc
@@ -17,7 +17,7 @@
 class DigestReadersTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(DigestReadersTest);
   CPPUNIT_TEST(AllHostsAgreeOnTheOrder);
-  CPPUNIT_TEST(AReturnedOriginIsAskedByFew);
+  CPPUNIT_TEST(FewHostsAskAReturnedOrigin);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -34,12 +34,12 @@
 
   // The first chunks of new weights come a second late: the origin was away for
   // 6 s, and all hosts ask it for the digests when it returns.
-  void AReturnedOriginIsAskedByFew() {
-    size_t asking = 0;
+  void FewHostsAskAReturnedOrigin() {
+    size_t readers = 0;
     for (size_t place = 0; place < 300; ++place)
-      asking += DigestPatience(place) <= Duration(6s);
-    CPPUNIT_ASSERT(asking > kDigestReaders);
-    CPPUNIT_ASSERT(asking <= 20);
+      readers += DigestPatience(place) <= Duration(6s);
+    CPPUNIT_ASSERT(readers > kDigestReaders);
+    CPPUNIT_ASSERT(readers <= 20);
     CPPUNIT_ASSERT(DigestPatience(kDigestReaders - 1) == Duration());
     CPPUNIT_ASSERT(DigestPatience(kDigestReaders) == Duration(1s));
   }
--- a/src/libverbenalead/decide/fake_fleet.h
+++ b/src/libverbenalead/decide/fake_fleet.h
@@ -69,7 +69,7 @@
              std::chrono::duration<double>(gap(m_random)))) {
       const uint64_t call = m_calls.size();
       m_calls.push_back(MakeCall(at));
-      At(at, [this, call] { Try(call); });
+      Schedule(at, [this, call] { Try(call); });
     }
     while (!m_events.empty()) {
       const Event event = m_events.top();
@@ -84,7 +84,7 @@
   static constexpr uint32_t kLargeTokens = 2000;
 
  private:
-  static constexpr Duration kHop = 2ms;
+  static constexpr Duration kNetworkDelay = 2ms;
   static constexpr Duration kObjective = 400ms;
   static constexpr Duration kSlack = 130ms;
   static constexpr Duration kLateWait = 250ms;
@@ -135,7 +135,7 @@
     return replicas;
   }
 
-  void At(TimePoint at, std::function<void()> what) {
+  void Schedule(TimePoint at, std::function<void()> what) {
     m_events.push({at, m_next++, std::move(what)});
   }
 
@@ -150,7 +150,7 @@
     return call;
   }
 
-  Duration Reading(const Call& call) const {
+  Duration PrefillTime(const Call& call) const {
     return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(
         call.m_prompt_tokens / m_engine.m_prefill_rate));
   }
@@ -174,12 +174,12 @@
     if (call.m_tries > 1 && m_load.m_turns_late_away &&
         TurnsLateAway(m_late[call.m_entry], m_now))
       return;
-    const Duration patience =
-        call.m_tries == 1 ? kObjective - kSlack - Reading(call) : kLateWait;
+    const Duration wait_limit =
+        call.m_tries == 1 ? kObjective - kSlack - PrefillTime(call) : kLateWait;
     call.m_waits = true;
     const uint64_t wait = ++call.m_wait;
-    const TimePoint until = m_now + std::max(patience, Duration());
-    At(until, [this, number, wait] {
+    const TimePoint until = m_now + std::max(wait_limit, Duration());
+    Schedule(until, [this, number, wait] {
       if (m_calls[number].m_waits && m_calls[number].m_wait == wait)
         Refuse(number);
     });
@@ -202,16 +202,16 @@
   }
 
   void AskTarget(uint64_t number, size_t replica) {
-    call_at(number).m_waits = false;
-    At(m_now + kHop, [this, number, replica] {
+    CallAt(number).m_waits = false;
+    Schedule(m_now + kNetworkDelay, [this, number, replica] {
       Target& target = m_targets[replica];
       const PlaceWish wish = WishOf(number, m_now);
       const bool granted = Ask(target.m_queue, wish, target.m_load, m_now) ==
                            PlaceVerdict::kGranted;
       if (granted)
         CountGranted(number, replica);
-      At(m_now + kHop, [this, number, replica, granted] {
-        TakeAnswer(number, replica, granted);
+      Schedule(m_now + kNetworkDelay, [this, number, replica, granted] {
+        HandleTargetReply(number, replica, granted);
       });
     });
   }
@@ -235,26 +235,26 @@
     m_targets[replica].m_load.m_unread += m_calls[number].m_prompt_tokens;
   }
 
-  void TakeAnswer(uint64_t number, size_t replica, bool granted) {
+  void HandleTargetReply(uint64_t number, size_t replica, bool granted) {
     Call& call = m_calls[number];
     ReplicaPool& pool = m_entries[call.m_entry];
-    TellEntry(call.m_entry, replica);
+    RefreshEntry(call.m_entry, replica);
     if (granted) {
       Start(number, replica);
       return;
     }
     NoteBegun(pool, Name(replica), call.m_prompt_tokens);
     Release(pool, Name(replica), AttemptEnd::kNotRun, m_now);
-    const TimePoint until =
-        call.m_tries == 1 ? call.m_began + kObjective - kSlack - Reading(call)
-                          : m_now;
+    const TimePoint until = call.m_tries == 1 ? call.m_began + kObjective -
+                                                    kSlack - PrefillTime(call)
+                                              : m_now;
     if (until <= m_now) {
       Refuse(number);
       return;
     }
     call.m_waits = true;
     const uint64_t wait = ++call.m_wait;
-    At(until, [this, number, wait] {
+    Schedule(until, [this, number, wait] {
       if (m_calls[number].m_waits && m_calls[number].m_wait == wait)
         Refuse(number);
     });
@@ -272,26 +272,26 @@
          WaitingPlaces(m_entries[call.m_entry], PoolCallOf(number),
                        kReservations, m_now, m_random)) {
       const size_t index = std::stoul(replica);
-      At(m_now + kHop, [this, number, index, until] {
+      Schedule(m_now + kNetworkDelay, [this, number, index, until] {
         Target& target = m_targets[index];
         if (!m_calls[number].m_waits)
           return;  // It was withdrawn.
         if (Ask(target.m_queue, WishOf(number, until), target.m_load, m_now) ==
             PlaceVerdict::kGranted)
-          GrantTo(number, index);
+          SendGrant(number, index);
       });
     }
   }
 
   /// A grant is on its way to a call that waits.
-  void GrantTo(uint64_t number, size_t replica) {
+  void SendGrant(uint64_t number, size_t replica) {
     CountGranted(number, replica);
-    At(m_now + kHop, [this, number, replica] {
+    Schedule(m_now + kNetworkDelay, [this, number, replica] {
       Call& call = m_calls[number];
       if (!call.m_waits) {
         // It has a place elsewhere: this one is given back.
-        At(m_now + kHop, [this, number, replica] {
-          GiveBack(replica, m_calls[number].m_prompt_tokens);
+        Schedule(m_now + kNetworkDelay, [this, number, replica] {
+          ReleaseSlot(replica, m_calls[number].m_prompt_tokens);
         });
         return;
       }
@@ -302,7 +302,7 @@
     });
   }
 
-  void GiveBack(size_t replica, uint32_t unread) {
+  void ReleaseSlot(size_t replica, uint32_t unread) {
     Target& target = m_targets[replica];
     --target.m_load.m_calls;
     target.m_load.m_unread -= unread;
@@ -312,13 +312,13 @@
   void GrantWaiting(size_t replica) {
     Target& target = m_targets[replica];
     for (const PlaceWish& wish : Grant(target.m_queue, target.m_load, m_now))
-      GrantTo(wish.m_ticket, replica);
+      SendGrant(wish.m_ticket, replica);
   }
 
   void Start(uint64_t number, size_t replica) {
-    Call& call = call_at(number);
+    Call& call = CallAt(number);
     call.m_waits = false;
-    At(m_now + kHop, [this, number, replica] {
+    Schedule(m_now + kNetworkDelay, [this, number, replica] {
       const Call& started = m_calls[number];
       m_targets[replica].m_replica.m_queued.push_back(
           {number, started.m_prompt_tokens, started.m_events});
@@ -334,24 +334,24 @@
     if (pass == Duration())
       return;
     target.m_busy = true;
-    At(m_now + pass, [this, replica] {
+    Schedule(m_now + pass, [this, replica] {
       Target& done = m_targets[replica];
       done.m_busy = false;
       for (const FakeRun& run : done.m_replica.EndPass())
-        TakeEvent(run, replica);
+        HandleEvent(run, replica);
       RunPass(replica);
     });
   }
 
-  void TakeEvent(const FakeRun& run, size_t replica) {
-    Call& call = call_at(run.m_call);
+  void HandleEvent(const FakeRun& run, size_t replica) {
+    Call& call = CallAt(run.m_call);
     ReplicaPool& pool = m_entries[call.m_entry];
     if (!call.m_began_to_answer) {
       call.m_began_to_answer = true;
-      call.m_on_time = m_now + kHop - call.m_began <= kObjective;
+      call.m_on_time = m_now + kNetworkDelay - call.m_began <= kObjective;
       NoteBegun(pool, Name(replica), call.m_prompt_tokens);
       const uint32_t tokens = call.m_prompt_tokens;
-      At(m_now + kHop, [this, replica, tokens] {
+      Schedule(m_now + kNetworkDelay, [this, replica, tokens] {
         m_targets[replica].m_load.m_unread -= tokens;
         GrantWaiting(replica);
       });
@@ -361,19 +361,20 @@
     call.m_answered = true;
     Release(pool, Name(replica), AttemptEnd::kGood, m_now);
     const size_t entry = call.m_entry;
-    At(m_now + kHop, [this, replica] { GiveBack(replica, 0); });
+    Schedule(m_now + kNetworkDelay,
+             [this, replica] { ReleaseSlot(replica, 0); });
     // The entry itself knows at once, the others a little later.
     Wake(entry);
-    At(m_now + 2 * kHop, [this, replica] {
+    Schedule(m_now + 2 * kNetworkDelay, [this, replica] {
       for (size_t other = 0; other < m_entries.size(); ++other) {
-        TellEntry(other, replica);
+        RefreshEntry(other, replica);
         Wake(other);
       }
     });
   }
 
   /// Tells an entry what the others have at a replica.
-  void TellEntry(size_t entry, size_t replica) {
+  void RefreshEntry(size_t entry, size_t replica) {
     ReplicaState& state = m_entries[entry].m_replicas.at(Name(replica));
     const Target& target = m_targets[replica];
     state.m_elsewhere = target.m_load.m_calls -
@@ -391,7 +392,7 @@
 
   /// Refuses the call; its caller comes back once.
   void Refuse(uint64_t number) {
-    Call& call = call_at(number);
+    Call& call = CallAt(number);
     call.m_waits = false;
     StopWaiting(m_entries[call.m_entry], number);
     for (Target& target : m_targets)
@@ -400,11 +401,11 @@
       return;
     NoteRefusedInTime(m_late[call.m_entry], m_now);
     std::uniform_int_distribution<int> pause(300, 1500);
-    At(m_now + std::chrono::milliseconds(pause(m_random)),
-       [this, number] { Try(number); });
+    Schedule(m_now + std::chrono::milliseconds(pause(m_random)),
+             [this, number] { Try(number); });
   }
 
-  Call& call_at(uint64_t number) { return m_calls[number]; }
+  Call& CallAt(uint64_t number) { return m_calls[number]; }
 
   FakeCount Count(uint32_t least_tokens) const {
     FakeCount count;
--- a/src/libverbenalead/decide/transfer.cc
+++ b/src/libverbenalead/decide/transfer.cc
@@ -14,25 +14,25 @@
 /// A failed fetch is most often a host that has just died or is overloaded:
 /// left alone for this long, doubled with each failure that follows, its
 /// requests don't fill the few places for fetches.
-constexpr Duration kShunAfterFailure = 500ms;
-constexpr Duration kMaxShun = 10s;
+constexpr Duration kBackoffAfterFailure = 500ms;
+constexpr Duration kMaxBackoff = 10s;
 /// Failures in a row after which a neighbour is replaced: one may be the
 /// chunk's own, or a pause of the host.
 constexpr uint32_t kMaxFailures = 3;
 /// Wrong chunks after which a host is left alone: links corrupt one chunk in a
 /// hundred, but a host with bad memory goes on.
 constexpr size_t kMaxBadChunks = 4;
-constexpr Duration kShunAfterBadChunks = 10s;
-/// The new sample's part in a smoothed wait is 1 / kSmoothing.
-constexpr int kSmoothing = 8;
+constexpr Duration kBackoffAfterBadChunks = 10s;
+/// The new sample's part in a smoothed wait is 1 / kSmoothingDivisor.
+constexpr int kSmoothingDivisor = 8;
 /// A chunk that can't be brought in at its turn is looked at again then.
-constexpr Duration kTurnRetry = 20ms;
+constexpr Duration kImportRetry = 20ms;
 constexpr Duration kRefillInterval = 1s;
 
 using Neighbour = TransferNeighbour;
 
 Duration Smoothed(Duration old, Duration sample) {
-  return old == Duration() ? sample : old + (sample - old) / kSmoothing;
+  return old == Duration() ? sample : old + (sample - old) / kSmoothingDivisor;
 }
 
 /// Fetches from one neighbour at once. One, where there are enough of them:
@@ -43,15 +43,16 @@
   const auto all =
       std::count_if(state.m_neighbours.begin(), state.m_neighbours.end(),
                     [](const Neighbour& each) { return !each.m_name.empty(); });
-  const auto near = static_cast<uint32_t>(std::popcount(state.m_near));
-  const uint32_t hosts = near != 0 ? near : static_cast<uint32_t>(all);
+  const auto in_region = static_cast<uint32_t>(std::popcount(state.m_near));
+  const uint32_t hosts =
+      in_region != 0 ? in_region : static_cast<uint32_t>(all);
   if (hosts == 0)
     return 1;
   return (state.m_limits.m_max_fetches + hosts - 1) / hosts;
 }
 
 /// Neighbours that can be asked now, as a mask.
-uint64_t Askable(const TransferState& state, TimePoint now) {
+uint64_t AvailableNeighbours(const TransferState& state, TimePoint now) {
   uint64_t mask = 0;
   const uint32_t per_host = FetchesPerHost(state);
   for (size_t i = 0; i < state.m_neighbours.size(); ++i) {
@@ -67,10 +68,10 @@
 /// distance: among equals the own data centre is chosen, but a long queue there
 /// weighs more than a hop inside the region, whose links are as fast.
 double Cost(const Neighbour& neighbour) {
-  constexpr double kSurcharge[] = {1.0, 1.25, 1.5};
+  constexpr double kDistanceFactor[] = {1.0, 1.25, 1.5};
   const auto wait = static_cast<double>(neighbour.m_wait.count());
   return wait * (1 + neighbour.m_fetching) *
-         kSurcharge[static_cast<size_t>(neighbour.m_distance)];
+         kDistanceFactor[static_cast<size_t>(neighbour.m_distance)];
 }
 
 /// The best of the neighbours in `mask`, which isn't 0. Ties go to a random
@@ -99,7 +100,7 @@
 /// bucket the search begins at a random place, so that neighbours don't all
 /// fetch the same chunk.
 std::optional<uint32_t> RarestChunk(const TransferState& state,
-                                    uint64_t askable,
+                                    uint64_t available,
                                     std::mt19937_64& random) {
   for (uint32_t copies = 1; copies <= ChunkBuckets::kMaxCopies; ++copies) {
     const std::vector<uint32_t>& bucket = state.m_rarest.Bucket(copies);
@@ -108,7 +109,7 @@
     const size_t first = random() % bucket.size();
     for (size_t i = 0; i < bucket.size(); ++i) {
       const uint32_t chunk = bucket[(first + i) % bucket.size()];
-      if (state.m_chunks[chunk].m_holders & state.m_near & askable)
+      if (state.m_chunks[chunk].m_holders & state.m_near & available)
         return chunk;
     }
   }
@@ -121,43 +122,43 @@
 }
 
 /// Chunks that are ours to bring into the region and have come up elsewhere.
-void ImportDue(TransferState& state,
-               TimePoint now,
-               std::mt19937_64& random,
-               TransferActions& actions) {
+void StartDueImports(TransferState& state,
+                     TimePoint now,
+                     std::mt19937_64& random,
+                     TransferActions& actions) {
   while (!state.m_imports.empty() && state.m_imports.begin()->first <= now) {
     const auto [at, chunk] = *state.m_imports.begin();
     const uint64_t sources =
-        state.m_chunks[chunk].m_holders & Askable(state, now);
+        state.m_chunks[chunk].m_holders & AvailableNeighbours(state, now);
     if (sources != 0) {
       const size_t index = BestNeighbour(state, sources, random);
       StartFetch(state, chunk, {state.m_neighbours[index].m_name}, now,
                  actions);
       continue;
     }
-    PostponeImport(state, chunk, now + kTurnRetry);
+    PostponeImport(state, chunk, now + kImportRetry);
   }
 }
 
-void PullRarest(TransferState& state,
-                TimePoint now,
-                std::mt19937_64& random,
-                TransferActions& actions) {
+void FetchRarest(TransferState& state,
+                 TimePoint now,
+                 std::mt19937_64& random,
+                 TransferActions& actions) {
   while (PeerFetches(state) < state.m_window.m_size) {
-    const uint64_t askable = Askable(state, now) & state.m_near;
-    if (askable == 0)
+    const uint64_t available = AvailableNeighbours(state, now) & state.m_near;
+    if (available == 0)
       return;
-    const auto chunk = RarestChunk(state, askable, random);
+    const auto chunk = RarestChunk(state, available, random);
     if (!chunk)
       return;
     const size_t index = BestNeighbour(
-        state, state.m_chunks[*chunk].m_holders & askable, random);
+        state, state.m_chunks[*chunk].m_holders & available, random);
     StartFetch(state, *chunk, {state.m_neighbours[index].m_name}, now, actions);
   }
 }
 
 /// False if there are as many neighbours at `distance` as there should be.
-bool HasRoom(const TransferState& state, Distance distance) {
+bool HasNeighbourRoom(const TransferState& state, Distance distance) {
   const TransferLimits& limits = state.m_limits;
   const uint32_t most[] = {limits.m_data_center_neighbours,
                            limits.m_region_neighbours, limits.m_far_neighbours};
@@ -177,47 +178,48 @@
                               limits.m_min_stall, limits.m_max_stall);
 }
 
-void Shun(Neighbour& neighbour, TimePoint now) {
+void BackOffFrom(Neighbour& neighbour, TimePoint now) {
   const uint32_t doublings = std::min<uint32_t>(neighbour.m_failures, 5);
   ++neighbour.m_failures;
   neighbour.m_shunned_until =
-      now + std::min<Duration>(kMaxShun, kShunAfterFailure * (1 << doublings));
+      now +
+      std::min<Duration>(kMaxBackoff, kBackoffAfterFailure * (1 << doublings));
 }
 
-void Replace(TransferState& state,
-             size_t index,
-             TimePoint now,
-             std::mt19937_64& random) {
+void ReplaceNeighbour(TransferState& state,
+                      size_t index,
+                      TimePoint now,
+                      std::mt19937_64& random) {
   const std::string name = state.m_neighbours[index].m_name;
   const Distance distance = state.m_neighbours[index].m_distance;
   RemoveNeighbour(state, index, now);
-  if (const auto* spare = SpareNeighbour(state, distance, name, random))
-    AddNeighbour(state, *spare);
+  if (const auto* candidate = SpareNeighbour(state, distance, name, random))
+    AddNeighbour(state, *candidate);
 }
 
-void HostFailed(TransferState& state,
-                const std::string& host,
-                TimePoint now,
-                std::mt19937_64& random) {
+void RecordHostFailure(TransferState& state,
+                       const std::string& host,
+                       TimePoint now,
+                       std::mt19937_64& random) {
   const auto index = FindNeighbour(state, host);
   if (!index)
     return;
-  Shun(state.m_neighbours[*index], now);
+  BackOffFrom(state.m_neighbours[*index], now);
   if (state.m_neighbours[*index].m_failures >= kMaxFailures)
-    Replace(state, *index, now, random);
+    ReplaceNeighbour(state, *index, now, random);
 }
 
-void HostSentBadChunk(TransferState& state,
-                      const std::string& host,
-                      uint32_t chunk,
-                      TimePoint now) {
+void RecordBadChunk(TransferState& state,
+                    const std::string& host,
+                    uint32_t chunk,
+                    TimePoint now) {
   const auto index = FindNeighbour(state, host);
   if (!index)
     return;
   Neighbour& neighbour = state.m_neighbours[*index];
   neighbour.m_bad.insert(chunk);
   if (neighbour.m_bad.size() % kMaxBadChunks == 0)
-    neighbour.m_shunned_until = now + kShunAfterBadChunks;
+    neighbour.m_shunned_until = now + kBackoffAfterBadChunks;
   SetHolder(state, chunk, *index, false, now);
 }
 
@@ -231,11 +233,11 @@
   state.m_next_refill = now + kRefillInterval;
   for (Distance distance :
        {Distance::kDataCenter, Distance::kRegion, Distance::kFar}) {
-    while (HasRoom(state, distance)) {
-      const auto* spare = SpareNeighbour(state, distance, "", random);
-      if (spare == nullptr)
+    while (HasNeighbourRoom(state, distance)) {
+      const auto* candidate = SpareNeighbour(state, distance, "", random);
+      if (candidate == nullptr)
         break;
-      AddNeighbour(state, *spare);
+      AddNeighbour(state, *candidate);
     }
   }
 }
@@ -259,7 +261,7 @@
     if (!EndFetch(state, fetch.m_chunk))
       continue;
     state.m_pending.m_cancels.push_back(fetch);
-    HostFailed(state, fetch.m_source.m_host, now, random);
+    RecordHostFailure(state, fetch.m_source.m_host, now, random);
   }
 }
 
@@ -307,7 +309,7 @@
       RemoveNeighbour(state, i, now);
   }
   for (const TransferMember& member : PlanNeighbours(state)) {
-    if (first || HasRoom(state, DistanceBetween(state.m_self, member)))
+    if (first || HasNeighbourRoom(state, DistanceBetween(state.m_self, member)))
       AddNeighbour(state, member);
   }
   for (uint32_t chunk = 0; chunk < state.m_chunks.size(); ++chunk)
@@ -333,7 +335,7 @@
                    TimePoint now,
                    std::mt19937_64& random) {
   if (const auto index = FindNeighbour(state, host))
-    Replace(state, *index, now, random);
+    ReplaceNeighbour(state, *index, now, random);
 }
 
 void ChunkProgress(TransferState& state, uint32_t chunk, TimePoint now) {
@@ -389,9 +391,9 @@
   if (fetch->m_source.IsOrigin()) {
     DrawFailed(state, chunk, corrupt, now, random);
   } else if (corrupt) {
-    HostSentBadChunk(state, host, chunk, now);
+    RecordBadChunk(state, host, chunk, now);
   } else {
-    HostFailed(state, host, now, random);
+    RecordHostFailure(state, host, now, random);
   }
 }
 
@@ -404,8 +406,8 @@
   state.m_pending = TransferActions();
   DrawDue(state, now, actions);
   DrawInOrder(state, now, actions);
-  ImportDue(state, now, random, actions);
-  PullRarest(state, now, random, actions);
+  StartDueImports(state, now, random, actions);
+  FetchRarest(state, now, random, actions);
   DrawSpare(state, now, actions);
   return actions;
 }
--- a/src/libverbenalead/decide/transfer_bench.cc
+++ b/src/libverbenalead/decide/transfer_bench.cc
@@ -25,8 +25,8 @@
 constexpr uint64_t kChunkBytes = 12'000'000;
 constexpr uint64_t kHostRate = 100'000'000;
 constexpr uint32_t kOriginBudgetPercent = 103;
-constexpr Duration kBound = kChunks * kChunkTime;
-constexpr Duration kGiveUp = 4 * kBound;
+constexpr Duration kLowerBound = kChunks * kChunkTime;
+constexpr Duration kTimeLimit = 4 * kLowerBound;
 constexpr uint32_t kRegions = 3;
 constexpr uint32_t kDataCenters = 2;
 constexpr uint64_t kSeed = 20261202;
@@ -34,10 +34,10 @@
 
 // Bytes on a connection of HTTP/2, headers compressed: a frame of news with its
 // numbers; a request for a chunk and the head of its response.
-constexpr uint64_t kNewsBytes = 9 + 4;
+constexpr uint64_t kUpdateBytes = 9 + 4;
 constexpr uint64_t kRequestBytes = 9 + 90;
 constexpr uint64_t kResponseBytes = 9 + 9 + 30;
-constexpr Duration kNewsInterval = 50ms;
+constexpr Duration kUpdateInterval = 50ms;
 constexpr uint64_t kFollowBytes = 9 + 90 + 9 + kChunks / 8;
 
 struct Scenario {
@@ -48,12 +48,12 @@
 
 enum class EventKind {
   kTick,
-  kNews,
+  kUpdate,
   kRequest,
   kSendNext,
   kArrival,
   kOriginDone,
-  kDeaths
+  kHostFailures
 };
 
 struct Event {
@@ -84,7 +84,7 @@
   std::vector<uint32_t> m_followers;
   /// Requests by fetch number, and their hosts.
   UploadQueue m_queue;
-  std::unordered_map<uint64_t, uint32_t> m_askers;
+  std::unordered_map<uint64_t, uint32_t> m_requesters;
   bool m_sending = false;
   TimePoint m_download_free{};
   bool m_dead = false;
@@ -104,7 +104,7 @@
     for (uint32_t i = 0; i < scenario.m_hosts; ++i)
       StartHost(i);
     if (scenario.m_faults)
-      Schedule(kBound / 2, {.m_kind = EventKind::kDeaths});
+      Schedule(kLowerBound / 2, {.m_kind = EventKind::kHostFailures});
   }
 
   void Run() {
@@ -112,7 +112,7 @@
       const Event event = m_events.top();
       m_events.pop();
       m_now = event.m_at;
-      if (m_now - TimePoint() > kGiveUp)
+      if (m_now - TimePoint() > kTimeLimit)
         break;
       Handle(event);
     }
@@ -160,9 +160,9 @@
 
   /// What a host knows of another is late by a round trip, and by the time for
   /// which the daemon gathers news.
-  Duration NewsDelay(uint32_t from, uint32_t to) {
+  Duration UpdateDelay(uint32_t from, uint32_t to) {
     return 2 * OneWay(from, to) +
-           Duration(m_random() % Duration(kNewsInterval).count());
+           Duration(m_random() % Duration(kUpdateInterval).count());
   }
 
   /// From halfway on, 2% of the links between hosts carry nothing, unclosed.
@@ -190,12 +190,12 @@
   void Enqueue(const Event& event);
   void SendNext(uint32_t index);
   void Arrive(const Event& event);
-  void StartDraw(uint32_t index, uint32_t chunk, uint64_t fetch);
+  void StartOriginFetch(uint32_t index, uint32_t chunk, uint64_t fetch);
   void AdvanceOrigin();
   void OriginDone(const Event& event);
-  void Kill();
+  void FailHosts();
 
-  struct Draw {
+  struct OriginFetch {
     double m_finish = 0;
     Upload m_upload;
   };
@@ -214,12 +214,12 @@
   // The origin shares its link evenly among open draws, and gives one draw no
   // more than a host's link takes. m_served: chunks sent of a draw that was
   // open all the time.
-  std::deque<Draw> m_draws;
+  std::deque<OriginFetch> m_draws;
   double m_served = 0;
   TimePoint m_origin_seen{};
   uint64_t m_origin_round = 0;
   uint64_t m_origin_chunks = 0;
-  size_t m_most_draws = 0;
+  size_t m_max_open_fetches = 0;
   uint64_t m_far_chunks = 0;
   uint64_t m_center_chunks = 0;
   uint64_t m_peer_chunks = 0;
@@ -236,10 +236,10 @@
       Schedule(kTransferTick,
                {.m_kind = EventKind::kTick, .m_host = event.m_host});
       return;
-    case EventKind::kNews:
+    case EventKind::kUpdate:
       if (!Reaches(event.m_host, event.m_peer) || host->m_done != TimePoint())
         return;
-      Count(event.m_host, kNewsBytes);
+      Count(event.m_host, kUpdateBytes);
       NeighbourHas(host->m_transfer, m_members[event.m_peer].m_name,
                    {event.m_chunk}, m_now);
       StepHost(event.m_host);
@@ -262,8 +262,8 @@
     case EventKind::kOriginDone:
       OriginDone(event);
       return;
-    case EventKind::kDeaths:
-      Kill();
+    case EventKind::kHostFailures:
+      FailHosts();
       return;
   }
 }
@@ -296,9 +296,9 @@
     if (!other.m_transfer.m_chunks[chunk].m_here)
       continue;
     // Part of the first answer, which kFollowBytes counts whole.
-    m_hosts[index].m_control_bytes -= kNewsBytes;
+    m_hosts[index].m_control_bytes -= kUpdateBytes;
     --m_hosts[index].m_messages;
-    Schedule(round_trip, {.m_kind = EventKind::kNews,
+    Schedule(round_trip, {.m_kind = EventKind::kUpdate,
                           .m_host = index,
                           .m_peer = peer,
                           .m_chunk = chunk});
@@ -313,7 +313,7 @@
   const uint64_t number = ++m_next_fetch;
   m_hosts[index].m_fetches[fetch.m_chunk] = number;
   if (fetch.m_source.IsOrigin()) {
-    StartDraw(index, fetch.m_chunk, number);
+    StartOriginFetch(index, fetch.m_chunk, number);
     return;
   }
   const uint32_t peer = IndexOf(fetch.m_source.m_host);
@@ -329,7 +329,7 @@
   SimulatedHost& host = m_hosts[event.m_host];
   const bool far =
       m_members[event.m_host].m_region != m_members[event.m_peer].m_region;
-  host.m_askers[event.m_fetch] = event.m_peer;
+  host.m_requesters[event.m_fetch] = event.m_peer;
   AddUpload(host.m_queue, {event.m_fetch, event.m_chunk, far,
                            m_hosts[event.m_peer].m_transfer.m_have_count});
 }
@@ -339,9 +339,9 @@
 void Simulation::SendNext(uint32_t index) {
   SimulatedHost& host = m_hosts[index];
   while (const auto next = TakeUpload(host.m_queue)) {
-    const Upload upload = {host.m_askers[next->m_id], next->m_chunk,
+    const Upload upload = {host.m_requesters[next->m_id], next->m_chunk,
                            next->m_id};
-    host.m_askers.erase(next->m_id);
+    host.m_requesters.erase(next->m_id);
     SimulatedHost& to = m_hosts[upload.m_to];
     const bool wanted = to.m_fetches[upload.m_chunk] == upload.m_fetch;
     if (host.m_dead || to.m_dead || !wanted || Stalled(index, upload.m_to))
@@ -380,11 +380,12 @@
   } else {
     ChunkArrived(host.m_transfer, event.m_chunk, m_now);
     for (uint32_t follower : host.m_followers) {
-      Count(event.m_host, kNewsBytes);
-      Schedule(NewsDelay(event.m_host, follower), {.m_kind = EventKind::kNews,
-                                                   .m_host = follower,
-                                                   .m_peer = event.m_host,
-                                                   .m_chunk = event.m_chunk});
+      Count(event.m_host, kUpdateBytes);
+      Schedule(UpdateDelay(event.m_host, follower),
+               {.m_kind = EventKind::kUpdate,
+                .m_host = follower,
+                .m_peer = event.m_host,
+                .m_chunk = event.m_chunk});
     }
   }
   StepHost(event.m_host);
@@ -406,10 +407,12 @@
     return;
 }
 
-void Simulation::StartDraw(uint32_t index, uint32_t chunk, uint64_t fetch) {
+void Simulation::StartOriginFetch(uint32_t index,
+                                  uint32_t chunk,
+                                  uint64_t fetch) {
   AdvanceOrigin();
   m_draws.push_back({m_served + 1, {index, chunk, fetch}});
-  m_most_draws = std::max(m_most_draws, m_draws.size());
+  m_max_open_fetches = std::max(m_max_open_fetches, m_draws.size());
   OriginDone({});
 }
 
@@ -440,7 +443,7 @@
            {.m_kind = EventKind::kOriginDone, .m_fetch = ++m_origin_round});
 }
 
-void Simulation::Kill() {
+void Simulation::FailHosts() {
   m_faulty = true;
   std::vector<uint32_t> order(m_hosts.size());
   for (uint32_t i = 0; i < order.size(); ++i)
@@ -457,9 +460,9 @@
 void Simulation::Print(double seconds) const {
   std::vector<double> ratios;
   uint64_t messages = 0;
-  double most_rate = 0;
+  double max_rate = 0;
   double rate = 0;
-  const double bound = std::chrono::duration<double>(kBound).count();
+  const double bound = std::chrono::duration<double>(kLowerBound).count();
   const double end = std::chrono::duration<double>(m_now - TimePoint()).count();
   for (const SimulatedHost& host : m_hosts) {
     if (host.m_dead)
@@ -471,7 +474,7 @@
     messages += host.m_messages;
     const double own = static_cast<double>(host.m_control_bytes) / end;
     rate += own;
-    most_rate = std::max(most_rate, own);
+    max_rate = std::max(max_rate, own);
   }
   std::sort(ratios.begin(), ratios.end());
   const double count = static_cast<double>(m_hosts.size());
@@ -491,8 +494,9 @@
       static_cast<double>(m_origin_chunks) / kChunks, m_left, kChunks,
       static_cast<double>(m_far_chunks) / kChunks,
       static_cast<double>(m_center_chunks) / static_cast<double>(m_peer_chunks),
-      static_cast<double>(messages) / count, rate / count, most_rate,
-      m_most_draws, seconds * 1e6 / static_cast<double>(m_steps), seconds);
+      static_cast<double>(messages) / count, rate / count, max_rate,
+      m_max_open_fetches, seconds * 1e6 / static_cast<double>(m_steps),
+      seconds);
   std::fflush(stdout);
 }
 
--- a/src/libverbenalead/decide/transfer_book.cc
+++ b/src/libverbenalead/decide/transfer_book.cc
@@ -14,7 +14,7 @@
 
 using Place = TransferState::Place;
 
-void Unfile(TransferState& state, uint32_t chunk) {
+void Unschedule(TransferState& state, uint32_t chunk) {
   TransferState::Chunk& entry = state.m_chunks[chunk];
   if (entry.m_place == Place::kRarest)
     state.m_rarest.Erase(chunk);
@@ -29,22 +29,22 @@
 /// draws. Failure: a host that can't reach the origin says again and again that
 /// it draws a chunk. Symptom: nobody ever has it. After this the next in line
 /// draws it too.
-constexpr uint32_t kMostHeld = 2;
+constexpr uint32_t kMaxHoldWaits = 2;
 
-TimePoint TurnOf(TimePoint base, uint32_t rank, Duration patience) {
+TimePoint DueTime(TimePoint base, uint32_t rank, Duration patience) {
   return base + rank * patience;
 }
 
-TimePoint DrawTurnOf(const TransferState::Chunk& chunk,
-                     const TransferLimits& limits) {
-  const TimePoint turn =
-      TurnOf(chunk.m_draw_base, chunk.m_rank, limits.m_patience);
-  const TimePoint longest =
-      turn + kMostHeld * (chunk.m_rank + 1) * limits.m_patience;
+TimePoint OriginFetchDueTime(const TransferState::Chunk& chunk,
+                             const TransferLimits& limits) {
+  const TimePoint due =
+      DueTime(chunk.m_draw_base, chunk.m_rank, limits.m_patience);
+  const TimePoint latest =
+      due + kMaxHoldWaits * (chunk.m_rank + 1) * limits.m_patience;
   // Those that were held back together must not begin together.
-  const TimePoint held =
-      TurnOf(chunk.m_held_until, chunk.m_rank, limits.m_draw_hold / 2);
-  return std::max(turn, std::min(held, longest));
+  const TimePoint hold_end =
+      DueTime(chunk.m_held_until, chunk.m_rank, limits.m_draw_hold / 2);
+  return std::max(due, std::min(hold_end, latest));
 }
 
 }  // namespace
@@ -60,33 +60,33 @@
 
 void FileChunk(TransferState& state, uint32_t chunk) {
   TransferState::Chunk& entry = state.m_chunks[chunk];
-  const uint64_t near = entry.m_holders & state.m_near;
+  const uint64_t in_region = entry.m_holders & state.m_near;
   const bool wanted = !entry.m_here && !entry.m_under_way;
   // The load is news: all but the first few copies of a chunk end here.
-  if (wanted && near != 0 && entry.m_place == Place::kRarest) {
-    state.m_rarest.Put(chunk, static_cast<uint32_t>(std::popcount(near)));
+  if (wanted && in_region != 0 && entry.m_place == Place::kRarest) {
+    state.m_rarest.Put(chunk, static_cast<uint32_t>(std::popcount(in_region)));
     return;
   }
-  Unfile(state, chunk);
+  Unschedule(state, chunk);
   if (!wanted)
     return;
-  if (near != 0) {
+  if (in_region != 0) {
     entry.m_place = Place::kRarest;
-    state.m_rarest.Put(chunk, static_cast<uint32_t>(std::popcount(near)));
+    state.m_rarest.Put(chunk, static_cast<uint32_t>(std::popcount(in_region)));
   } else if (entry.m_holders != 0) {
-    entry.m_turn = TurnOf(entry.m_import_base, entry.m_region_rank,
-                          state.m_limits.m_patience);
+    entry.m_turn = DueTime(entry.m_import_base, entry.m_region_rank,
+                           state.m_limits.m_patience);
     entry.m_place = Place::kImports;
     state.m_imports.emplace(entry.m_turn, chunk);
   } else {
-    entry.m_turn = DrawTurnOf(entry, state.m_limits);
+    entry.m_turn = OriginFetchDueTime(entry, state.m_limits);
     entry.m_place = Place::kDraws;
     state.m_draws.emplace(entry.m_turn, chunk);
   }
 }
 
 void PostponeImport(TransferState& state, uint32_t chunk, TimePoint until) {
-  Unfile(state, chunk);
+  Unschedule(state, chunk);
   TransferState::Chunk& entry = state.m_chunks[chunk];
   entry.m_turn = until;
   entry.m_place = Place::kImports;
@@ -105,8 +105,9 @@
     return;
   // The turns begin when a chunk is first known only from afar, and again when
   // the last copy is lost.
-  const bool near_lost = (before & state.m_near) && !(after & state.m_near);
-  if (near_lost || before == 0)
+  const bool region_copies_lost =
+      (before & state.m_near) && !(after & state.m_near);
+  if (region_copies_lost || before == 0)
     entry.m_import_base = now;
   if (after == 0)
     entry.m_draw_base = std::max(entry.m_draw_base, now);
@@ -117,14 +118,14 @@
 void AddNeighbour(TransferState& state, const TransferMember& member) {
   if (FindNeighbour(state, member.m_name))
     return;
-  auto place = FindNeighbour(state, "");
-  if (!place) {
+  auto free_index = FindNeighbour(state, "");
+  if (!free_index) {
     if (state.m_neighbours.size() >= kMaxNeighbours)
       return;
-    place = state.m_neighbours.size();
+    free_index = state.m_neighbours.size();
     state.m_neighbours.emplace_back();
   }
-  TransferNeighbour& neighbour = state.m_neighbours[*place];
+  TransferNeighbour& neighbour = state.m_neighbours[*free_index];
   neighbour = TransferNeighbour();
   neighbour.m_name = member.m_name;
   if (member.m_region != state.m_self.m_region)
@@ -132,7 +133,7 @@
   else if (member.m_data_center != state.m_self.m_data_center)
     neighbour.m_distance = Distance::kRegion;
   if (neighbour.m_distance != Distance::kFar)
-    state.m_near |= Bit(*place);
+    state.m_near |= Bit(*free_index);
   state.m_pending.m_follows.push_back(member.m_name);
 }
 
--- a/src/libverbenalead/decide/transfer_draws.cc
+++ b/src/libverbenalead/decide/transfer_draws.cc
@@ -14,14 +14,14 @@
 constexpr Duration kMinOriginBackOff = 200ms;
 /// Hosts that go before all others for a chunk after a draw of it has failed,
 /// and for how many patiences each of them is waited for.
-constexpr uint16_t kFirstDrawers = 3;
-constexpr int kWaitForDrawer = 2;
+constexpr uint16_t kFirstRanks = 3;
+constexpr int kWaitsPerFirstRank = 2;
 /// Spare draws are for the end: with more missing than this, a host's link is
 /// kept busy by its neighbours anyhow, and the origin's is needed for first
 /// copies.
-constexpr uint32_t kSpareDrawMissing = 8;
+constexpr uint32_t kMaxMissingForSpareFetch = 8;
 /// Patiences without a draw after which a host doesn't go by what others say.
-constexpr int kDrawsAnyhow = 3;
+constexpr int kMaxWaitsWithoutFetch = 3;
 
 bool OriginReady(const TransferState& state, TimePoint now) {
   return state.m_origin_fetching < state.m_limits.m_max_origin &&
@@ -29,8 +29,8 @@
 }
 
 /// The fetch from a host that has waited longest, if that is longer than usual.
-std::optional<FetchChunk> LongestWait(const TransferState& state,
-                                      TimePoint now) {
+std::optional<FetchChunk> LongestWaitingFetch(const TransferState& state,
+                                              TimePoint now) {
   std::optional<FetchChunk> longest;
   TimePoint begun = now - state.m_wait;
   for (const auto& [chunk, fetch] : state.m_fetching) {
@@ -42,26 +42,26 @@
   return longest;
 }
 
-uint32_t DrawsElsewhere(const TransferState& state, TimePoint now) {
-  uint32_t draws = 0;
-  for (const auto& [host, told] : state.m_draws_elsewhere) {
-    if (now - told.first < state.m_limits.m_draw_hold)
-      draws += told.second;
+uint32_t OriginFetchesElsewhere(const TransferState& state, TimePoint now) {
+  uint32_t count = 0;
+  for (const auto& [host, report] : state.m_draws_elsewhere) {
+    if (now - report.first < state.m_limits.m_draw_hold)
+      count += report.second;
   }
-  return draws;
+  return count;
 }
 
-uint32_t RoomForDraws(const TransferState& state, TimePoint now) {
+uint32_t OriginFetchRoom(const TransferState& state, TimePoint now) {
   const uint32_t under_way =
-      state.m_origin_fetching + DrawsElsewhere(state, now);
+      state.m_origin_fetching + OriginFetchesElsewhere(state, now);
   const uint32_t most = state.m_limits.m_draws_at_once;
   return most - std::min(most, under_way);
 }
 
-void Draw(TransferState& state,
-          uint32_t chunk,
-          TimePoint now,
-          TransferActions& actions) {
+void StartOriginFetch(TransferState& state,
+                      uint32_t chunk,
+                      TimePoint now,
+                      TransferActions& actions) {
   state.m_last_draw = now;
   StartFetch(state, chunk, {}, now, actions);
 }
@@ -72,22 +72,22 @@
 /// draw ends well, only DrawInOrder draws, which goes by rank and
 /// announcements. A host that others hold back by wrong or vain announcements
 /// still tries every few patiences.
-bool DrawsByTime(const TransferState& state, TimePoint now) {
+bool MayFetchByTime(const TransferState& state, TimePoint now) {
   const TransferLimits& limits = state.m_limits;
   if (limits.m_draws_at_once == 0)
     return true;
   const TimePoint last = std::max(state.m_last_draw, state.m_started);
-  if (now - last >= kDrawsAnyhow * limits.m_patience)
+  if (now - last >= kMaxWaitsWithoutFetch * limits.m_patience)
     return true;
   const TimePoint drawn = std::max(state.m_last_drawn, state.m_started);
-  return now - drawn < limits.m_patience && RoomForDraws(state, now) > 0;
+  return now - drawn < limits.m_patience && OriginFetchRoom(state, now) > 0;
 }
 
 /// Whether the hosts that come before this one for a chunk that is open have
 /// had their time to say that they draw it.
-bool IsOurs(const TransferState& state,
-            const TransferState::Chunk& chunk,
-            TimePoint now) {
+bool PrecedingHostsTimedOut(const TransferState& state,
+                            const TransferState::Chunk& chunk,
+                            TimePoint now) {
   return now - chunk.m_open_since.value_or(now) >=
          chunk.m_rank * (state.m_limits.m_draw_hold / 2);
 }
@@ -110,16 +110,16 @@
 /// and its link carries each chunk many times. A host that found it away waits
 /// for the first ones again, which try often. It doesn't wait for all that come
 /// before it, since those may be dead.
-void WaitForDrawer(TransferState& state, uint32_t chunk, TimePoint now) {
+void WaitForFirstRanks(TransferState& state, uint32_t chunk, TimePoint now) {
   TransferState::Chunk& entry = state.m_chunks[chunk];
-  const Duration patience = state.m_limits.m_patience;
+  const Duration wait_limit = state.m_limits.m_patience;
   entry.m_draw_base =
-      now - entry.m_rank * patience +
-      kWaitForDrawer * std::min(entry.m_rank, kFirstDrawers) * patience;
+      now - entry.m_rank * wait_limit +
+      kWaitsPerFirstRank * std::min(entry.m_rank, kFirstRanks) * wait_limit;
   FileChunk(state, chunk);
 }
 
-void HoldDraw(TransferState& state, uint32_t chunk, TimePoint until) {
+void HoldOriginFetch(TransferState& state, uint32_t chunk, TimePoint until) {
   if (chunk >= state.m_chunks.size())
     return;
   TransferState::Chunk& entry = state.m_chunks[chunk];
@@ -145,14 +145,14 @@
 
 void DrawDue(TransferState& state, TimePoint now, TransferActions& actions) {
   while (OriginReady(state, now) && !state.m_draws.empty() &&
-         state.m_draws.begin()->first <= now && DrawsByTime(state, now))
-    Draw(state, state.m_draws.begin()->second, now, actions);
+         state.m_draws.begin()->first <= now && MayFetchByTime(state, now))
+    StartOriginFetch(state, state.m_draws.begin()->second, now, actions);
 }
 
 void DrawInOrder(TransferState& state,
                  TimePoint now,
                  TransferActions& actions) {
-  uint32_t room = RoomForDraws(state, now);
+  uint32_t room = OriginFetchRoom(state, now);
   for (uint32_t chunk = 0; chunk < state.m_chunks.size() && room > 0; ++chunk) {
     TransferState::Chunk& entry = state.m_chunks[chunk];
     if (entry.m_place != TransferState::Place::kDraws || entry.m_drawn ||
@@ -163,24 +163,24 @@
     --room;
     if (!entry.m_open_since)
       entry.m_open_since = now;
-    if (IsOurs(state, entry, now) && OriginReady(state, now))
-      Draw(state, chunk, now, actions);
+    if (PrecedingHostsTimedOut(state, entry, now) && OriginReady(state, now))
+      StartOriginFetch(state, chunk, now, actions);
   }
 }
 
 void DrawSpare(TransferState& state, TimePoint now, TransferActions& actions) {
   const uint32_t missing =
       static_cast<uint32_t>(state.m_chunks.size()) - state.m_have_count;
-  if (missing > kSpareDrawMissing || !state.m_draws.empty())
+  if (missing > kMaxMissingForSpareFetch || !state.m_draws.empty())
     return;
   while (state.m_spare_draws > 0 && OriginReady(state, now)) {
-    const auto waiting = LongestWait(state, now);
-    if (!waiting)
+    const auto longest = LongestWaitingFetch(state, now);
+    if (!longest)
       return;
     --state.m_spare_draws;
-    EndFetch(state, waiting->m_chunk);
-    actions.m_cancels.push_back(*waiting);
-    StartFetch(state, waiting->m_chunk, {}, now, actions);
+    EndFetch(state, longest->m_chunk);
+    actions.m_cancels.push_back(*longest);
+    StartFetch(state, longest->m_chunk, {}, now, actions);
   }
 }
 
@@ -194,14 +194,14 @@
     return;
   // The origin is back: what became overdue meanwhile has its turns anew, in
   // order, so that again one host goes first for each chunk.
-  TimePoint turn = now;
+  TimePoint due = now;
   for (uint32_t chunk = 0; chunk < state.m_chunks.size(); ++chunk) {
     TransferState::Chunk& entry = state.m_chunks[chunk];
     if (entry.m_place != TransferState::Place::kDraws)
       continue;
-    entry.m_draw_base = std::max(entry.m_draw_base, turn);
+    entry.m_draw_base = std::max(entry.m_draw_base, due);
     FileChunk(state, chunk);
-    turn += state.m_limits.m_origin_interval;
+    due += state.m_limits.m_origin_interval;
   }
 }
 
@@ -212,7 +212,7 @@
                 std::mt19937_64& random) {
   BackOffFromOrigin(state, now, random);
   if (!corrupt)
-    WaitForDrawer(state, chunk, now);
+    WaitForFirstRanks(state, chunk, now);
 }
 
 void HostDraws(TransferState& state, const DrawReport& report, TimePoint now) {
@@ -223,9 +223,9 @@
         now, static_cast<uint32_t>(report.m_under_way.size())};
   }
   for (uint32_t chunk : report.m_under_way)
-    HoldDraw(state, chunk, now + state.m_limits.m_draw_hold);
+    HoldOriginFetch(state, chunk, now + state.m_limits.m_draw_hold);
   for (uint32_t chunk : report.m_drawn) {
-    HoldDraw(state, chunk, now + state.m_limits.m_patience);
+    HoldOriginFetch(state, chunk, now + state.m_limits.m_patience);
     if (chunk < state.m_chunks.size())
       state.m_chunks[chunk].m_drawn = true;
   }
--- a/src/libverbenalead/decide/transfer_draws_test.cc
+++ b/src/libverbenalead/decide/transfer_draws_test.cc
@@ -9,24 +9,24 @@
 /// Who draws which chunk from the origin, and when.
 class TransferDrawsTest : public TransferFixture {
   CPPUNIT_TEST_SUITE(TransferDrawsTest);
-  CPPUNIT_TEST(AReturnedOriginIsNotAskedByAllAtOnce);
-  CPPUNIT_TEST(AnAnnouncedDrawIsNotDoubled);
-  CPPUNIT_TEST(AReportOfUnknownChunksIsKnownAsSuch);
-  CPPUNIT_TEST(AnAnnouncedDrawThatDiesIsPassedOver);
-  CPPUNIT_TEST(AHostThatOnlyAnnouncesHoldsNobodyForGood);
-  CPPUNIT_TEST(VainDrawsLeaveRoomForOthers);
-  CPPUNIT_TEST(ChunksAreDrawnInOrderSoManyAtOnce);
-  CPPUNIT_TEST(AChunkOfADeadHostIsDrawnByTheNextSoon);
-  CPPUNIT_TEST(AnyDrawThatEndsSaysThatTheOriginIsBack);
-  CPPUNIT_TEST(AChunkThatWasHeldIsNotTakenByAllAtOnce);
-  CPPUNIT_TEST(AFirstCopyThatWentBadIsDrawnAgain);
+  CPPUNIT_TEST(ReturnedOriginIsNotAskedByAllAtOnce);
+  CPPUNIT_TEST(AnnouncedOriginFetchIsNotDuplicated);
+  CPPUNIT_TEST(ReportWithUnknownChunksIsDetected);
+  CPPUNIT_TEST(AbandonedOriginFetchIsTakenOver);
+  CPPUNIT_TEST(RepeatedAnnouncementsDoNotBlockForEver);
+  CPPUNIT_TEST(FailingOriginFetchesLeaveRoomForOthers);
+  CPPUNIT_TEST(ChunksAreFetchedInOrderUpToTheLimit);
+  CPPUNIT_TEST(NextHostSoonFetchesAChunkOfADeadHost);
+  CPPUNIT_TEST(AnyCompletedOriginFetchEndsTheBackoff);
+  CPPUNIT_TEST(ReleasedChunkIsNotFetchedByAllAtOnce);
+  CPPUNIT_TEST(CorruptedFirstCopyIsFetchedAgain);
   CPPUNIT_TEST_SUITE_END();
 
  public:
   // New weights come seconds after the origin's return: while it was away the
   // turns of many hosts came, all of which draw the same chunks then. They wait
   // for the first ones, of which each chunk is drawn soon.
-  void AReturnedOriginIsNotAskedByAllAtOnce() {
+  void ReturnedOriginIsNotAskedByAllAtOnce() {
     m_limits.m_patience = 1s;
     m_limits.m_max_origin_back_off = 500ms;
     std::vector<TransferMember> members;
@@ -36,39 +36,39 @@
     for (const TransferMember& self : members)
       states.push_back(Start(self, members, 1));
     const TimePoint back = kStart + 8s;
-    size_t drawn = 0;
+    size_t fetched = 0;
     TimePoint first = TimePoint::max();
     for (TimePoint now = kStart; now < back + 1s; now += 10ms) {
       for (TransferState& state : states) {
-        if (Draws(state, now).empty())
+        if (OriginFetches(state, now).empty())
           continue;
         if (now < back) {
           ChunkFailed(state, 0, false, now, m_random);
         } else {
-          ++drawn;
+          ++fetched;
           first = std::min(first, now);
         }
       }
     }
     CPPUNIT_ASSERT(first <= back + 500ms);
     // One drawer, and a third of those that wait their turn.
-    CPPUNIT_ASSERT(drawn <= 6);
+    CPPUNIT_ASSERT(fetched <= 6);
   }
 
   // New weights come twice as late: the origin's link is full, a draw takes
   // longer than the patience, and the next in rank draws the same chunk.
-  void AnAnnouncedDrawIsNotDoubled() {
-    TransferState next = NextInRank();
+  void AnnouncedOriginFetchIsNotDuplicated() {
+    TransferState next = SecondRankedHost();
     TimePoint now = kStart;
     for (; now < kStart + 3s; now += 250ms) {
       HostDraws(next, {"x", {0, 77}, {}}, now);
-      CPPUNIT_ASSERT(Draws(next, now).empty());
+      CPPUNIT_ASSERT(OriginFetches(next, now).empty());
     }
-    NeighbourHas(next, DrawerOf(next), {0}, now);
-    CPPUNIT_ASSERT(Draws(next, now + 10s).empty());
+    NeighbourHas(next, FirstRankedHost(next), {0}, now);
+    CPPUNIT_ASSERT(OriginFetches(next, now + 10s).empty());
   }
 
-  void AReportOfUnknownChunksIsKnownAsSuch() {
+  void ReportWithUnknownChunksIsDetected() {
     CPPUNIT_ASSERT(IsWithin({"x", {0, 2}, {1}}, 3));
     CPPUNIT_ASSERT(IsWithin({}, 0));
     CPPUNIT_ASSERT(!IsWithin({"x", {3}, {}}, 3));
@@ -76,20 +76,20 @@
   }
 
   // A chunk never comes: the host that announced its draw has died.
-  void AnAnnouncedDrawThatDiesIsPassedOver() {
-    TransferState next = NextInRank();
+  void AbandonedOriginFetchIsTakenOver() {
+    TransferState next = SecondRankedHost();
     HostDraws(next, {"x", {0}, {}}, kStart + 900ms);
-    const TimePoint over = kStart + 900ms + 3 * m_limits.m_draw_hold / 2;
-    CPPUNIT_ASSERT(Draws(next, over - 1ms).empty());
-    CPPUNIT_ASSERT_EQUAL(size_t{1}, Draws(next, over).size());
+    const TimePoint timed_out = kStart + 900ms + 3 * m_limits.m_draw_hold / 2;
+    CPPUNIT_ASSERT(OriginFetches(next, timed_out - 1ms).empty());
+    CPPUNIT_ASSERT_EQUAL(size_t{1}, OriginFetches(next, timed_out).size());
   }
 
   // A chunk never comes: a host that is cut off from the origin alone announces
   // one draw after the other, and all others wait for it.
-  void AHostThatOnlyAnnouncesHoldsNobodyForGood() {
-    TransferState next = NextInRank();
+  void RepeatedAnnouncementsDoNotBlockForEver() {
+    TransferState next = SecondRankedHost();
     TimePoint now = kStart;
-    while (Draws(next, now).empty() && now < kStart + 60s) {
+    while (OriginFetches(next, now).empty() && now < kStart + 60s) {
       now += 250ms;
       HostDraws(next, {"x", {0}, {}}, now);
     }
@@ -98,11 +98,11 @@
 
   // The same where few draws go on at once: hosts that can't reach the origin
   // take all the places that there are for draws.
-  void VainDrawsLeaveRoomForOthers() {
+  void FailingOriginFetchesLeaveRoomForOthers() {
     m_limits.m_draws_at_once = 2;
-    TransferState next = NextInRank();
+    TransferState next = SecondRankedHost();
     TimePoint now = kStart;
-    while (Draws(next, now).empty() && now < kStart + 60s) {
+    while (OriginFetches(next, now).empty() && now < kStart + 60s) {
       now += 250ms;
       HostDraws(next, {"x", {0}, {}}, now);
       HostDraws(next, {"y", {0}, {}}, now);
@@ -112,88 +112,94 @@
 
   // New weights come seconds late: hosts that began late each counted their
   // draws from then, and the origin's link stood idle half of the time.
-  void ChunksAreDrawnInOrderSoManyAtOnce() {
+  void ChunksAreFetchedInOrderUpToTheLimit() {
     m_limits.m_origin_interval = 100ms;
     m_limits.m_draws_at_once = 3;
     m_limits.m_max_origin = 10;
     TransferState state = Start(kSelf, {kSelf}, 10);
-    CPPUNIT_ASSERT(Draws(state, kStart) == std::vector<uint32_t>({0, 1, 2}));
+    CPPUNIT_ASSERT(OriginFetches(state, kStart) ==
+                   std::vector<uint32_t>({0, 1, 2}));
     ChunkArrived(state, 1, kStart + 10ms);
-    CPPUNIT_ASSERT(Draws(state, kStart + 10ms) == std::vector<uint32_t>{3});
+    CPPUNIT_ASSERT(OriginFetches(state, kStart + 10ms) ==
+                   std::vector<uint32_t>{3});
     // Another host took a place, and gives it back.
     ChunkArrived(state, 0, kStart + 20ms);
     HostDraws(state, {"x", {4}, {}}, kStart + 20ms);
-    CPPUNIT_ASSERT(Draws(state, kStart + 20ms).empty());
+    CPPUNIT_ASSERT(OriginFetches(state, kStart + 20ms).empty());
     HostDraws(state, {"x", {}, {4}}, kStart + 30ms);
-    CPPUNIT_ASSERT(Draws(state, kStart + 30ms) == std::vector<uint32_t>{5});
+    CPPUNIT_ASSERT(OriginFetches(state, kStart + 30ms) ==
+                   std::vector<uint32_t>{5});
   }
 
   // The last chunks of new weights come seconds after the others: the hosts
   // that were to draw them are dead, though still listed, and the next in line
   // wait for their own time in the schedule.
-  void AChunkOfADeadHostIsDrawnByTheNextSoon() {
+  void NextHostSoonFetchesAChunkOfADeadHost() {
     m_limits.m_origin_interval = 10s;
     m_limits.m_draws_at_once = 2;
-    TransferState next = NextInRank();
-    CPPUNIT_ASSERT(Draws(next, kStart).empty());
+    TransferState next = SecondRankedHost();
+    CPPUNIT_ASSERT(OriginFetches(next, kStart).empty());
     const TimePoint soon = kStart + m_limits.m_draw_hold / 2;
-    CPPUNIT_ASSERT(Draws(next, soon - 1ms).empty());
-    CPPUNIT_ASSERT_EQUAL(size_t{1}, Draws(next, soon).size());
+    CPPUNIT_ASSERT(OriginFetches(next, soon - 1ms).empty());
+    CPPUNIT_ASSERT_EQUAL(size_t{1}, OriginFetches(next, soon).size());
   }
 
   // New weights come half a second later than they could: the origin is back,
   // and hosts that found it away pause until they ask again.
-  void AnyDrawThatEndsSaysThatTheOriginIsBack() {
+  void AnyCompletedOriginFetchEndsTheBackoff() {
     m_limits.m_draws_at_once = 1;
     m_limits.m_origin_interval = 100ms;
     TransferState state = Start(kSelf, {kSelf}, 2);
-    CPPUNIT_ASSERT_EQUAL(size_t{1}, Draws(state, kStart).size());
+    CPPUNIT_ASSERT_EQUAL(size_t{1}, OriginFetches(state, kStart).size());
     ChunkFailed(state, 0, false, kStart, m_random);
-    CPPUNIT_ASSERT(Draws(state, kStart + 10ms).empty());
+    CPPUNIT_ASSERT(OriginFetches(state, kStart + 10ms).empty());
     HostDraws(state, {"x", {}, {1}}, kStart + 20ms);
-    CPPUNIT_ASSERT(Draws(state, kStart + 20ms) == std::vector<uint32_t>{0});
+    CPPUNIT_ASSERT(OriginFetches(state, kStart + 20ms) ==
+                   std::vector<uint32_t>{0});
   }
 
   // New weights are whole nowhere before the origin goes away: the only copy of
   // a chunk went bad, and its host still counted it as there.
-  void AFirstCopyThatWentBadIsDrawnAgain() {
+  void CorruptedFirstCopyIsFetchedAgain() {
     m_limits.m_draws_at_once = 8;
-    const std::vector<TransferMember> members = {kSelf, kNear, kOther};
-    TransferState drawer = Start(kSelf, members, 1);
+    const std::vector<TransferMember> members = {kSelf, kSameDataCenter,
+                                                 kSameRegion};
+    TransferState fetcher = Start(kSelf, members, 1);
     TimePoint now = kStart;
-    while (Draws(drawer, now).empty())
+    while (OriginFetches(fetcher, now).empty())
       now += 10ms;
-    ChunkArrived(drawer, 0, now);
-    CPPUNIT_ASSERT(IsComplete(drawer));
-    ChunkLost(drawer, 0, now);
-    CPPUNIT_ASSERT(!IsComplete(drawer));
-    CPPUNIT_ASSERT_EQUAL(size_t{1}, Draws(drawer, now).size());
+    ChunkArrived(fetcher, 0, now);
+    CPPUNIT_ASSERT(IsComplete(fetcher));
+    ChunkLost(fetcher, 0, now);
+    CPPUNIT_ASSERT(!IsComplete(fetcher));
+    CPPUNIT_ASSERT_EQUAL(size_t{1}, OriginFetches(fetcher, now).size());
     // Where a neighbour has it, that one is asked.
-    ChunkArrived(drawer, 0, now);
-    NeighbourHas(drawer, "b", {0}, now);
-    ChunkLost(drawer, 0, now);
-    CPPUNIT_ASSERT(Draws(drawer, now).empty());
-    CPPUNIT_ASSERT_EQUAL(size_t{1}, drawer.m_fetching.size());
+    ChunkArrived(fetcher, 0, now);
+    NeighbourHas(fetcher, "b", {0}, now);
+    ChunkLost(fetcher, 0, now);
+    CPPUNIT_ASSERT(OriginFetches(fetcher, now).empty());
+    CPPUNIT_ASSERT_EQUAL(size_t{1}, fetcher.m_fetching.size());
   }
 
   // One chunk is drawn many times when the origin is back: it had been open for
   // seconds, with others trying to draw it again and again, so that all hosts
   // held their time to be over at once.
-  void AChunkThatWasHeldIsNotTakenByAllAtOnce() {
+  void ReleasedChunkIsNotFetchedByAllAtOnce() {
     m_limits.m_draws_at_once = 1;
-    TransferState next = NextInRank();
-    CPPUNIT_ASSERT(Draws(next, kStart).empty());
+    TransferState next = SecondRankedHost();
+    CPPUNIT_ASSERT(OriginFetches(next, kStart).empty());
     TimePoint now = kStart + 10ms;
     for (; now < kStart + 800ms; now += 250ms) {
       HostDraws(next, {"x", {0}, {}}, now);
-      CPPUNIT_ASSERT(Draws(next, now).empty());
+      CPPUNIT_ASSERT(OriginFetches(next, now).empty());
     }
     HostDraws(next, {"x", {}, {}}, now);
     const TimePoint open = now - 250ms + m_limits.m_draw_hold;
-    CPPUNIT_ASSERT(Draws(next, open).empty());
-    CPPUNIT_ASSERT(Draws(next, open + m_limits.m_draw_hold / 2 - 1ms).empty());
-    CPPUNIT_ASSERT_EQUAL(size_t{1},
-                         Draws(next, open + m_limits.m_draw_hold / 2).size());
+    CPPUNIT_ASSERT(OriginFetches(next, open).empty());
+    CPPUNIT_ASSERT(
+        OriginFetches(next, open + m_limits.m_draw_hold / 2 - 1ms).empty());
+    CPPUNIT_ASSERT_EQUAL(
+        size_t{1}, OriginFetches(next, open + m_limits.m_draw_hold / 2).size());
   }
 };
 
--- a/src/libverbenalead/decide/transfer_fixture.h
+++ b/src/libverbenalead/decide/transfer_fixture.h
@@ -15,9 +15,9 @@
 
 inline const TimePoint kStart{};
 inline const TransferMember kSelf{"a", "mtl", "mtl-1"};
-inline const TransferMember kNear{"b", "mtl", "mtl-1"};
-inline const TransferMember kOther{"c", "mtl", "mtl-2"};
-inline const TransferMember kFar{"d", "qc", "qc-1"};
+inline const TransferMember kSameDataCenter{"b", "mtl", "mtl-1"};
+inline const TransferMember kSameRegion{"c", "mtl", "mtl-2"};
+inline const TransferMember kOtherRegion{"d", "qc", "qc-1"};
 
 /// What tests of a transfer have in common.
 class TransferFixture : public CppUnit::TestFixture {
@@ -31,7 +31,7 @@
   }
 
   /// The origin draws that `state` asks for at `now`.
-  std::vector<uint32_t> Draws(TransferState& state, TimePoint now) {
+  std::vector<uint32_t> OriginFetches(TransferState& state, TimePoint now) {
     std::vector<uint32_t> chunks;
     for (const FetchChunk& fetch : Step(state, now, m_random).m_fetches) {
       if (fetch.m_source.IsOrigin())
@@ -41,9 +41,10 @@
   }
 
   /// The host whose turn for the only chunk is second.
-  TransferState NextInRank() {
+  TransferState SecondRankedHost() {
     m_limits.m_patience = 1s;
-    const std::vector<TransferMember> members = {kSelf, kNear, kOther};
+    const std::vector<TransferMember> members = {kSelf, kSameDataCenter,
+                                                 kSameRegion};
     for (const TransferMember& self : members) {
       TransferState state = Start(self, members, 1);
       if (state.m_chunks[0].m_rank == 1)
@@ -53,7 +54,7 @@
     return {};
   }
 
-  static std::string DrawerOf(const TransferState& state) {
+  static std::string FirstRankedHost(const TransferState& state) {
     return state.m_members[RendezvousIndex(state.m_members, 0)].m_name;
   }
 
--- a/src/libverbenalead/decide/transfer_fleet_test.cc
+++ b/src/libverbenalead/decide/transfer_fleet_test.cc
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr Duration kStep = 20ms;
-constexpr Duration kGiveUp = 300s;
+constexpr Duration kTimeLimit = 300s;
 
 /// The oracle's view of a chunk's bytes: which version and chunk they are of.
 struct Content {
@@ -53,7 +53,7 @@
     for (const TransferMember& member : m_members) {
       FleetHost& host = m_hosts[member.m_name];
       host.m_member = member;
-      Begin(host, 1);
+      StartVersion(host, 1);
     }
   }
 
@@ -68,11 +68,11 @@
   /// Lets time pass until all survivors are whole; false if they never are.
   bool Run() {
     while (!Done()) {
-      if (m_now - TimePoint() > kGiveUp)
+      if (m_now - TimePoint() > kTimeLimit)
         return false;
       m_now += kStep;
       if (m_faults)
-        MaybeFail();
+        MaybeInjectFault();
       for (auto& [name, host] : m_hosts) {
         if (!host.m_dead)
           StepHost(host);
@@ -98,13 +98,13 @@
     }
   }
 
-  uint32_t draws() const { return m_draws; }
+  uint32_t origin_fetches() const { return m_draws; }
   /// Deaths, cut or stalled links and wrong chunks so far, and versions.
   uint32_t failures() const { return m_failures; }
   uint32_t version() const { return m_version; }
 
  private:
-  void Begin(FleetHost& host, uint32_t version) {
+  void StartVersion(FleetHost& host, uint32_t version) {
     TransferLimits limits;
     limits.m_preference = TransferPreference::kOriginBytesFirst;
     limits.m_patience = 5s;
@@ -116,20 +116,20 @@
     SetMembers(host.m_transfer, m_members, m_now, m_random);
   }
 
-  void MaybeFail() {
+  void MaybeInjectFault() {
     if (m_random() % 8 != 0)
       return;
-    FleetHost& victim = m_hosts[m_members[Pick()].m_name];
+    FleetHost& victim = m_hosts[m_members[RandomIndex()].m_name];
     switch (m_random() % 4) {
       case 0:
         // Two hosts are left, so that there is something to spread.
-        if (Living() > 2 && !victim.m_dead) {
+        if (LiveHosts() > 2 && !victim.m_dead) {
           victim.m_dead = true;
           ++m_failures;
         }
         return;
       case 1:
-        Stall(victim.m_member.m_name, m_members[Pick()].m_name);
+        Stall(victim.m_member.m_name, m_members[RandomIndex()].m_name);
         return;
       case 2:
         m_origin_busy_until = m_now + 500ms;
@@ -140,9 +140,9 @@
     }
   }
 
-  size_t Pick() { return m_random() % m_members.size(); }
+  size_t RandomIndex() { return m_random() % m_members.size(); }
 
-  size_t Living() const {
+  size_t LiveHosts() const {
     return std::count_if(m_hosts.begin(), m_hosts.end(),
                          [](const auto& each) { return !each.second.m_dead; });
   }
@@ -162,9 +162,9 @@
   void StepHost(FleetHost& host) {
     // Hosts learn of a new version one by one.
     if (host.m_version != m_version && m_random() % 10 == 0)
-      Begin(host, m_version);
+      StartVersion(host, m_version);
     Deliver(host);
-    HearNews(host);
+    ReceiveUpdates(host);
     const auto actions = Step(host.m_transfer, m_now, m_random);
     for (const FetchChunk& cancel : actions.m_cancels)
       Cancel(host, cancel);
@@ -176,15 +176,15 @@
       Send(host, fetch);
   }
 
-  void HearNews(FleetHost& host) {
-    for (auto& [name, told] : host.m_told) {
+  void ReceiveUpdates(FleetHost& host) {
+    for (auto& [name, sent_count] : host.m_told) {
       const FleetHost& other = m_hosts[name];
       if (other.m_version != host.m_version ||
           !Reaches(host.m_member.m_name, name))
         continue;
       std::vector<uint32_t> chunks;
-      for (; told < other.m_store.size(); ++told)
-        chunks.push_back(other.m_store[told].m_chunk);
+      for (; sent_count < other.m_store.size(); ++sent_count)
+        chunks.push_back(other.m_store[sent_count].m_chunk);
       NeighbourHas(host.m_transfer, name, chunks, m_now);
     }
   }
@@ -240,9 +240,9 @@
       if (delivery.m_version != host.m_version)
         continue;
       const uint32_t chunk = delivery.m_fetch.m_chunk;
-      const Content right{host.m_version, chunk};
-      if (delivery.m_content == right) {
-        host.m_store.push_back(right);
+      const Content expected{host.m_version, chunk};
+      if (delivery.m_content == expected) {
+        host.m_store.push_back(expected);
         ChunkArrived(host.m_transfer, chunk, m_now);
       } else {
         ChunkFailed(host.m_transfer, chunk, delivery.m_content.has_value(),
@@ -266,30 +266,30 @@
 
 class TransferFleetTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(TransferFleetTest);
-  CPPUNIT_TEST(DrawsEachChunkOnce);
-  CPPUNIT_TEST(SurvivorsGetWholeRightBytes);
+  CPPUNIT_TEST(FetchesEachChunkFromTheOriginOnce);
+  CPPUNIT_TEST(SurvivorsGetCompleteCorrectChunks);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void DrawsEachChunkOnce() {
-    const bool held = rc::check("one draw a chunk", [] {
+  void FetchesEachChunkFromTheOriginOnce() {
+    const bool passed = rc::check("one draw a chunk", [] {
       const auto seed = *rc::gen::arbitrary<uint64_t>();
       const auto hosts = *rc::gen::inRange<uint32_t>(1, 40);
       const auto chunks = *rc::gen::inRange<uint32_t>(1, 60);
       Fleet fleet(seed, hosts, chunks, false);
       RC_ASSERT(fleet.Run());
       fleet.CheckStores();
-      RC_ASSERT(fleet.draws() == chunks);
+      RC_ASSERT(fleet.origin_fetches() == chunks);
     });
-    CPPUNIT_ASSERT(held);
+    CPPUNIT_ASSERT(passed);
   }
 
   // The hosts that live on serve the version that was declared last, whole.
   // Meanwhile hosts die without a word, links stall and stay open, chunks come
   // wrong, the origin is busy, and the version is declared anew in
   // mid-transfer.
-  void SurvivorsGetWholeRightBytes() {
-    const bool held = rc::check("survivors are whole", [] {
+  void SurvivorsGetCompleteCorrectChunks() {
+    const bool passed = rc::check("survivors are whole", [] {
       const auto seed = *rc::gen::arbitrary<uint64_t>();
       const auto hosts = *rc::gen::inRange<uint32_t>(2, 25);
       const auto chunks = *rc::gen::inRange<uint32_t>(1, 60);
@@ -297,10 +297,10 @@
       RC_ASSERT(fleet.Run());
       fleet.CheckStores();
       // A chunk is drawn again only where a failure hid or lost its copies.
-      RC_ASSERT(fleet.draws() <=
+      RC_ASSERT(fleet.origin_fetches() <=
                 chunks * fleet.version() * (1 + fleet.failures()));
     });
-    CPPUNIT_ASSERT(held);
+    CPPUNIT_ASSERT(passed);
   }
 };
 
--- a/src/libverbenalead/decide/transfer_limits.cc
+++ b/src/libverbenalead/decide/transfer_limits.cc
@@ -8,10 +8,10 @@
 /// A new chunk waits behind about as many others as a host has neighbours, at
 /// two or three hosts on its way; 33 chunk times (4 s in the bench) doubled a
 /// tenth of all draws, 50 none.
-constexpr int64_t kPatienceChunks = 64;
-constexpr Duration kMinPatience = 2s;
+constexpr int64_t kWaitLimitChunks = 64;
+constexpr Duration kMinWaitLimit = 2s;
 
-Duration TimeFor(uint64_t bytes, uint64_t rate) {
+Duration TransferTime(uint64_t bytes, uint64_t rate) {
   if (rate == 0)
     return Duration();
   return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(
@@ -26,10 +26,10 @@
   TransferLimits limits;
   limits.m_preference = preference;
   limits.m_origin_budget_percent = origin_budget_percent;
-  limits.m_origin_interval = TimeFor(links.m_chunk_bytes, links.m_origin);
-  const Duration chunk_time = TimeFor(links.m_chunk_bytes, links.m_host);
+  limits.m_origin_interval = TransferTime(links.m_chunk_bytes, links.m_origin);
+  const Duration chunk_time = TransferTime(links.m_chunk_bytes, links.m_host);
   limits.m_patience =
-      std::max<Duration>(kMinPatience, kPatienceChunks * chunk_time);
+      std::max<Duration>(kMinWaitLimit, kWaitLimitChunks * chunk_time);
   return limits;
 }
 
--- a/src/libverbenalead/decide/transfer_outage_test.cc
+++ b/src/libverbenalead/decide/transfer_outage_test.cc
@@ -15,21 +15,21 @@
 constexpr Duration kOriginChunk = 44ms;
 constexpr Duration kHostChunk = 43ms;
 /// News of chunks and announcements reach other hosts after this.
-constexpr Duration kNewsDelay = 60ms;
+constexpr Duration kUpdateDelay = 60ms;
 constexpr Duration kAnnounceDelay = 10ms;
 constexpr Duration kAnnounceInterval = 250ms;
 constexpr size_t kUploads = 2;
-constexpr Duration kGiveUp = 60s;
+constexpr Duration kTimeLimit = 60s;
 /// Who is there is known so late.
-constexpr Duration kListLag = 3s;
+constexpr Duration kMembershipLag = 3s;
 
-struct OutageLoad {
+struct OutageScenario {
   uint32_t m_hosts = 58;
   /// The origin is away from then on, and for so long.
-  Duration m_away_at = 2500ms;
-  Duration m_away = 6s;
+  Duration m_outage_start = 2500ms;
+  Duration m_outage = 6s;
   /// Hosts that die while the origin is away.
-  uint32_t m_deaths = 0;
+  uint32_t m_host_failures = 0;
   /// Whether hosts tell what they draw.
   bool m_announced = true;
 };
@@ -39,7 +39,7 @@
 /// hosts that send them.
 class OutageFleet {
  public:
-  OutageFleet(const OutageLoad& load, uint64_t seed)
+  OutageFleet(const OutageScenario& load, uint64_t seed)
       : m_load(load), m_random(seed) {
     std::vector<TransferMember> members;
     for (uint32_t i = 0; i < load.m_hosts; ++i) {
@@ -56,14 +56,14 @@
   }
 
   /// Plays until all living hosts are whole; false if they never are.
-  bool Play() {
-    for (; !Whole(); m_now += kTick) {
-      if (Elapsed() > kGiveUp)
+  bool Run() {
+    for (; !AllComplete(); m_now += kTick) {
+      if (Elapsed() > kTimeLimit)
         return false;
-      MaybeDie();
+      MaybeFailHost();
       RunOrigin();
       RunUploads();
-      TellNews();
+      SendUpdates();
       for (size_t host = 0; host < m_hosts.size(); ++host)
         StepHost(host);
     }
@@ -71,10 +71,12 @@
   }
 
   /// Draws that sent a chunk, for each chunk.
-  double DrawsEach() const { return static_cast<double>(m_draws) / kChunks; }
+  double FetchesPerChunk() const {
+    return static_cast<double>(m_draws) / kChunks;
+  }
   /// From the origin's return until all hosts were whole.
-  Duration WholeAfter() const {
-    return Elapsed() - m_load.m_away_at - m_load.m_away;
+  Duration CompletionDelay() const {
+    return Elapsed() - m_load.m_outage_start - m_load.m_outage;
   }
 
  private:
@@ -89,12 +91,12 @@
     std::vector<std::pair<size_t, uint32_t>> m_uploads;
     Duration m_sent{};
   };
-  struct Draw {
+  struct OriginFetch {
     size_t m_host = 0;
     uint32_t m_chunk = 0;
     Duration m_left{};
   };
-  struct News {
+  struct Update {
     TimePoint m_at{};
     /// Empty: an announcement of draws, to all.
     std::string m_from;
@@ -115,11 +117,11 @@
   }
 
   Duration Elapsed() const { return m_now - TimePoint(); }
-  bool Away() const {
-    return Elapsed() >= m_load.m_away_at &&
-           Elapsed() < m_load.m_away_at + m_load.m_away;
+  bool IsOriginDown() const {
+    return Elapsed() >= m_load.m_outage_start &&
+           Elapsed() < m_load.m_outage_start + m_load.m_outage;
   }
-  bool Whole() const {
+  bool AllComplete() const {
     return std::all_of(m_hosts.begin(), m_hosts.end(), [](const Host& host) {
       return host.m_dead || IsComplete(host.m_state);
     });
@@ -128,38 +130,39 @@
     return std::stoul(name.substr(name.find('-') + 1));
   }
 
-  void MaybeDie() {
-    if (!Away() || m_died >= m_load.m_deaths || m_random() % 40 != 0)
+  void MaybeFailHost() {
+    if (!IsOriginDown() || m_failed_hosts >= m_load.m_host_failures ||
+        m_random() % 40 != 0)
       return;
     Host& victim = m_hosts[m_random() % m_hosts.size()];
     if (victim.m_dead)
       return;
     victim.m_dead = true;
-    ++m_died;
-    m_listed_until[victim.m_state.m_self.m_name] = m_now + kListLag;
+    ++m_failed_hosts;
+    m_listed_until[victim.m_state.m_self.m_name] = m_now + kMembershipLag;
   }
 
   void RunOrigin() {
-    if (Away()) {
-      for (const Draw& draw : m_drawing)
-        ChunkFailed(m_hosts[draw.m_host].m_state, draw.m_chunk, false, m_now,
+    if (IsOriginDown()) {
+      for (const OriginFetch& fetch : m_open_fetches)
+        ChunkFailed(m_hosts[fetch.m_host].m_state, fetch.m_chunk, false, m_now,
                     m_random);
-      m_drawing.clear();
+      m_open_fetches.clear();
     }
-    const auto share = kTick / std::max<int64_t>(1, std::ssize(m_drawing));
-    std::vector<Draw> done;
-    std::erase_if(m_drawing, [&](Draw& draw) {
-      draw.m_left -= share;
-      if (draw.m_left > Duration())
+    const auto share = kTick / std::max<int64_t>(1, std::ssize(m_open_fetches));
+    std::vector<OriginFetch> done;
+    std::erase_if(m_open_fetches, [&](OriginFetch& fetch) {
+      fetch.m_left -= share;
+      if (fetch.m_left > Duration())
         return false;
-      done.push_back(draw);
+      done.push_back(fetch);
       return true;
     });
-    for (const Draw& draw : done) {
+    for (const OriginFetch& fetch : done) {
       ++m_draws;
-      Arrive(draw.m_host, draw.m_chunk);
-      if (!m_hosts[draw.m_host].m_dead)
-        Announce(draw.m_host, {draw.m_chunk});
+      Arrive(fetch.m_host, fetch.m_chunk);
+      if (!m_hosts[fetch.m_host].m_dead)
+        Announce(fetch.m_host, {fetch.m_chunk});
     }
   }
 
@@ -191,19 +194,19 @@
     }
   }
 
-  void TellNews() {
+  void SendUpdates() {
     for (Host& host : m_hosts) {
       if (host.m_dead || host.m_told == host.m_held.size())
         continue;
-      const std::vector<uint32_t> fresh(
+      const std::vector<uint32_t> unsent(
           host.m_held.begin() + static_cast<std::ptrdiff_t>(host.m_told),
           host.m_held.end());
       host.m_told = host.m_held.size();
       for (size_t to = 0; to < m_hosts.size(); ++to)
         m_news.push_back(
-            {m_now + kNewsDelay, host.m_state.m_self.m_name, to, fresh});
+            {m_now + kUpdateDelay, host.m_state.m_self.m_name, to, unsent});
     }
-    std::erase_if(m_news, [&](const News& news) {
+    std::erase_if(m_news, [&](const Update& news) {
       if (news.m_at > m_now)
         return false;
       TransferState& state = m_hosts[news.m_to].m_state;
@@ -226,14 +229,14 @@
     for (const std::string& name : actions.m_follows) {
       const Host& other = m_hosts[Index(name)];
       if (!other.m_dead)
-        m_news.push_back({m_now + kNewsDelay, name, index, other.m_held, {}});
+        m_news.push_back({m_now + kUpdateDelay, name, index, other.m_held, {}});
     }
-    bool draws = false;
+    bool fetches_from_origin = false;
     for (const FetchChunk& fetch : actions.m_fetches) {
-      draws |= fetch.m_source.IsOrigin();
+      fetches_from_origin |= fetch.m_source.IsOrigin();
       Send(index, fetch);
     }
-    if (draws || m_now - host.m_announced >= kAnnounceInterval)
+    if (fetches_from_origin || m_now - host.m_announced >= kAnnounceInterval)
       Announce(index, {});
   }
 
@@ -246,16 +249,17 @@
     SetMembers(host.m_state, std::move(members), m_now, m_random);
   }
 
-  void Announce(size_t from, std::vector<uint32_t> drawn) {
+  void Announce(size_t from, std::vector<uint32_t> completed) {
     DrawReport report;
     report.m_host = m_hosts[from].m_state.m_self.m_name;
     for (const auto& [chunk, fetch] : m_hosts[from].m_state.m_fetching) {
       if (fetch.m_source.IsOrigin())
         report.m_under_way.push_back(chunk);
     }
-    if (!m_load.m_announced || (report.m_under_way.empty() && drawn.empty()))
+    if (!m_load.m_announced ||
+        (report.m_under_way.empty() && completed.empty()))
       return;
-    report.m_drawn = std::move(drawn);
+    report.m_drawn = std::move(completed);
     m_hosts[from].m_announced = m_now;
     for (size_t to = 0; to < m_hosts.size(); ++to) {
       if (to != from)
@@ -272,7 +276,7 @@
 
   void Send(size_t index, const FetchChunk& fetch) {
     if (fetch.m_source.IsOrigin()) {
-      m_drawing.push_back({index, fetch.m_chunk, kOriginChunk});
+      m_open_fetches.push_back({index, fetch.m_chunk, kOriginChunk});
       return;
     }
     Host& from = m_hosts[Index(fetch.m_source.m_host)];
@@ -280,63 +284,64 @@
       from.m_uploads.emplace_back(index, fetch.m_chunk);
   }
 
-  const OutageLoad m_load;
+  const OutageScenario m_load;
   std::mt19937_64 m_random;
   TimePoint m_now{};
   std::vector<Host> m_hosts;
-  std::vector<Draw> m_drawing;
-  std::vector<News> m_news;
+  std::vector<OriginFetch> m_open_fetches;
+  std::vector<Update> m_news;
   std::map<std::string, TimePoint> m_listed_until;
   uint32_t m_draws = 0;
-  uint32_t m_died = 0;
+  uint32_t m_failed_hosts = 0;
 };
 
 class TransferOutageTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(TransferOutageTest);
-  CPPUNIT_TEST(AReturnedOriginSendsEachChunkOnce);
-  CPPUNIT_TEST(AnOriginThatWasLongAwaySendsEachChunkOnce);
-  CPPUNIT_TEST(DeathsCostFewDraws);
+  CPPUNIT_TEST(ReturnedOriginSendsEachChunkOnce);
+  CPPUNIT_TEST(OriginSendsEachChunkOnceAfterALongOutage);
+  CPPUNIT_TEST(HostFailuresCostFewOriginFetches);
   CPPUNIT_TEST_SUITE_END();
 
  public:
   // Callers find no replica with allowed weights for seconds: the origin comes
   // back, and its link carries each missing chunk twice, so that the last one
   // comes to the hosts after the bound.
-  void AReturnedOriginSendsEachChunkOnce() {
+  void ReturnedOriginSendsEachChunkOnce() {
     for (const uint64_t seed : {1, 2, 3, 4, 20261202}) {
       OutageFleet fleet({}, seed);
-      CPPUNIT_ASSERT(fleet.Play());
-      CPPUNIT_ASSERT_LESSEQUAL(1.05, fleet.DrawsEach());
+      CPPUNIT_ASSERT(fleet.Run());
+      CPPUNIT_ASSERT_LESSEQUAL(1.05, fleet.FetchesPerChunk());
     }
   }
 
   // Weights come seconds after they could: half of the chunks were missing when
   // the origin went away, and the first two hosts in line for each of them draw
   // it at its return, as both have waited longer than they wait for others.
-  void AnOriginThatWasLongAwaySendsEachChunkOnce() {
+  void OriginSendsEachChunkOnceAfterALongOutage() {
     for (const uint64_t seed : {1, 2, 3, 4, 20261202}) {
-      OutageLoad load;
-      load.m_away_at = 1400ms;
-      load.m_away = 10s;
+      OutageScenario load;
+      load.m_outage_start = 1400ms;
+      load.m_outage = 10s;
       OutageFleet fleet(load, seed);
-      CPPUNIT_ASSERT(fleet.Play());
-      CPPUNIT_ASSERT_LESSEQUAL(1.05, fleet.DrawsEach());
+      CPPUNIT_ASSERT(fleet.Run());
+      CPPUNIT_ASSERT_LESSEQUAL(1.05, fleet.FetchesPerChunk());
     }
   }
 
   // The same while hosts die that others still count on.
-  void DeathsCostFewDraws() {
-    const bool held = rc::check("deaths cost few draws", [] {
-      OutageLoad load;
+  void HostFailuresCostFewOriginFetches() {
+    const bool passed = rc::check("deaths cost few draws", [] {
+      OutageScenario load;
       load.m_hosts = *rc::gen::inRange<uint32_t>(12, 70);
-      load.m_deaths = *rc::gen::inRange<uint32_t>(0, 5);
-      load.m_away = std::chrono::milliseconds(*rc::gen::inRange<int>(0, 9000));
+      load.m_host_failures = *rc::gen::inRange<uint32_t>(0, 5);
+      load.m_outage =
+          std::chrono::milliseconds(*rc::gen::inRange<int>(0, 9000));
       OutageFleet fleet(load, *rc::gen::arbitrary<uint64_t>());
-      RC_ASSERT(fleet.Play());
-      RC_ASSERT(fleet.DrawsEach() <= 1.5);
-      RC_ASSERT(fleet.WholeAfter() <= Duration(15s));
+      RC_ASSERT(fleet.Run());
+      RC_ASSERT(fleet.FetchesPerChunk() <= 1.5);
+      RC_ASSERT(fleet.CompletionDelay() <= Duration(15s));
     });
-    CPPUNIT_ASSERT(held);
+    CPPUNIT_ASSERT(passed);
   }
 };
 
--- a/src/libverbenalead/decide/transfer_plan.cc
+++ b/src/libverbenalead/decide/transfer_plan.cc
@@ -9,8 +9,8 @@
 namespace verbenalead::decide {
 namespace {
 
-constexpr uint64_t kRingNumber = ~uint64_t{1};
-constexpr uint64_t kOffsetNumber = uint64_t{1} << 40;
+constexpr uint64_t kRingSalt = ~uint64_t{1};
+constexpr uint64_t kOffsetSalt = uint64_t{1} << 40;
 
 using Ring = std::vector<const TransferMember*>;
 
@@ -19,7 +19,7 @@
   std::vector<std::pair<uint64_t, const TransferMember*>> sorted;
   for (const TransferMember& member : state.m_members) {
     if (DistanceBetween(state.m_self, member) == distance)
-      sorted.emplace_back(MixHash(member.m_name, kRingNumber), &member);
+      sorted.emplace_back(MixHash(member.m_name, kRingSalt), &member);
   }
   std::sort(sorted.begin(), sorted.end());
   Ring ring;
@@ -29,7 +29,7 @@
 }
 
 /// This host's place among its data centre's hosts.
-size_t PlaceInRing(const TransferState& state, const Ring& own) {
+size_t PositionInRing(const TransferState& state, const Ring& own) {
   for (size_t i = 0; i < own.size(); ++i) {
     if (own[i]->m_name == state.m_self.m_name)
       return i;
@@ -40,39 +40,40 @@
 /// Adds `count` of `ring`, at offsets from `place` that are the same for all.
 void PickFromRing(const TransferState& state,
                   const Ring& ring,
-                  size_t place,
+                  size_t position,
                   uint32_t count,
                   const std::string& salt,
                   std::set<TransferMember>& picked) {
   uint32_t added = 0;
   for (uint64_t i = 0; i < 4 * ring.size() && added < count; ++i) {
-    const size_t offset = MixHash(salt, kOffsetNumber + i) % ring.size();
-    const TransferMember& member = *ring[(place + offset) % ring.size()];
+    const size_t offset = MixHash(salt, kOffsetSalt + i) % ring.size();
+    const TransferMember& member = *ring[(position + offset) % ring.size()];
     if (member.m_name != state.m_self.m_name)
       added += picked.insert(member).second;
   }
 }
 
 /// The last rank that follows the host which draws a chunk.
-constexpr uint16_t kNextInLine = 2;
+constexpr uint16_t kMaxFollowedRank = 2;
 
 /// The hosts that draw chunks which would be ours to draw next. Failure: news
 /// of a chunk take longer through a large fleet than the patience. Symptom: it
 /// is drawn once more, by hosts that haven't heard of it yet, and a third of
 /// the origin's link carries chunks that are there already. Those whose turn
 /// would come next hear from the drawer itself.
-void PickDrawersBefore(const TransferState& state,
-                       std::set<TransferMember>& picked) {
+void PickPrecedingFetchers(const TransferState& state,
+                           std::set<TransferMember>& picked) {
   for (uint32_t chunk = 0; chunk < state.m_chunks.size(); ++chunk) {
     const uint16_t rank = state.m_chunks[chunk].m_rank;
-    if (rank == 0 || rank > kNextInLine)
+    if (rank == 0 || rank > kMaxFollowedRank)
       continue;
     picked.insert(state.m_members[RendezvousIndex(state.m_members, chunk)]);
   }
 }
 
 /// The hosts of other regions that draw chunks which are ours to bring over.
-void PickDrawers(const TransferState& state, std::set<TransferMember>& picked) {
+void PickImportSources(const TransferState& state,
+                       std::set<TransferMember>& picked) {
   uint32_t added = 0;
   for (uint32_t chunk = 0; chunk < state.m_chunks.size(); ++chunk) {
     if (added >= state.m_limits.m_import_neighbours)
@@ -81,8 +82,8 @@
                           state.m_chunks[chunk].m_rank != 0;
     if (!imported)
       continue;
-    const size_t drawer = RendezvousIndex(state.m_members, chunk);
-    const TransferMember& member = state.m_members[drawer];
+    const size_t fetcher = RendezvousIndex(state.m_members, chunk);
+    const TransferMember& member = state.m_members[fetcher];
     if (member.m_region != state.m_self.m_region)
       added += picked.insert(member).second;
   }
@@ -113,7 +114,8 @@
       region.push_back(all.back());
   }
   const uint64_t self = HashName(state.m_self.m_name);
-  auto before = [&](const std::vector<uint64_t>& names, uint32_t chunk) {
+  auto count_preceding = [&](const std::vector<uint64_t>& names,
+                             uint32_t chunk) {
     const uint64_t own = MixNumber(self, chunk);
     uint32_t count = 0;
     for (uint64_t name : names)
@@ -121,24 +123,24 @@
     return Saturated(count);
   };
   for (uint32_t i = 0; i < state.m_chunks.size(); ++i) {
-    state.m_chunks[i].m_rank = before(all, i);
-    state.m_chunks[i].m_region_rank = before(region, i);
+    state.m_chunks[i].m_rank = count_preceding(all, i);
+    state.m_chunks[i].m_region_rank = count_preceding(region, i);
   }
 }
 
 std::vector<TransferMember> PlanNeighbours(const TransferState& state) {
   const TransferLimits& limits = state.m_limits;
   const Ring own = RingAt(state, Distance::kDataCenter);
-  const size_t place = PlaceInRing(state, own);
+  const size_t position = PositionInRing(state, own);
   std::set<TransferMember> picked;
-  PickFromRing(state, own, place, limits.m_data_center_neighbours, "own",
+  PickFromRing(state, own, position, limits.m_data_center_neighbours, "own",
                picked);
-  PickFromRing(state, RingAt(state, Distance::kRegion), place,
+  PickFromRing(state, RingAt(state, Distance::kRegion), position,
                limits.m_region_neighbours, state.m_self.m_data_center, picked);
-  PickFromRing(state, RingAt(state, Distance::kFar), place,
+  PickFromRing(state, RingAt(state, Distance::kFar), position,
                limits.m_far_neighbours, state.m_self.m_region, picked);
-  PickDrawers(state, picked);
-  PickDrawersBefore(state, picked);
+  PickImportSources(state, picked);
+  PickPrecedingFetchers(state, picked);
   return {picked.begin(), picked.end()};
 }
 
@@ -146,7 +148,7 @@
                                      Distance distance,
                                      const std::string& except,
                                      std::mt19937_64& random) {
-  std::vector<const TransferMember*> spare;
+  std::vector<const TransferMember*> candidates;
   for (const TransferMember& member : state.m_members) {
     if (member.m_name == state.m_self.m_name || member.m_name == except ||
         DistanceBetween(state.m_self, member) != distance)
@@ -155,9 +157,10 @@
         state.m_neighbours.begin(), state.m_neighbours.end(),
         [&](const auto& each) { return each.m_name == member.m_name; });
     if (!followed)
-      spare.push_back(&member);
+      candidates.push_back(&member);
   }
-  return spare.empty() ? nullptr : spare[random() % spare.size()];
+  return candidates.empty() ? nullptr
+                            : candidates[random() % candidates.size()];
 }
 
 }  // namespace verbenalead::decide
--- a/src/libverbenalead/decide/transfer_test.cc
+++ b/src/libverbenalead/decide/transfer_test.cc
@@ -12,29 +12,30 @@
 
 class TransferTest : public TransferFixture {
   CPPUNIT_TEST_SUITE(TransferTest);
-  CPPUNIT_TEST(DrawsAreSharedOut);
-  CPPUNIT_TEST(DrawsWaitForTheirTurn);
-  CPPUNIT_TEST(NextInRankTakesOverALostDraw);
+  CPPUNIT_TEST(OriginFetchesAreSharedOut);
+  CPPUNIT_TEST(OriginFetchesKeepTheInterval);
+  CPPUNIT_TEST(NextRankTakesOverALostOriginFetch);
   CPPUNIT_TEST(LateHostsKeepToTheSchedule);
-  CPPUNIT_TEST(NextInRankHearsFromTheDrawer);
+  CPPUNIT_TEST(NextRanksFollowTheFetchingHost);
   CPPUNIT_TEST(RarestChunkGoesFirst);
-  CPPUNIT_TEST(OnlyOneHostBringsAChunkIntoItsRegion);
+  CPPUNIT_TEST(OneHostImportsAChunkIntoItsRegion);
   CPPUNIT_TEST(OnlyHostOfItsRegionUsesAllFetches);
-  CPPUNIT_TEST(BadChunkIsNotAskedForAgain);
-  CPPUNIT_TEST(StalledFetchIsGivenUp);
-  CPPUNIT_TEST(BusyOriginIsLeftAlone);
-  CPPUNIT_TEST(SpareDrawsAreForTimeFirstOnly);
-  CPPUNIT_TEST(UploadsSpreadNewChunksFirst);
+  CPPUNIT_TEST(BadChunkIsNotRequestedAgainFromItsSource);
+  CPPUNIT_TEST(StalledFetchIsCancelled);
+  CPPUNIT_TEST(FailingOriginIsBackedOffFrom);
+  CPPUNIT_TEST(SpareOriginFetchesNeedTimeFirst);
+  CPPUNIT_TEST(LeastSentChunkIsUploadedFirst);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void DrawsAreSharedOut() {
+  void OriginFetchesAreSharedOut() {
     m_limits.m_max_origin = 100;
-    const std::vector<TransferMember> members = {kSelf, kNear, kOther, kFar};
+    const std::vector<TransferMember> members = {kSelf, kSameDataCenter,
+                                                 kSameRegion, kOtherRegion};
     std::vector<uint32_t> all;
     for (const TransferMember& self : members) {
       TransferState state = Start(self, members, 40);
-      const auto own = Draws(state, kStart);
+      const auto own = OriginFetches(state, kStart);
       all.insert(all.end(), own.begin(), own.end());
     }
     std::sort(all.begin(), all.end());
@@ -43,28 +44,30 @@
       CPPUNIT_ASSERT_EQUAL(i, all[i]);
   }
 
-  void DrawsWaitForTheirTurn() {
+  void OriginFetchesKeepTheInterval() {
     m_limits.m_origin_interval = 100ms;
     TransferState state = Start(kSelf, {kSelf}, 3);
-    CPPUNIT_ASSERT(Draws(state, kStart) == std::vector<uint32_t>{0});
-    CPPUNIT_ASSERT(Draws(state, kStart + 99ms).empty());
-    CPPUNIT_ASSERT(Draws(state, kStart + 100ms) == std::vector<uint32_t>{1});
+    CPPUNIT_ASSERT(OriginFetches(state, kStart) == std::vector<uint32_t>{0});
+    CPPUNIT_ASSERT(OriginFetches(state, kStart + 99ms).empty());
+    CPPUNIT_ASSERT(OriginFetches(state, kStart + 100ms) ==
+                   std::vector<uint32_t>{1});
   }
 
   // Every host would wait for ever for a chunk that nobody brings.
   // The host that has to draw it dies first; the others can't know. After the
   // patience the next in rank draws it, and only that one.
-  void NextInRankTakesOverALostDraw() {
-    const std::vector<TransferMember> members = {kSelf, kNear, kOther};
+  void NextRankTakesOverALostOriginFetch() {
+    const std::vector<TransferMember> members = {kSelf, kSameDataCenter,
+                                                 kSameRegion};
     const TimePoint late = kStart + m_limits.m_patience;
     size_t at_once = 0;
     size_t later = 0;
     for (const TransferMember& self : members) {
       TransferState state = Start(self, members, 1);
-      const bool drawn = !Draws(state, kStart).empty();
-      at_once += drawn;
-      if (!drawn)
-        later += Draws(state, late).size();
+      const bool fetched = !OriginFetches(state, kStart).empty();
+      at_once += fetched;
+      if (!fetched)
+        later += OriginFetches(state, late).size();
     }
     CPPUNIT_ASSERT_EQUAL(size_t{1}, at_once);
     CPPUNIT_ASSERT_EQUAL(size_t{1}, later);
@@ -79,32 +82,35 @@
     const TimePoint late = kStart + 250ms;
     TransferState state = StartTransfer(kSelf, 5, m_limits, late, kStart);
     SetMembers(state, {kSelf}, late, m_random);
-    CPPUNIT_ASSERT(Draws(state, late) == std::vector<uint32_t>({0, 1, 2}));
-    CPPUNIT_ASSERT(Draws(state, kStart + 300ms) == std::vector<uint32_t>{3});
+    CPPUNIT_ASSERT(OriginFetches(state, late) ==
+                   std::vector<uint32_t>({0, 1, 2}));
+    CPPUNIT_ASSERT(OriginFetches(state, kStart + 300ms) ==
+                   std::vector<uint32_t>{3});
   }
 
   // The origin's link carries chunks twice: the host whose turn is next hadn't
   // heard that a far one has drawn a chunk. It follows that host itself.
-  void NextInRankHearsFromTheDrawer() {
+  void NextRanksFollowTheFetchingHost() {
     std::vector<TransferMember> members;
     for (int host = 0; host < 100; ++host) {
       const std::string center = std::to_string(host % 5);
       members.push_back({"host-" + std::to_string(host), center, center});
     }
     constexpr uint32_t kChunks = 48;
-    std::vector<std::string> drawers(kChunks);
+    std::vector<std::string> fetchers(kChunks);
     std::vector<TransferState> states;
     for (const TransferMember& self : members) {
       states.push_back(Start(self, members, kChunks));
       for (uint32_t chunk = 0; chunk < kChunks; ++chunk) {
         if (states.back().m_chunks[chunk].m_rank == 0)
-          drawers[chunk] = self.m_name;
+          fetchers[chunk] = self.m_name;
       }
     }
     for (const TransferState& state : states) {
       for (uint32_t chunk = 0; chunk < kChunks; ++chunk) {
         const uint16_t rank = state.m_chunks[chunk].m_rank;
-        CPPUNIT_ASSERT(rank == 0 || rank > 2 || Follows(state, drawers[chunk]));
+        CPPUNIT_ASSERT(rank == 0 || rank > 2 ||
+                       Follows(state, fetchers[chunk]));
       }
     }
   }
@@ -112,19 +118,21 @@
   void RarestChunkGoesFirst() {
     m_limits.m_max_fetches = 1;
     m_limits.m_max_origin = 0;
-    TransferState state = Start(kSelf, {kSelf, kNear, kOther}, 3);
+    TransferState state =
+        Start(kSelf, {kSelf, kSameDataCenter, kSameRegion}, 3);
     NeighbourHas(state, "b", {0, 1, 2}, kStart);
     NeighbourHas(state, "c", {0, 2}, kStart);
     const auto fetches = Step(state, kStart, m_random).m_fetches;
     CPPUNIT_ASSERT(fetches == std::vector<FetchChunk>({{1, ChunkSource{"b"}}}));
   }
 
-  void OnlyOneHostBringsAChunkIntoItsRegion() {
-    const std::vector<TransferMember> members = {kSelf, kNear, kOther, kFar};
+  void OneHostImportsAChunkIntoItsRegion() {
+    const std::vector<TransferMember> members = {kSelf, kSameDataCenter,
+                                                 kSameRegion, kOtherRegion};
     m_limits.m_max_origin = 0;
     m_limits.m_max_fetches = 100;
     size_t imports = 0;
-    for (const TransferMember& self : {kSelf, kNear, kOther}) {
+    for (const TransferMember& self : {kSelf, kSameDataCenter, kSameRegion}) {
       TransferState state = Start(self, members, 30);
       Step(state, kStart, m_random);
       for (uint32_t chunk = 0; chunk < 30; ++chunk) {
@@ -140,7 +148,7 @@
 
   void OnlyHostOfItsRegionUsesAllFetches() {
     m_limits.m_max_origin = 0;
-    TransferState state = Start(kSelf, {kSelf, kFar}, 2);
+    TransferState state = Start(kSelf, {kSelf, kOtherRegion}, 2);
     NeighbourHas(state, "d", {0, 1}, kStart);
     CPPUNIT_ASSERT_EQUAL(size_t{2},
                          Step(state, kStart, m_random).m_fetches.size());
@@ -149,9 +157,9 @@
   // The weights come whole although a host sends wrong bytes.
   // The digest shows it; the chunk is not asked of that host again, even when
   // its news is repeated, and after several the host is left alone.
-  void BadChunkIsNotAskedForAgain() {
+  void BadChunkIsNotRequestedAgainFromItsSource() {
     m_limits.m_max_origin = 0;
-    TransferState state = Start(kSelf, {kSelf, kNear}, 5);
+    TransferState state = Start(kSelf, {kSelf, kSameDataCenter}, 5);
     NeighbourHas(state, "b", {0, 1, 2, 3, 4}, kStart);
     auto fetches = Step(state, kStart, m_random).m_fetches;
     CPPUNIT_ASSERT_EQUAL(size_t{5}, fetches.size());
@@ -165,10 +173,11 @@
   // The transfer goes on although a connection has gone silent unclosed.
   // No byte comes; after the stall time the fetch is given up and the chunk
   // asked of the other host.
-  void StalledFetchIsGivenUp() {
+  void StalledFetchIsCancelled() {
     m_limits.m_max_origin = 0;
     m_limits.m_max_stall = 2s;
-    TransferState state = Start(kSelf, {kSelf, kNear, kOther}, 1);
+    TransferState state =
+        Start(kSelf, {kSelf, kSameDataCenter, kSameRegion}, 1);
     NeighbourHas(state, "b", {0}, kStart);
     CPPUNIT_ASSERT_EQUAL(size_t{1},
                          Step(state, kStart, m_random).m_fetches.size());
@@ -182,37 +191,38 @@
                    std::vector<FetchChunk>({{0, ChunkSource{"c"}}}));
   }
 
-  void BusyOriginIsLeftAlone() {
+  void FailingOriginIsBackedOffFrom() {
     TransferState state = Start(kSelf, {kSelf}, 1);
     TimePoint now = kStart;
     Duration last{};
-    for (int tries = 0; tries < 5; ++tries) {
-      CPPUNIT_ASSERT_EQUAL(size_t{1}, Draws(state, now).size());
+    for (int attempts = 0; attempts < 5; ++attempts) {
+      CPPUNIT_ASSERT_EQUAL(size_t{1}, OriginFetches(state, now).size());
       ChunkFailed(state, 0, false, now, m_random);
       const Duration wait = state.m_origin_retry_at - now;
       CPPUNIT_ASSERT(wait >= last / 2 && wait >= 100ms);
-      CPPUNIT_ASSERT(Draws(state, now + wait - 1ms).empty());
+      CPPUNIT_ASSERT(OriginFetches(state, now + wait - 1ms).empty());
       now += wait;
       last = wait;
     }
     CPPUNIT_ASSERT(last > 1s);
   }
 
-  void SpareDrawsAreForTimeFirstOnly() {
+  void SpareOriginFetchesNeedTimeFirst() {
     m_limits.m_origin_budget_percent = 200;
     for (auto preference : {TransferPreference::kTimeFirst,
                             TransferPreference::kOriginBytesFirst}) {
       m_limits.m_preference = preference;
-      TransferState state = Start(kSelf, {kSelf, kNear}, 4);
+      TransferState state = Start(kSelf, {kSelf, kSameDataCenter}, 4);
       NeighbourHas(state, "b", {0, 1, 2, 3}, kStart);
       Step(state, kStart, m_random);
       const size_t expected =
           preference == TransferPreference::kTimeFirst ? 2 : 0;
-      CPPUNIT_ASSERT_EQUAL(expected, Draws(state, kStart + 500ms).size());
+      CPPUNIT_ASSERT_EQUAL(expected,
+                           OriginFetches(state, kStart + 500ms).size());
     }
   }
 
-  void UploadsSpreadNewChunksFirst() {
+  void LeastSentChunkIsUploadedFirst() {
     UploadQueue queue;
     AddUpload(queue, {1, 0, false, 5});
     AddUpload(queue, {2, 0, false, 3});
--- a/src/libverbenalead/decide/upload_turns.cc
+++ b/src/libverbenalead/decide/upload_turns.cc
@@ -6,22 +6,22 @@
 namespace {
 
 /// What was sent of a version is remembered for the newest ones only.
-constexpr size_t kMostVersions = 3;
+constexpr size_t kMaxVersions = 3;
 
 }  // namespace
 
 void Ask(UploadTurns& turns, uint64_t version, const UploadRequest& request) {
   AddUpload(turns.m_queues[version], request);
   const auto oldest = turns.m_queues.begin();
-  if (turns.m_queues.size() > kMostVersions && oldest->second.m_waiting.empty())
+  if (turns.m_queues.size() > kMaxVersions && oldest->second.m_waiting.empty())
     turns.m_queues.erase(oldest);
 }
 
 std::optional<uint64_t> Next(UploadTurns& turns, TimePoint now) {
-  const auto filling = std::count_if(
+  const auto active = std::count_if(
       turns.m_running.begin(), turns.m_running.end(),
       [now](const auto& each) { return now - each.second < kHeldUpUpload; });
-  if (static_cast<size_t>(filling) >= kUploadsAtOnce)
+  if (static_cast<size_t>(active) >= kUploadsAtOnce)
     return std::nullopt;
   for (auto& [version, queue] : turns.m_queues) {
     if (const auto next = TakeUpload(queue)) {
--- a/src/libverbenalead/decide/upload_turns_test.cc
+++ b/src/libverbenalead/decide/upload_turns_test.cc
@@ -13,16 +13,16 @@
 
 class UploadTurnsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(UploadTurnsTest);
-  CPPUNIT_TEST(FewGoSideBySide);
-  CPPUNIT_TEST(OneThatIsHeldUpHoldsUpNobody);
-  CPPUNIT_TEST(TheOlderVersionGoesFirst);
-  CPPUNIT_TEST(AHostThatLeftIsPassedOver);
+  CPPUNIT_TEST(ConcurrentUploadsAreLimited);
+  CPPUNIT_TEST(SlowUploadDoesNotBlockOthers);
+  CPPUNIT_TEST(OlderVersionIsUploadedFirst);
+  CPPUNIT_TEST(EndedRequestIsSkipped);
   CPPUNIT_TEST_SUITE_END();
 
  public:
   // A version spreads at half of its speed: a host sends five chunks side by
   // side over its link, and until all are over nobody has one to pass on.
-  void FewGoSideBySide() {
+  void ConcurrentUploadsAreLimited() {
     for (uint64_t id = 1; id <= 5; ++id)
       Ask(m_turns, 2, Request(id, static_cast<uint32_t>(id)));
     CPPUNIT_ASSERT(Next(m_turns, kStart) == uint64_t{1});
@@ -35,7 +35,7 @@
 
   // A version stops to spread: two hosts whose links have become narrow take
   // all the turns of a third one.
-  void OneThatIsHeldUpHoldsUpNobody() {
+  void SlowUploadDoesNotBlockOthers() {
     for (uint64_t id = 1; id <= 3; ++id)
       Ask(m_turns, 2, Request(id, 0));
     Next(m_turns, kStart);
@@ -44,14 +44,14 @@
     CPPUNIT_ASSERT(Next(m_turns, kStart + 300ms) == uint64_t{3});
   }
 
-  void TheOlderVersionGoesFirst() {
+  void OlderVersionIsUploadedFirst() {
     Ask(m_turns, 3, Request(1, 0));
     Ask(m_turns, 2, Request(2, 0));
     CPPUNIT_ASSERT(Next(m_turns, kStart) == uint64_t{2});
     CPPUNIT_ASSERT(Next(m_turns, kStart) == uint64_t{1});
   }
 
-  void AHostThatLeftIsPassedOver() {
+  void EndedRequestIsSkipped() {
     Ask(m_turns, 2, Request(1, 0));
     Ask(m_turns, 2, Request(2, 0));
     End(m_turns, 1);
