--- a/src/libverbenalead/decide/burst_pace.h
+++ b/src/libverbenalead/decide/burst_pace.h
@@ -8,21 +8,23 @@
 
 namespace verbenalead::decide {
 
-/// Lets some questions follow each other at once, and slows down those of a
-/// longer row.
+/// Limits the rate of requests but lets a short burst pass without delay
+/// (generic cell rate algorithm). Used for fetching configuration from its
+/// source.
 ///
-/// Load: a configuration of 100 KB that changes five times a second for
-/// seconds, beside a single change that has to be known at once. Harm: with a
-/// plain interval at each step on its way the single change waits for all of
-/// them.
+/// Load: a configuration of 100 KB that changes five times a second for several
+/// seconds, or a single change that has to take effect at once. Harm: with a
+/// fixed interval at each hop, a single change is delayed by the sum of the
+/// intervals on its path.
 struct BurstPace {
   uint32_t m_burst = 1;
   Duration m_interval{};
-  /// When the row would be used up if nothing was asked meanwhile.
+  /// Time from which the whole burst is available again if no further request
+  /// is sent.
   TimePoint m_used_until{};
 };
 
-/// A question is asked now. Returns how long the next one has to wait.
+/// Records a request sent at `now`. Returns how long the next one has to wait.
 inline Duration TakeTurn(BurstPace& pace, TimePoint now) {
   pace.m_used_until = std::max(pace.m_used_until, now) + pace.m_interval;
   return std::max<Duration>(
--- a/src/libverbenalead/decide/burst_pace_test.cc
+++ b/src/libverbenalead/decide/burst_pace_test.cc
@@ -14,9 +14,10 @@
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // No replica is usable for seconds: new weights were declared right after two
-  // changes of routes, hosts heard of them 0.9 s later, and the origin went
-  // away before they had drawn one copy, which takes 2.1 s.
+  // Guards against seconds without a usable replica. New weights were declared
+  // right after two changes of routes, so that hosts received them 0.9 s later.
+  // The origin became unreachable before the hosts had fetched one copy, which
+  // takes 2.1 s.
   void BurstIsNotDelayed() {
     BurstPace pace{5, 400ms};
     for (int request = 0; request < 5; ++request) {
--- a/src/libverbenalead/decide/chunk_buckets.h
+++ b/src/libverbenalead/decide/chunk_buckets.h
@@ -6,8 +6,8 @@
 
 namespace verbenalead::decide {
 
-/// Chunks sorted by how many copies are known, so that the rarest is found
-/// without a look at all. Insert and erase cost O(1).
+/// Chunks grouped by the number of copies that are known, so that the rarest
+/// one is found without scanning all chunks. Insert and erase cost O(1).
 class ChunkBuckets {
  public:
   static constexpr uint32_t kMaxCopies = 64;
@@ -19,7 +19,7 @@
         m_places(chunk_count, kNowhere) {}
 
   bool Contains(uint32_t chunk) const { return m_places[chunk] != kNowhere; }
-  /// Puts `chunk` under `copies`, from wherever it was.
+  /// Moves `chunk` to the bucket of `copies`, whether or not it was in one.
   void Put(uint32_t chunk, uint32_t copies);
   void Erase(uint32_t chunk);
   const std::vector<uint32_t>& Bucket(uint32_t copies) const {
--- a/src/libverbenalead/decide/digest_readers.cc
+++ b/src/libverbenalead/decide/digest_readers.cc
@@ -8,7 +8,7 @@
 namespace verbenalead::decide {
 namespace {
 
-/// The wait of those that come right after the first ones.
+/// Delay of the hosts that follow directly after the first kDigestReaders.
 constexpr Duration kFirstDelay = 1s;
 
 }  // namespace
--- a/src/libverbenalead/decide/digest_readers.h
+++ b/src/libverbenalead/decide/digest_readers.h
@@ -10,21 +10,24 @@
 
 namespace verbenalead::decide {
 
-/// Hosts that ask the origin for the digests of a version at once; the others
-/// ask them.
+/// Number of hosts that read the chunk digests of a version from the origin at
+/// once. The other hosts request the digests from these.
 constexpr size_t kDigestReaders = 4;
 
-/// `hosts` in the order in which they turn to the origin for the digests of
-/// `version`; the same on all that know the same hosts.
+/// Returns `hosts` in the order in which they may read the digests of `version`
+/// from the origin. Hosts with the same host list compute the same order.
 std::vector<std::string> DigestOrder(std::vector<std::string> hosts,
                                      uint64_t version);
 
-/// How long the host at `place` of that order tries the others first.
+/// How long the host at position `place` of that order requests the digests
+/// from other hosts before it may read them from the origin.
 ///
-/// Load: an origin that is away for seconds, and digests that nobody has. Harm:
-/// hosts that all turned to it after a second held up the first chunks by a
-/// second when it came back. Twice as many ask each time the wait has doubled,
-/// so that the death of the first ones is passed over all the same.
+/// Load: an origin that does not answer for seconds while no host has the
+/// digests. Harm: when all hosts read from the origin after one second, their
+/// requests delayed the first chunks by a second once the origin answered
+/// again. Each time the number of hosts that may read doubles, the added delay
+/// doubles too: few hosts read at once, and the failure of the first ones does
+/// not block the others.
 Duration DigestPatience(size_t place);
 
 }  // namespace verbenalead::decide
--- a/src/libverbenalead/decide/digest_readers_test.cc
+++ b/src/libverbenalead/decide/digest_readers_test.cc
@@ -28,12 +28,12 @@
     std::set<std::string> first;
     for (uint64_t version = 0; version < 40; ++version)
       first.insert(DigestOrder(Hosts(20), version).front());
-    // The work goes round.
+    // Different versions have different first hosts.
     CPPUNIT_ASSERT(first.size() > 10);
   }
 
-  // The first chunks of new weights come a second late: the origin was away for
-  // 6 s, and all hosts ask it for the digests when it returns.
+  // The first chunks of new weights arrive one second late: the origin was
+  // unreachable for 6 s, and all hosts request the digests when it returns.
   void FewHostsAskAReturnedOrigin() {
     size_t readers = 0;
     for (size_t place = 0; place < 300; ++place)
--- a/src/libverbenalead/decide/draw_report.h
+++ b/src/libverbenalead/decide/draw_report.h
@@ -8,18 +8,20 @@
 
 namespace verbenalead::decide {
 
-/// What a host says of its draws from the origin.
+/// Announcement of one host about its fetches from the origin, sent to the
+/// other hosts so that they do not fetch the same chunks.
 struct DrawReport {
   std::string m_host;
-  /// Chunks on their way.
+  /// Chunks that it is fetching from the origin.
   std::vector<uint32_t> m_under_way;
-  /// Chunks that have just come.
+  /// Chunks whose fetch from the origin has just completed.
   std::vector<uint32_t> m_drawn;
 
   friend bool operator==(const DrawReport&, const DrawReport&) = default;
 };
 
-/// Whether the report names only chunks of a version that has `chunks` of them.
+/// Whether the report names only chunks that exist in a version of `chunks`
+/// chunks.
 inline bool IsWithin(const DrawReport& report, uint32_t chunks) {
   const auto known = [chunks](uint32_t chunk) { return chunk < chunks; };
   return std::all_of(report.m_under_way.begin(), report.m_under_way.end(),
--- a/src/libverbenalead/decide/fake_fleet.h
+++ b/src/libverbenalead/decide/fake_fleet.h
@@ -16,20 +16,22 @@
 
 namespace verbenalead::decide {
 
-/// What callers of a fake fleet ask for, and how it decides.
+/// Load on a simulated fleet, and the policies that its entries and targets
+/// use.
 struct FakeLoad {
   size_t m_entries = 8;
   size_t m_replicas = 16;
   double m_calls_per_second = 215;
   Duration m_length = 20s;
-  /// Whether targets let calls wait, and grant by urgency; else they grant in
-  /// the order of asking.
+  /// Whether targets queue slot requests and grant slots by urgency. Otherwise
+  /// a target grants a slot at once or refuses it, in order of arrival.
   bool m_queue_at_targets = true;
-  /// Whether entries turn second tries away while they refuse first ones.
+  /// Whether entries refuse second attempts at once while they refuse first
+  /// ones.
   bool m_turns_late_away = true;
 };
 
-/// What became of one kind of calls.
+/// Number of calls by outcome.
 struct FakeCount {
   uint32_t m_asked = 0;
   uint32_t m_on_time = 0;
@@ -40,8 +42,8 @@
   double Late() const { return static_cast<double>(m_late) / m_asked; }
 };
 
-/// Entries, targets and replicas in virtual time, deciding by the same cores as
-/// the programs. Callers whose call is refused come back once.
+/// Simulates entries, targets and replicas in virtual time, with the same
+/// decision code as the programs. A caller whose call is refused retries once.
 class FakeFleet {
  public:
   FakeFleet(const FakeLoad& load, uint64_t seed)
@@ -59,8 +61,8 @@
     }
   }
 
-  /// Plays the load. Returns what became of all calls, and of the largest
-  /// tenth.
+  /// Runs the load. Returns the outcomes of all calls, and of the tenth with
+  /// the longest prompts.
   std::pair<FakeCount, FakeCount> Play() {
     std::exponential_distribution<double> gap(m_load.m_calls_per_second);
     const TimePoint end = m_now + m_load.m_length;
@@ -80,7 +82,7 @@
     return {Count(0), Count(kLargeTokens)};
   }
 
-  /// A tenth of the prompts is longer than this.
+  /// A tenth of the prompts have more tokens than this.
   static constexpr uint32_t kLargeTokens = 2000;
 
  private:
@@ -104,7 +106,8 @@
     uint32_t m_events = 0;
     size_t m_entry = 0;
     int m_tries = 0;
-    /// It waits for a place; counts up with each wait, so that a timer knows.
+    /// Number of times that the call has waited for a slot. A timer compares it
+    /// to detect that the wait which it was set for is over.
     uint64_t m_wait = 0;
     bool m_waits = false;
     bool m_placed = false;
@@ -166,7 +169,7 @@
     return pool_call;
   }
 
-  /// The caller asks an entry.
+  /// The caller sends the call to a random entry.
   void Try(uint64_t number) {
     Call& call = m_calls[number];
     ++call.m_tries;
@@ -190,7 +193,8 @@
       Reserve(number, until);
   }
 
-  /// Takes a place by what the entry knows, and asks its target.
+  /// Acquires a slot in the view of the entry, and requests it from the target.
+  /// False if the entry knows of none.
   bool Place(uint64_t number) {
     Call& call = m_calls[number];
     const auto replica =
@@ -265,7 +269,7 @@
       Reserve(number, until);
   }
 
-  /// Lets a call wait at targets.
+  /// Queues slot requests for the call at kReservations targets.
   void Reserve(uint64_t number, TimePoint until) {
     const Call& call = m_calls[number];
     for (const std::string& replica :
@@ -283,13 +287,13 @@
     }
   }
 
-  /// A grant is on its way to a call that waits.
+  /// Sends a grant to the entry of a waiting call.
   void SendGrant(uint64_t number, size_t replica) {
     CountGranted(number, replica);
     Schedule(m_now + kNetworkDelay, [this, number, replica] {
       Call& call = m_calls[number];
       if (!call.m_waits) {
-        // It has a place elsewhere: this one is given back.
+        // The call has a slot elsewhere: release this one.
         Schedule(m_now + kNetworkDelay, [this, number, replica] {
           ReleaseSlot(replica, m_calls[number].m_prompt_tokens);
         });
@@ -363,7 +367,8 @@
     const size_t entry = call.m_entry;
     Schedule(m_now + kNetworkDelay,
              [this, replica] { ReleaseSlot(replica, 0); });
-    // The entry itself knows at once, the others a little later.
+    // The entry of the call is updated at once, the others after two network
+    // delays.
     Wake(entry);
     Schedule(m_now + 2 * kNetworkDelay, [this, replica] {
       for (size_t other = 0; other < m_entries.size(); ++other) {
@@ -373,7 +378,8 @@
     });
   }
 
-  /// Tells an entry what the others have at a replica.
+  /// Updates what an entry knows of the calls of the other entries at a
+  /// replica.
   void RefreshEntry(size_t entry, size_t replica) {
     ReplicaState& state = m_entries[entry].m_replicas.at(Name(replica));
     const Target& target = m_targets[replica];
@@ -390,7 +396,7 @@
       AskTarget(start.m_ticket, std::stoul(start.m_replica));
   }
 
-  /// Refuses the call; its caller comes back once.
+  /// Refuses the call. Its caller retries once.
   void Refuse(uint64_t number) {
     Call& call = CallAt(number);
     call.m_waits = false;
--- a/src/libverbenalead/decide/fetch_chunk.h
+++ b/src/libverbenalead/decide/fetch_chunk.h
@@ -7,8 +7,8 @@
 
 namespace verbenalead::decide {
 
-/// Tells the daemon to fetch `m_chunk` from `m_source` and to report how it
-/// ended by ChunkArrived or ChunkFailed.
+/// Instruction to the daemon: fetch `m_chunk` from `m_source` and report the
+/// result by ChunkArrived or ChunkFailed.
 struct FetchChunk {
   uint32_t m_chunk = 0;
   ChunkSource m_source;
--- a/src/libverbenalead/decide/fetch_window.h
+++ b/src/libverbenalead/decide/fetch_window.h
@@ -8,16 +8,16 @@
 
 namespace verbenalead::decide {
 
-/// How many chunks a host lets come in at once, learned from how long they
-/// take.
+/// Number of chunks that a host may fetch from other hosts at once, adapted to
+/// how long the chunks take (additive increase, multiplicative decrease).
 ///
-/// Load: a transfer beside live calls, on a link that has become narrow without
-/// anybody being told. Harm: chunks on their way there hold up whatever comes
-/// behind them; calls reach the replica after their callers have left, and it
-/// works for nobody.
+/// Load: a transfer beside live calls, on a link whose bandwidth has dropped
+/// without notice. Harm: chunks queued on that link delay all traffic behind
+/// them; calls reach the replica after their callers have disconnected, and its
+/// work on them is wasted.
 struct FetchWindow {
   uint32_t m_most = 0;
-  /// A wait for a chunk from which on the link is taken for narrow; zero: the
+  /// A longer wait for a chunk means that the link is congested; zero: the
   /// window always is m_most.
   Duration m_slow{};
   uint32_t m_size = m_most;
@@ -25,13 +25,13 @@
   friend bool operator==(const FetchWindow&, const FetchWindow&) = default;
 };
 
-/// Part of the window that is left after a slow chunk.
+/// Divisor applied to the window after a slow chunk.
 constexpr uint32_t kWindowCut = 2;
 
-/// A chunk came after `wait`. Grows by one and is cut in half, so that hosts
-/// that share a link end up with equal parts of it. A chunk that doesn't come
-/// tells nothing: hosts that are cut off would make the windows of all others
-/// small.
+/// Adapts the window to a chunk that arrived after `wait`. Adding one and
+/// halving lets hosts that share a link converge to equal shares of it. Chunks
+/// that do not arrive are not counted: hosts that are unreachable would shrink
+/// the windows of all others.
 inline void NoteArrival(FetchWindow& window, Duration wait) {
   if (window.m_slow == Duration())
     return;
--- a/src/libverbenalead/decide/fetch_window_test.cc
+++ b/src/libverbenalead/decide/fetch_window_test.cc
@@ -19,9 +19,10 @@
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // Callers leave before their calls reach the replica: the host's link becomes
-  // narrow while new weights come in, and five chunks stand in the queue before
-  // each call, 1.6 s long. The window shrinks until a call waits 0.7 s at most.
+  // Callers disconnect before their calls reach the replica: the bandwidth of
+  // the host's link drops during a transfer, and each call waits behind five
+  // queued chunks, 1.6 s long. The window shrinks until a call waits 0.7 s at
+  // most.
   void ShrinksOnANarrowLink() {
     FetchWindow window{kMaxSize, kSlow};
     CPPUNIT_ASSERT(QueueDelayAfter(window, 1.2, 3) < 700ms);
@@ -47,7 +48,8 @@
   }
 
  private:
-  /// The queue on a link of `megabits` a second after `chunks` came by it.
+  /// The queueing delay on a link of `megabits` per second after `chunks`
+  /// chunks.
   static Duration QueueDelayAfter(FetchWindow& window,
                                   double megabits,
                                   int chunks) {
--- a/src/libverbenalead/decide/transfer.cc
+++ b/src/libverbenalead/decide/transfer.cc
@@ -11,21 +11,23 @@
 namespace verbenalead::decide {
 namespace {
 
-/// A failed fetch is most often a host that has just died or is overloaded:
-/// left alone for this long, doubled with each failure that follows, its
-/// requests don't fill the few places for fetches.
+/// A failed fetch usually means that the host has just died or is overloaded.
+/// No chunk is requested from it for this long, doubled with each further
+/// failure, so that requests to it do not take up the limited number of
+/// concurrent fetches.
 constexpr Duration kBackoffAfterFailure = 500ms;
 constexpr Duration kMaxBackoff = 10s;
-/// Failures in a row after which a neighbour is replaced: one may be the
-/// chunk's own, or a pause of the host.
+/// Consecutive failures after which a neighbour is replaced. A single one may
+/// be due to the chunk, or to a pause of the host.
 constexpr uint32_t kMaxFailures = 3;
-/// Wrong chunks after which a host is left alone: links corrupt one chunk in a
-/// hundred, but a host with bad memory goes on.
+/// Number of corrupt chunks after which a host gets no requests for a while:
+/// links corrupt one chunk in a hundred, but a host with faulty memory goes on
+/// sending corrupt ones.
 constexpr size_t kMaxBadChunks = 4;
 constexpr Duration kBackoffAfterBadChunks = 10s;
-/// The new sample's part in a smoothed wait is 1 / kSmoothingDivisor.
+/// The weight of a new sample in a smoothed wait is 1 / kSmoothingDivisor.
 constexpr int kSmoothingDivisor = 8;
-/// A chunk that can't be brought in at its turn is looked at again then.
+/// An import that is due but has no available source is tried again after this.
 constexpr Duration kImportRetry = 20ms;
 constexpr Duration kRefillInterval = 1s;
 
@@ -35,10 +37,10 @@
   return old == Duration() ? sample : old + (sample - old) / kSmoothingDivisor;
 }
 
-/// Fetches from one neighbour at once. One, where there are enough of them:
-/// two from one host queue there while another host's link is idle. The only
-/// host of its region has far ones alone to ask; one fetch each left it at a
-/// twentieth of its speed.
+/// Concurrent fetches from one neighbour: one, where there are enough
+/// neighbours. Two from one host queue there while the link of another host is
+/// idle. The only host of a region has only neighbours in other regions; with
+/// one fetch from each it transferred at a twentieth of its speed.
 uint32_t FetchesPerHost(const TransferState& state) {
   const auto all =
       std::count_if(state.m_neighbours.begin(), state.m_neighbours.end(),
@@ -51,7 +53,7 @@
   return (state.m_limits.m_max_fetches + hosts - 1) / hosts;
 }
 
-/// Neighbours that can be asked now, as a mask.
+/// Neighbours that may get another request now, as a bit mask.
 uint64_t AvailableNeighbours(const TransferState& state, TimePoint now) {
   uint64_t mask = 0;
   const uint32_t per_host = FetchesPerHost(state);
@@ -64,9 +66,10 @@
   return mask;
 }
 
-/// How long a chunk from `neighbour` is likely to take, with a surcharge for
-/// distance: among equals the own data centre is chosen, but a long queue there
-/// weighs more than a hop inside the region, whose links are as fast.
+/// Expected duration of a fetch from `neighbour`, multiplied by a factor for
+/// its distance. Among equal hosts those of the own data centre are chosen, but
+/// a long queue there weighs more than a hop within the region, whose links are
+/// as fast.
 double Cost(const Neighbour& neighbour) {
   constexpr double kDistanceFactor[] = {1.0, 1.25, 1.5};
   const auto wait = static_cast<double>(neighbour.m_wait.count());
@@ -74,8 +77,9 @@
          kDistanceFactor[static_cast<size_t>(neighbour.m_distance)];
 }
 
-/// The best of the neighbours in `mask`, which isn't 0. Ties go to a random
-/// one: hosts with equal knowledge must not all choose the same.
+/// The neighbour of `mask` with the lowest cost; `mask` is not 0. Ties are
+/// broken at random: hosts with equal information must not all choose the same
+/// neighbour.
 size_t BestNeighbour(const TransferState& state,
                      uint64_t mask,
                      std::mt19937_64& random) {
@@ -96,8 +100,8 @@
   return best;
 }
 
-/// The rarest chunk that an askable neighbour of our region has. Within a
-/// bucket the search begins at a random place, so that neighbours don't all
+/// The rarest chunk that an available neighbour of the own region has. Within a
+/// bucket the search begins at a random position, so that neighbours do not all
 /// fetch the same chunk.
 std::optional<uint32_t> RarestChunk(const TransferState& state,
                                     uint64_t available,
@@ -121,7 +125,8 @@
          state.m_origin_fetching;
 }
 
-/// Chunks that are ours to bring into the region and have come up elsewhere.
+/// Fetches chunks that this host has to import into its region and that a
+/// neighbour in another region has.
 void StartDueImports(TransferState& state,
                      TimePoint now,
                      std::mt19937_64& random,
@@ -157,7 +162,7 @@
   }
 }
 
-/// False if there are as many neighbours at `distance` as there should be.
+/// Whether fewer neighbours than the limit are followed at `distance`.
 bool HasNeighbourRoom(const TransferState& state, Distance distance) {
   const TransferLimits& limits = state.m_limits;
   const uint32_t most[] = {limits.m_data_center_neighbours,
@@ -223,8 +228,8 @@
   SetHolder(state, chunk, *index, false, now);
 }
 
-/// Puts neighbours in free places. In a small fleet a lost neighbour has no
-/// substitute at once, and may be back after a restart.
+/// Follows further members up to the limits. In a small fleet a neighbour that
+/// was lost has no substitute at once, and may return after a restart.
 void RefillNeighbours(TransferState& state,
                       TimePoint now,
                       std::mt19937_64& random) {
@@ -242,9 +247,9 @@
   }
 }
 
-/// Gives up fetches that make no progress. Half of a connection may be dead
-/// for minutes before anybody is told; the chunk is what we wait for, so the
-/// chunk's bytes are what is watched.
+/// Cancels fetches that make no progress. One direction of a connection may
+/// fail minutes before an error is reported, so progress is judged by the bytes
+/// of the chunk that are received, not by the state of the connection.
 void CancelStalled(TransferState& state,
                    TimePoint now,
                    std::mt19937_64& random) {
@@ -365,9 +370,10 @@
   FileChunk(state, chunk);
 }
 
-// Failure: the first copy of a chunk goes bad beside its engine before anybody
-// has fetched it. Symptom: the host goes on as if it had it, all others ask it
-// in vain, and the version is whole nowhere. It draws the chunk again at once,
+// Failure: the first copy of a chunk becomes corrupt in the host's store before
+// another host has fetched it. Symptom: the host still lists the chunk as
+// stored, fetches of all others from it fail, and the version is complete
+// nowhere. Therefore the host fetches the chunk from the origin again at once,
 // unless a neighbour is known to have it.
 void ChunkLost(TransferState& state, uint32_t chunk, TimePoint now) {
   if (chunk >= state.m_chunks.size() || !state.m_chunks[chunk].m_here)
--- a/src/libverbenalead/decide/transfer.h
+++ b/src/libverbenalead/decide/transfer.h
@@ -10,33 +10,37 @@
 
 namespace verbenalead::decide {
 
-/// Decides how the chunks of one version come to one host while hundreds of
-/// others want them too. Events are told as they come; Step says what to do:
+/// Decides how one host obtains the chunks of one version while hundreds of
+/// other hosts fetch the same version. The daemon reports events as they occur;
+/// Step returns what to do next:
 ///
 ///     TransferState state = StartTransfer(self, chunks, limits, now);
 ///     SetMembers(state, live_hosts, now, random);
 ///     NeighbourHas(state, "host-7", {0, 3}, now);
 ///     for (const FetchChunk& fetch : Step(state, now, random).m_fetches) ...
 ///
-/// Each chunk is drawn from the origin by one host, the first by rendezvous
-/// hash; crosses into each other region through one host, the first there by
-/// the same hash; and goes on by rarest-first pull among neighbours.
+/// Each chunk is fetched from the origin by one host, the first by rendezvous
+/// hash. One host of each other region, again the first by the same hash,
+/// imports the chunk into that region. Within a region, hosts fetch chunks from
+/// their neighbours, the rarest chunk first.
 ///
-/// Costs: news of a chunk O(neighbours) for the name and O(log chunks) for the
-/// schedule; Step O(1) while nothing is due or all fetches are under way, else
-/// O(chunks looked at), of which most often the first will do. SetMembers costs
-/// O(chunks x hosts) hashes of 2 ns and is called when hosts change.
+/// Costs: an update about a chunk costs O(neighbours) to look up the name and
+/// O(log chunks) to reschedule. Step costs O(1) while nothing is due or the
+/// fetch window is full, otherwise O(chunks examined), usually only the first
+/// one. SetMembers costs O(chunks x hosts) hashes of 2 ns each and is called
+/// only when the set of hosts changes.
 ///
-/// `scheduled`: when the first chunk is due, the same on all hosts where they
-/// know it. Failure: hosts hear of a version one by one, and each counts its
-/// draws from then. Symptom: the last chunks leave the origin as late as the
-/// last host heard, while its link stood idle before.
+/// `scheduled`: when the first chunk is due; the same on all hosts that know
+/// this time. Failure: hosts learn of a version one by one, and each schedules
+/// its origin fetches from that time on. Symptom: the last chunks leave the
+/// origin only after the last host has learned of the version, while the
+/// origin's link was idle before.
 TransferState StartTransfer(TransferMember self,
                             uint32_t chunk_count,
                             TransferLimits limits,
                             TimePoint now,
                             TimePoint scheduled);
-/// The same where the draws are due from now on.
+/// As above, with the first origin fetch due at `now`.
 inline TransferState StartTransfer(TransferMember self,
                                    uint32_t chunk_count,
                                    TransferLimits limits,
@@ -44,52 +48,59 @@
   return StartTransfer(std::move(self), chunk_count, limits, now, now);
 }
 
-/// Sets other bounds for what is under way.
+/// Replaces the limits; the fetch window starts again at its full size.
 void SetLimits(TransferState& state, TransferLimits limits);
 
-/// Sets who takes part, this host included, when that has changed.
+/// Replaces the set of hosts that take part, which includes this host. Does
+/// nothing if the set has not changed.
 void SetMembers(TransferState& state,
                 std::vector<TransferMember> members,
                 TimePoint now,
                 std::mt19937_64& random);
 
-/// News that the followed `host` has `chunks`.
+/// The followed `host` reported that it has `chunks`.
 void NeighbourHas(TransferState& state,
                   const std::string& host,
                   const std::vector<uint32_t>& chunks,
                   TimePoint now);
-/// Another host tells of its draws from the origin, when they begin and end
-/// and in between.
+/// Another host announced its fetches from the origin. Hosts announce when a
+/// fetch begins, when it ends, and at intervals in between.
 ///
-/// Load: an origin that was away for seconds, or whose link is full, so that
-/// draws take longer than the patience. Harm: the turns of several hosts have
-/// come for each chunk that is missing; all of them draw it, and a link that
-/// carries each chunk twice brings the last one twice as late. They wait for
-/// the one that began, as long as it goes on saying so. And hosts that begin
-/// late would each count their draws from then, while the link stands idle:
-/// where limits.m_draws_at_once is set, chunks are drawn in their order, so
-/// many at once.
+/// Load: an origin that did not answer for seconds, or whose link is saturated,
+/// so that origin fetches take longer than the wait limit (m_patience). Harm:
+/// for each missing chunk the scheduled times of several hosts have passed, and
+/// all of them fetch it; a link that carries each chunk twice delivers the last
+/// one twice as late. Therefore hosts wait for the host that began first, as
+/// long as it repeats its announcement.
+///
+/// Where limits.m_draws_at_once is set, chunks are fetched in order of their
+/// number, at most that many at once across all hosts. By the schedule alone,
+/// hosts that start late would each count its intervals from their own start,
+/// while the origin's link is idle.
 void HostDraws(TransferState& state, const DrawReport& report, TimePoint now);
-/// News of `host` can't be had: it is replaced by another one.
+/// The connection for updates of `host` failed: another host is followed in its
+/// place.
 void NeighbourLost(TransferState& state,
                    const std::string& host,
                    TimePoint now,
                    std::mt19937_64& random);
 
-/// Some bytes of `chunk` came in.
+/// Some bytes of `chunk` were received.
 void ChunkProgress(TransferState& state, uint32_t chunk, TimePoint now);
-/// A verified chunk is here, by a fetch or from an earlier transfer.
+/// A verified chunk is stored, by a fetch or from an earlier transfer.
 void ChunkArrived(TransferState& state, uint32_t chunk, TimePoint now);
-/// A chunk that was here has gone bad, and is wanted again.
+/// A stored chunk was found corrupt and has to be fetched again.
 void ChunkLost(TransferState& state, uint32_t chunk, TimePoint now);
-/// A fetch ended without a good chunk; `corrupt`: bytes came, but wrong ones.
+/// A fetch ended without a valid chunk; `corrupt`: data was received, but did
+/// not match its digest.
 void ChunkFailed(TransferState& state,
                  uint32_t chunk,
                  bool corrupt,
                  TimePoint now,
                  std::mt19937_64& random);
 
-/// What to do now. Called after events and at least every kTransferTick.
+/// Returns the actions that are due. Called after each event and at least every
+/// kTransferTick.
 TransferActions Step(TransferState& state,
                      TimePoint now,
                      std::mt19937_64& random);
--- a/src/libverbenalead/decide/transfer_actions.h
+++ b/src/libverbenalead/decide/transfer_actions.h
@@ -8,11 +8,13 @@
 
 namespace verbenalead::decide {
 
-/// What the transfer core asks of its daemon, in this order.
+/// Actions that Step returns. The daemon carries them out in the order of the
+/// members.
 struct TransferActions {
-  /// Give up these fetches; nothing is reported of them any more.
+  /// Fetches to cancel. The daemon reports no result for them.
   std::vector<FetchChunk> m_cancels;
-  /// Stop and start listening to what these hosts have.
+  /// Hosts to unsubscribe from and to subscribe to; a followed host sends which
+  /// chunks it has.
   std::vector<std::string> m_unfollows;
   std::vector<std::string> m_follows;
   std::vector<FetchChunk> m_fetches;
--- a/src/libverbenalead/decide/transfer_bench.cc
+++ b/src/libverbenalead/decide/transfer_bench.cc
@@ -1,5 +1,6 @@
-// Measures how a burst spreads, in virtual time: the transfer core as the
-// daemon uses it, over links that are paced at both ends.
+// Measures in virtual time how a new version spreads over all hosts, with the
+// transfer code as the daemon uses it and links of limited bandwidth at both
+// ends.
 
 #include <algorithm>
 #include <chrono>
@@ -17,9 +18,10 @@
 namespace verbenalead::decide {
 namespace {
 
-// A version of 500 chunks; a host's link carries one chunk in kChunkTime, the
-// origin's two, so that of a window each link carries 2 copies and the
-// origin 4. No last host can be sooner than half a window.
+// A version has 500 chunks. A host's link carries one chunk in kChunkTime, the
+// origin's link two. In the time kLowerBound * 2 each host's link thus carries
+// 2 copies of the version, and the origin's 4. The last host cannot complete
+// before kLowerBound.
 constexpr uint32_t kChunks = 500;
 constexpr Duration kChunkTime = 120ms;
 constexpr uint64_t kChunkBytes = 12'000'000;
@@ -32,8 +34,8 @@
 constexpr uint64_t kSeed = 20261202;
 constexpr Duration kOneWay[] = {500us, 1ms, 2ms};
 
-// Bytes on a connection of HTTP/2, headers compressed: a frame of news with its
-// numbers; a request for a chunk and the head of its response.
+// Bytes on an HTTP/2 connection with compressed headers: a frame of updates
+// with its chunk numbers; a request for a chunk and the header of its response.
 constexpr uint64_t kUpdateBytes = 9 + 4;
 constexpr uint64_t kRequestBytes = 9 + 90;
 constexpr uint64_t kResponseBytes = 9 + 9 + 30;
@@ -72,7 +74,8 @@
 
 constexpr uint32_t kOrigin = ~uint32_t{0};
 
-/// A chunk on its way to a host; m_fetch is the number of that host's fetch.
+/// A chunk that is being sent to a host; m_fetch is the number of that host's
+/// fetch.
 struct Upload {
   uint32_t m_to = 0;
   uint32_t m_chunk = 0;
@@ -82,14 +85,14 @@
 struct SimulatedHost {
   TransferState m_transfer;
   std::vector<uint32_t> m_followers;
-  /// Requests by fetch number, and their hosts.
+  /// Waiting requests, whose ids are fetch numbers, and the requesting hosts.
   UploadQueue m_queue;
   std::unordered_map<uint64_t, uint32_t> m_requesters;
   bool m_sending = false;
   TimePoint m_download_free{};
   bool m_dead = false;
   TimePoint m_done{};
-  /// The number of the fetch of each chunk under way; 0: none.
+  /// The number of the current fetch of each chunk; 0: none.
   std::vector<uint64_t> m_fetches = std::vector<uint64_t>(kChunks);
   uint64_t m_messages = 0;
   uint64_t m_control_bytes = 0;
@@ -158,14 +161,15 @@
         DistanceBetween(m_members[a], m_members[b]))];
   }
 
-  /// What a host knows of another is late by a round trip, and by the time for
-  /// which the daemon gathers news.
+  /// Updates arrive late by a round trip and by the time for which the daemon
+  /// collects them.
   Duration UpdateDelay(uint32_t from, uint32_t to) {
     return 2 * OneWay(from, to) +
            Duration(m_random() % Duration(kUpdateInterval).count());
   }
 
-  /// From halfway on, 2% of the links between hosts carry nothing, unclosed.
+  /// From half of kLowerBound on, 2% of the links between hosts deliver nothing
+  /// while their connections stay open.
   bool Stalled(uint32_t a, uint32_t b) const {
     if (!m_faulty)
       return false;
@@ -211,9 +215,9 @@
   uint32_t m_left = 0;
   bool m_faulty = false;
 
-  // The origin shares its link evenly among open draws, and gives one draw no
-  // more than a host's link takes. m_served: chunks sent of a draw that was
-  // open all the time.
+  // The origin divides its link evenly among open fetches, but gives one fetch
+  // at most the bandwidth of a host's link. m_served: chunks sent so far to a
+  // fetch that was open all the time.
   std::deque<OriginFetch> m_draws;
   double m_served = 0;
   TimePoint m_origin_seen{};
@@ -295,7 +299,7 @@
   for (uint32_t chunk = 0; chunk < kChunks; ++chunk) {
     if (!other.m_transfer.m_chunks[chunk].m_here)
       continue;
-    // Part of the first answer, which kFollowBytes counts whole.
+    // Included in the first response, which kFollowBytes counts as a whole.
     m_hosts[index].m_control_bytes -= kUpdateBytes;
     --m_hosts[index].m_messages;
     Schedule(round_trip, {.m_kind = EventKind::kUpdate,
@@ -334,8 +338,8 @@
                            m_hosts[event.m_peer].m_transfer.m_have_count});
 }
 
-/// Begins the next upload of a host. Its link is taken for kChunkTime, and so
-/// is the receiver's from when that is free.
+/// Starts the next upload of a host. It occupies the host's link for
+/// kChunkTime, and the receiver's link for kChunkTime from when that is free.
 void Simulation::SendNext(uint32_t index) {
   SimulatedHost& host = m_hosts[index];
   while (const auto next = TakeUpload(host.m_queue)) {
@@ -416,7 +420,8 @@
   OriginDone({});
 }
 
-/// Hands out the draws that are finished and waits for the next one.
+/// Delivers the origin fetches that are complete and schedules the next
+/// completion.
 void Simulation::OriginDone(const Event& event) {
   if (event.m_fetch != 0 && event.m_fetch != m_origin_round)
     return;
@@ -521,7 +526,7 @@
     for (auto preference : {kTime, kBytes})
       Measure({300, faults, preference});
   }
-  // The two that were the worst at this size; each takes 15 s.
+  // The two scenarios with the worst results at this size; each runs for 15 s.
   Measure({1400, false, kBytes});
   Measure({1400, true, kTime});
 }
--- a/src/libverbenalead/decide/transfer_book.cc
+++ b/src/libverbenalead/decide/transfer_book.cc
@@ -25,10 +25,11 @@
   entry.m_place = Place::kNowhere;
 }
 
-/// Patiences for which a host of each further rank lets others hold back its
-/// draws. Failure: a host that can't reach the origin says again and again that
-/// it draws a chunk. Symptom: nobody ever has it. After this the next in line
-/// draws it too.
+/// Number of wait limits, multiplied by rank + 1, for which announcements of
+/// other hosts may delay an origin fetch. Failure: a host that cannot reach the
+/// origin announces its fetch of a chunk again and again. Symptom: the chunk
+/// never arrives anywhere. After this time the next host in rank fetches it
+/// too.
 constexpr uint32_t kMaxHoldWaits = 2;
 
 TimePoint DueTime(TimePoint base, uint32_t rank, Duration patience) {
@@ -41,7 +42,7 @@
       DueTime(chunk.m_draw_base, chunk.m_rank, limits.m_patience);
   const TimePoint latest =
       due + kMaxHoldWaits * (chunk.m_rank + 1) * limits.m_patience;
-  // Those that were held back together must not begin together.
+  // Hosts that were held back by the same announcement must not start together.
   const TimePoint hold_end =
       DueTime(chunk.m_held_until, chunk.m_rank, limits.m_draw_hold / 2);
   return std::max(due, std::min(hold_end, latest));
@@ -62,7 +63,7 @@
   TransferState::Chunk& entry = state.m_chunks[chunk];
   const uint64_t in_region = entry.m_holders & state.m_near;
   const bool wanted = !entry.m_here && !entry.m_under_way;
-  // The load is news: all but the first few copies of a chunk end here.
+  // Load: updates. Every copy of a chunk beyond the first few is handled here.
   if (wanted && in_region != 0 && entry.m_place == Place::kRarest) {
     state.m_rarest.Put(chunk, static_cast<uint32_t>(std::popcount(in_region)));
     return;
@@ -103,8 +104,9 @@
   const uint64_t after = holds ? before | Bit(index) : before & ~Bit(index);
   if (after == before)
     return;
-  // The turns begin when a chunk is first known only from afar, and again when
-  // the last copy is lost.
+  // The schedule by ranks starts when a chunk is first known to be in another
+  // region only, and starts again when the last copy in the region, or the last
+  // copy of all, is lost.
   const bool region_copies_lost =
       (before & state.m_near) && !(after & state.m_near);
   if (region_copies_lost || before == 0)
--- a/src/libverbenalead/decide/transfer_book.h
+++ b/src/libverbenalead/decide/transfer_book.h
@@ -9,39 +9,41 @@
 
 namespace verbenalead::decide {
 
-/// The books of a transfer: which chunk stands in which schedule, which fetch
-/// is under way. They change together, so only these functions change them.
+/// Consistent changes of a TransferState: which chunk is in which schedule, and
+/// which fetch is in progress. These depend on each other, so only the
+/// functions below change them.
 
 /// The index of the followed `host`.
 std::optional<size_t> FindNeighbour(const TransferState& state,
                                     const std::string& host);
 
-/// Puts `chunk` where it belongs: among the rarest, the imports, the draws, or
-/// nowhere if it is here or under way.
+/// Moves `chunk` to the schedule that matches its state: rarest first, imports
+/// or origin fetches; to none if it is stored or being fetched.
 void FileChunk(TransferState& state, uint32_t chunk);
 
-/// Looks at an import again at `until`.
+/// Reschedules the import of `chunk` to `until`.
 void PostponeImport(TransferState& state, uint32_t chunk, TimePoint until);
 
-/// Notes whether neighbour `index` has `chunk`.
+/// Records whether neighbour `index` has `chunk`.
 void SetHolder(TransferState& state,
                uint32_t chunk,
                size_t index,
                bool holds,
                TimePoint now);
 
-/// Follows `member`, if there is a free place.
+/// Follows `member`, if fewer than the maximum number of neighbours are
+/// followed.
 void AddNeighbour(TransferState& state, const TransferMember& member);
-/// Forgets neighbour `index`; fetches from it are given up.
+/// Removes neighbour `index` and cancels fetches from it.
 void RemoveNeighbour(TransferState& state, size_t index, TimePoint now);
 
-/// Begins the fetch of `chunk` and hands it out in `actions`.
+/// Starts the fetch of `chunk` and adds it to `actions`.
 void StartFetch(TransferState& state,
                 uint32_t chunk,
                 ChunkSource source,
                 TimePoint now,
                 TransferActions& actions);
-/// Ends the fetch of `chunk`; nullopt if none was under way.
+/// Ends the fetch of `chunk`; nullopt if none was in progress.
 std::optional<TransferState::Fetch> EndFetch(TransferState& state,
                                              uint32_t chunk);
 
--- a/src/libverbenalead/decide/transfer_draws.cc
+++ b/src/libverbenalead/decide/transfer_draws.cc
@@ -9,18 +9,20 @@
 namespace verbenalead::decide {
 namespace {
 
-/// The origin's link is shared: a burst of hosts that all tried again at once
-/// would hold it down, so the wait doubles and is spread.
+/// Initial backoff from the origin. The origin's link is shared: hosts that all
+/// retried at once would keep it overloaded, so the backoff doubles and has
+/// jitter.
 constexpr Duration kMinOriginBackOff = 200ms;
-/// Hosts that go before all others for a chunk after a draw of it has failed,
-/// and for how many patiences each of them is waited for.
+/// Number of hosts that come first for a chunk after an origin fetch of it has
+/// failed, and how many wait limits later hosts wait for each of them.
 constexpr uint16_t kFirstRanks = 3;
 constexpr int kWaitsPerFirstRank = 2;
-/// Spare draws are for the end: with more missing than this, a host's link is
-/// kept busy by its neighbours anyhow, and the origin's is needed for first
-/// copies.
+/// Spare origin fetches are for the end of a transfer: with more chunks missing
+/// than this, fetches from neighbours keep a host's link busy anyhow, and the
+/// origin's link is needed for first copies.
 constexpr uint32_t kMaxMissingForSpareFetch = 8;
-/// Patiences without a draw after which a host doesn't go by what others say.
+/// Number of wait limits without an origin fetch after which a host ignores the
+/// announcements of others.
 constexpr int kMaxWaitsWithoutFetch = 3;
 
 bool OriginReady(const TransferState& state, TimePoint now) {
@@ -28,7 +30,8 @@
          now >= state.m_origin_retry_at;
 }
 
-/// The fetch from a host that has waited longest, if that is longer than usual.
+/// The fetch from another host that has waited longest, if it has waited longer
+/// than the usual time.
 std::optional<FetchChunk> LongestWaitingFetch(const TransferState& state,
                                               TimePoint now) {
   std::optional<FetchChunk> longest;
@@ -66,12 +69,16 @@
   StartFetch(state, chunk, {}, now, actions);
 }
 
-/// Failure: the origin is away for seconds. Symptom: chunks are overdue at many
-/// hosts, and all of these draw at its return, a chunk by the first two in line
-/// for it or more, so that its link brings nothing whole for long. While no
-/// draw ends well, only DrawInOrder draws, which goes by rank and
-/// announcements. A host that others hold back by wrong or vain announcements
-/// still tries every few patiences.
+/// Whether chunks that are due by their schedule may be fetched from the
+/// origin.
+///
+/// Failure: the origin is unreachable for seconds. Symptom: chunks become
+/// overdue at many hosts, and all of these fetch them when it returns, each
+/// chunk by the first two hosts in rank or more, so that for a long time the
+/// origin's link completes no chunk. While no origin fetch succeeds, only
+/// DrawInOrder starts fetches, which follows ranks and announcements. A host
+/// that is held back by wrong announcements, or by those of fetches that fail,
+/// still tries once in kMaxWaitsWithoutFetch wait limits.
 bool MayFetchByTime(const TransferState& state, TimePoint now) {
   const TransferLimits& limits = state.m_limits;
   if (limits.m_draws_at_once == 0)
@@ -83,8 +90,8 @@
   return now - drawn < limits.m_patience && OriginFetchRoom(state, now) > 0;
 }
 
-/// Whether the hosts that come before this one for a chunk that is open have
-/// had their time to say that they draw it.
+/// Whether the hosts that precede this one in rank have had time to announce an
+/// origin fetch of the chunk since it became open.
 bool PrecedingHostsTimedOut(const TransferState& state,
                             const TransferState::Chunk& chunk,
                             TimePoint now) {
@@ -105,11 +112,14 @@
   state.m_origin_retry_at = now + Duration(jitter(random));
 }
 
-/// Failure: the origin is away for seconds, in which the turns of many hosts
-/// come for the same chunks. Symptom: all of them draw these when it returns,
-/// and its link carries each chunk many times. A host that found it away waits
-/// for the first ones again, which try often. It doesn't wait for all that come
-/// before it, since those may be dead.
+/// Reschedules a chunk after a failed origin fetch.
+///
+/// Failure: the origin is unreachable for seconds, in which the scheduled times
+/// of many hosts pass for the same chunks. Symptom: all of them fetch these
+/// chunks when it returns, and its link carries each chunk many times. A host
+/// that found the origin unreachable therefore waits again for the first
+/// kFirstRanks hosts, which retry often. It does not wait for all hosts that
+/// precede it, since some of those may be dead.
 void WaitForFirstRanks(TransferState& state, uint32_t chunk, TimePoint now) {
   TransferState::Chunk& entry = state.m_chunks[chunk];
   const Duration wait_limit = state.m_limits.m_patience;
@@ -124,7 +134,7 @@
     return;
   TransferState::Chunk& entry = state.m_chunks[chunk];
   entry.m_held_until = std::max(entry.m_held_until, until);
-  // Those that were held back for long must not begin together.
+  // Hosts that were held back for a long time must not start together.
   entry.m_open_since.reset();
   FileChunk(state, chunk);
 }
@@ -192,8 +202,8 @@
   if (state.m_limits.m_draws_at_once == 0 ||
       now - before < state.m_limits.m_patience)
     return;
-  // The origin is back: what became overdue meanwhile has its turns anew, in
-  // order, so that again one host goes first for each chunk.
+  // The origin is available again. Overdue chunks get new scheduled times in
+  // order, so that again one host comes first for each chunk.
   TimePoint due = now;
   for (uint32_t chunk = 0; chunk < state.m_chunks.size(); ++chunk) {
     TransferState::Chunk& entry = state.m_chunks[chunk];
--- a/src/libverbenalead/decide/transfer_draws.h
+++ b/src/libverbenalead/decide/transfer_draws.h
@@ -7,38 +7,43 @@
 
 namespace verbenalead::decide {
 
-/// Which chunks of a transfer this host draws from the origin, and when.
+/// Decides which chunks this host fetches from the origin, and when.
 
-/// Chunks whose turn has come and that no neighbour is known to have. Each is
-/// drawn by one host: load of all hosts at once, where every doubled draw is
-/// paid for and takes the origin's link from a first copy.
+/// Starts origin fetches that are due, of chunks that no neighbour is known to
+/// have. Each chunk is to be fetched by one host. All hosts do this at the same
+/// time, and each duplicate fetch is billed and takes bandwidth of the origin's
+/// link from a chunk that no host has yet.
 void DrawDue(TransferState& state, TimePoint now, TransferActions& actions);
 
-/// The first chunks that nobody has and nobody draws are drawn without waiting
-/// for their time, as many as the origin's link has room for. All hosts count
-/// in the same order, so that each chunk is taken by the host that it is for,
-/// or by the next one if that host is dead or late.
+/// Fetches the first chunks that no host has or is fetching, without waiting
+/// for their scheduled time, as many as the limit m_draws_at_once leaves room
+/// for. All hosts go through the chunks in the same order, so that each chunk
+/// is fetched by the host of rank 0, or by the next one if that host is dead or
+/// late.
 void DrawInOrder(TransferState& state, TimePoint now, TransferActions& actions);
 
-/// The end of a time-first transfer: a host that lacks few chunks waits in its
-/// neighbours' queues while the origin's link, done with the first copies,
-/// stands idle. It may draw its share of the budget's surplus there, in place
-/// of what it has waited for longest.
+/// Uses the remaining origin budget at the end of a time-first transfer. A host
+/// that lacks only a few chunks waits in the upload queues of its neighbours
+/// while the origin's link, which has delivered all first copies, is idle. The
+/// host may use its share of the budget beyond the first copies to fetch from
+/// the origin the chunks that it has waited for longest.
 void DrawSpare(TransferState& state, TimePoint now, TransferActions& actions);
 
-/// A draw of this host, or one that another told of, brought a chunk: the
-/// origin gives.
+/// A fetch from the origin delivered a chunk, to this host or to one that
+/// announced it: the origin is available.
 void NoteDrawn(TransferState& state, TimePoint now);
 
-/// A draw ended without a good chunk; `corrupt`: bytes came, but wrong ones.
+/// An origin fetch ended without a valid chunk; `corrupt`: data was received,
+/// but did not match its digest.
 void DrawFailed(TransferState& state,
                 uint32_t chunk,
                 bool corrupt,
                 TimePoint now,
                 std::mt19937_64& random);
 
-/// This host's part of the draws beyond the first copy. The remainder of the
-/// division goes to hosts by chance, so that the sum is right on the mean.
+/// This host's share of the origin fetches beyond the first copies. The
+/// remainder of the division is assigned at random, so that the sum over all
+/// hosts is correct on average.
 uint32_t SpareDraws(const TransferState& state, std::mt19937_64& random);
 
 }  // namespace verbenalead::decide
--- a/src/libverbenalead/decide/transfer_draws_test.cc
+++ b/src/libverbenalead/decide/transfer_draws_test.cc
@@ -6,7 +6,7 @@
 namespace verbenalead::decide {
 namespace {
 
-/// Who draws which chunk from the origin, and when.
+/// Which host fetches which chunk from the origin, and when.
 class TransferDrawsTest : public TransferFixture {
   CPPUNIT_TEST_SUITE(TransferDrawsTest);
   CPPUNIT_TEST(ReturnedOriginIsNotAskedByAllAtOnce);
@@ -23,9 +23,10 @@
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // New weights come seconds after the origin's return: while it was away the
-  // turns of many hosts came, all of which draw the same chunks then. They wait
-  // for the first ones, of which each chunk is drawn soon.
+  // New weights arrive seconds after the origin has returned: during the outage
+  // the scheduled times of many hosts passed, and all of them then fetch the
+  // same chunks. They have to wait for the first ranks, which fetch each chunk
+  // soon.
   void ReturnedOriginIsNotAskedByAllAtOnce() {
     m_limits.m_patience = 1s;
     m_limits.m_max_origin_back_off = 500ms;
@@ -51,12 +52,13 @@
       }
     }
     CPPUNIT_ASSERT(first <= back + 500ms);
-    // One drawer, and a third of those that wait their turn.
+    // The first host, and up to a third of the hosts that wait for their time.
     CPPUNIT_ASSERT(fetched <= 6);
   }
 
-  // New weights come twice as late: the origin's link is full, a draw takes
-  // longer than the patience, and the next in rank draws the same chunk.
+  // New weights arrive twice as late: the origin's link is saturated, an origin
+  // fetch takes longer than the wait limit, and the next host in rank fetches
+  // the same chunk too.
   void AnnouncedOriginFetchIsNotDuplicated() {
     TransferState next = SecondRankedHost();
     TimePoint now = kStart;
@@ -75,7 +77,7 @@
     CPPUNIT_ASSERT(!IsWithin({"x", {}, {0, 3}}, 3));
   }
 
-  // A chunk never comes: the host that announced its draw has died.
+  // A chunk never arrives: the host that announced its origin fetch has died.
   void AbandonedOriginFetchIsTakenOver() {
     TransferState next = SecondRankedHost();
     HostDraws(next, {"x", {0}, {}}, kStart + 900ms);
@@ -84,8 +86,8 @@
     CPPUNIT_ASSERT_EQUAL(size_t{1}, OriginFetches(next, timed_out).size());
   }
 
-  // A chunk never comes: a host that is cut off from the origin alone announces
-  // one draw after the other, and all others wait for it.
+  // A chunk never arrives: one host, which cannot reach the origin, announces
+  // one fetch after the other, and all other hosts wait for it.
   void RepeatedAnnouncementsDoNotBlockForEver() {
     TransferState next = SecondRankedHost();
     TimePoint now = kStart;
@@ -96,8 +98,8 @@
     CPPUNIT_ASSERT(now <= kStart + 5 * m_limits.m_patience);
   }
 
-  // The same where few draws go on at once: hosts that can't reach the origin
-  // take all the places that there are for draws.
+  // The same with a limit on concurrent origin fetches: hosts that cannot reach
+  // the origin use up the whole limit.
   void FailingOriginFetchesLeaveRoomForOthers() {
     m_limits.m_draws_at_once = 2;
     TransferState next = SecondRankedHost();
@@ -110,8 +112,9 @@
     CPPUNIT_ASSERT(now <= kStart + 5 * m_limits.m_patience);
   }
 
-  // New weights come seconds late: hosts that began late each counted their
-  // draws from then, and the origin's link stood idle half of the time.
+  // New weights arrive seconds late: hosts that started late scheduled their
+  // origin fetches from their own start, and the origin's link was idle half of
+  // the time.
   void ChunksAreFetchedInOrderUpToTheLimit() {
     m_limits.m_origin_interval = 100ms;
     m_limits.m_draws_at_once = 3;
@@ -122,7 +125,7 @@
     ChunkArrived(state, 1, kStart + 10ms);
     CPPUNIT_ASSERT(OriginFetches(state, kStart + 10ms) ==
                    std::vector<uint32_t>{3});
-    // Another host took a place, and gives it back.
+    // Another host announces a fetch, and then its completion.
     ChunkArrived(state, 0, kStart + 20ms);
     HostDraws(state, {"x", {4}, {}}, kStart + 20ms);
     CPPUNIT_ASSERT(OriginFetches(state, kStart + 20ms).empty());
@@ -131,9 +134,9 @@
                    std::vector<uint32_t>{5});
   }
 
-  // The last chunks of new weights come seconds after the others: the hosts
-  // that were to draw them are dead, though still listed, and the next in line
-  // wait for their own time in the schedule.
+  // The last chunks of new weights arrive seconds after the others: the hosts
+  // of rank 0 for these chunks are dead but still listed, and the next ranks
+  // wait for their scheduled time.
   void NextHostSoonFetchesAChunkOfADeadHost() {
     m_limits.m_origin_interval = 10s;
     m_limits.m_draws_at_once = 2;
@@ -144,8 +147,8 @@
     CPPUNIT_ASSERT_EQUAL(size_t{1}, OriginFetches(next, soon).size());
   }
 
-  // New weights come half a second later than they could: the origin is back,
-  // and hosts that found it away pause until they ask again.
+  // New weights arrive half a second later than possible: the origin is
+  // available again, but hosts whose fetches failed are still in backoff.
   void AnyCompletedOriginFetchEndsTheBackoff() {
     m_limits.m_draws_at_once = 1;
     m_limits.m_origin_interval = 100ms;
@@ -158,8 +161,9 @@
                    std::vector<uint32_t>{0});
   }
 
-  // New weights are whole nowhere before the origin goes away: the only copy of
-  // a chunk went bad, and its host still counted it as there.
+  // New weights are complete on no host before the origin becomes unreachable:
+  // the only copy of a chunk became corrupt, and its host still listed it as
+  // stored.
   void CorruptedFirstCopyIsFetchedAgain() {
     m_limits.m_draws_at_once = 8;
     const std::vector<TransferMember> members = {kSelf, kSameDataCenter,
@@ -173,7 +177,7 @@
     ChunkLost(fetcher, 0, now);
     CPPUNIT_ASSERT(!IsComplete(fetcher));
     CPPUNIT_ASSERT_EQUAL(size_t{1}, OriginFetches(fetcher, now).size());
-    // Where a neighbour has it, that one is asked.
+    // A neighbour that has the chunk is preferred to the origin.
     ChunkArrived(fetcher, 0, now);
     NeighbourHas(fetcher, "b", {0}, now);
     ChunkLost(fetcher, 0, now);
@@ -181,9 +185,9 @@
     CPPUNIT_ASSERT_EQUAL(size_t{1}, fetcher.m_fetching.size());
   }
 
-  // One chunk is drawn many times when the origin is back: it had been open for
-  // seconds, with others trying to draw it again and again, so that all hosts
-  // held their time to be over at once.
+  // One chunk is fetched many times when the origin returns: the chunk had been
+  // open for seconds while other hosts tried again and again to fetch it, so
+  // that the waiting time of all hosts had expired at once.
   void ReleasedChunkIsNotFetchedByAllAtOnce() {
     m_limits.m_draws_at_once = 1;
     TransferState next = SecondRankedHost();
--- a/src/libverbenalead/decide/transfer_fixture.h
+++ b/src/libverbenalead/decide/transfer_fixture.h
@@ -19,7 +19,7 @@
 inline const TransferMember kSameRegion{"c", "mtl", "mtl-2"};
 inline const TransferMember kOtherRegion{"d", "qc", "qc-1"};
 
-/// What tests of a transfer have in common.
+/// Common helpers of the transfer tests.
 class TransferFixture : public CppUnit::TestFixture {
  protected:
   TransferState Start(const TransferMember& self,
@@ -30,7 +30,7 @@
     return state;
   }
 
-  /// The origin draws that `state` asks for at `now`.
+  /// The chunks that `state` fetches from the origin at `now`.
   std::vector<uint32_t> OriginFetches(TransferState& state, TimePoint now) {
     std::vector<uint32_t> chunks;
     for (const FetchChunk& fetch : Step(state, now, m_random).m_fetches) {
@@ -40,7 +40,7 @@
     return chunks;
   }
 
-  /// The host whose turn for the only chunk is second.
+  /// The state of the host that has rank 1 for the only chunk.
   TransferState SecondRankedHost() {
     m_limits.m_patience = 1s;
     const std::vector<TransferMember> members = {kSelf, kSameDataCenter,
@@ -50,7 +50,7 @@
       if (state.m_chunks[0].m_rank == 1)
         return state;
     }
-    CPPUNIT_FAIL("nobody is second");
+    CPPUNIT_FAIL("no host has rank 1");
     return {};
   }
 
--- a/src/libverbenalead/decide/transfer_fleet_test.cc
+++ b/src/libverbenalead/decide/transfer_fleet_test.cc
@@ -12,7 +12,8 @@
 constexpr Duration kStep = 20ms;
 constexpr Duration kTimeLimit = 300s;
 
-/// The oracle's view of a chunk's bytes: which version and chunk they are of.
+/// Identifies the content of a chunk for the checks: the version and the chunk
+/// that the bytes belong to.
 struct Content {
   uint32_t m_version = 0;
   uint32_t m_chunk = 0;
@@ -20,7 +21,7 @@
   friend bool operator==(const Content&, const Content&) = default;
 };
 
-/// Content on its way; the receiver can't see m_content but verifies it.
+/// A response in transit. The receiver cannot see m_content, but verifies it.
 struct Delivery {
   TimePoint m_at{};
   uint32_t m_version = 0;
@@ -36,11 +37,12 @@
   /// The store: verified chunks of m_version.
   std::vector<Content> m_store;
   std::vector<Delivery> m_deliveries;
-  /// How much each follower has been told of m_store.
+  /// By followed host: how many chunks of that host's m_store this host has
+  /// been informed of.
   std::map<std::string, size_t> m_told;
 };
 
-/// A few hosts in a world whose faults are drawn from a seed.
+/// Simulates a few hosts, with random faults from a seed.
 class Fleet {
  public:
   Fleet(uint64_t seed, uint32_t hosts, uint32_t chunks, bool faults)
@@ -65,7 +67,8 @@
     });
   }
 
-  /// Lets time pass until all survivors are whole; false if they never are.
+  /// Runs until all live hosts are complete; false if they are not within the
+  /// time limit.
   bool Run() {
     while (!Done()) {
       if (m_now - TimePoint() > kTimeLimit)
@@ -81,7 +84,8 @@
     return true;
   }
 
-  /// Every survivor holds each chunk once, and of the last version.
+  /// Checks that every live host has each chunk of the last version exactly
+  /// once.
   void CheckStores() const {
     for (const auto& [name, host] : m_hosts) {
       if (host.m_dead)
@@ -99,7 +103,7 @@
   }
 
   uint32_t origin_fetches() const { return m_draws; }
-  /// Deaths, cut or stalled links and wrong chunks so far, and versions.
+  /// Number of faults so far: dead hosts, stalled links and wrong chunks.
   uint32_t failures() const { return m_failures; }
   uint32_t version() const { return m_version; }
 
@@ -122,7 +126,8 @@
     FleetHost& victim = m_hosts[m_members[RandomIndex()].m_name];
     switch (m_random() % 4) {
       case 0:
-        // Two hosts are left, so that there is something to spread.
+        // At least two hosts stay alive, so that there is something to
+        // transfer.
         if (LiveHosts() > 2 && !victim.m_dead) {
           victim.m_dead = true;
           ++m_failures;
@@ -160,7 +165,7 @@
   }
 
   void StepHost(FleetHost& host) {
-    // Hosts learn of a new version one by one.
+    // Hosts learn of a new version at different times.
     if (host.m_version != m_version && m_random() % 10 == 0)
       StartVersion(host, m_version);
     Deliver(host);
@@ -236,7 +241,7 @@
       return true;
     });
     for (const Delivery& delivery : due) {
-      // The transfer that asked for it was cancelled.
+      // The transfer that requested it was cancelled.
       if (delivery.m_version != host.m_version)
         continue;
       const uint32_t chunk = delivery.m_fetch.m_chunk;
@@ -272,31 +277,32 @@
 
  public:
   void FetchesEachChunkFromTheOriginOnce() {
-    const bool passed = rc::check("one draw a chunk", [] {
-      const auto seed = *rc::gen::arbitrary<uint64_t>();
-      const auto hosts = *rc::gen::inRange<uint32_t>(1, 40);
-      const auto chunks = *rc::gen::inRange<uint32_t>(1, 60);
-      Fleet fleet(seed, hosts, chunks, false);
-      RC_ASSERT(fleet.Run());
-      fleet.CheckStores();
-      RC_ASSERT(fleet.origin_fetches() == chunks);
-    });
+    const bool passed =
+        rc::check("each chunk is fetched from the origin once", [] {
+          const auto seed = *rc::gen::arbitrary<uint64_t>();
+          const auto hosts = *rc::gen::inRange<uint32_t>(1, 40);
+          const auto chunks = *rc::gen::inRange<uint32_t>(1, 60);
+          Fleet fleet(seed, hosts, chunks, false);
+          RC_ASSERT(fleet.Run());
+          fleet.CheckStores();
+          RC_ASSERT(fleet.origin_fetches() == chunks);
+        });
     CPPUNIT_ASSERT(passed);
   }
 
-  // The hosts that live on serve the version that was declared last, whole.
-  // Meanwhile hosts die without a word, links stall and stay open, chunks come
-  // wrong, the origin is busy, and the version is declared anew in
-  // mid-transfer.
+  // All live hosts end with every chunk of the version that was declared last.
+  // During the transfer hosts die without notice, links stall while their
+  // connections stay open, chunks arrive corrupt, the origin is busy, and new
+  // versions are declared.
   void SurvivorsGetCompleteCorrectChunks() {
-    const bool passed = rc::check("survivors are whole", [] {
+    const bool passed = rc::check("live hosts complete the transfer", [] {
       const auto seed = *rc::gen::arbitrary<uint64_t>();
       const auto hosts = *rc::gen::inRange<uint32_t>(2, 25);
       const auto chunks = *rc::gen::inRange<uint32_t>(1, 60);
       Fleet fleet(seed, hosts, chunks, true);
       RC_ASSERT(fleet.Run());
       fleet.CheckStores();
-      // A chunk is drawn again only where a failure hid or lost its copies.
+      // A chunk is fetched again only where a fault hid or lost its copies.
       RC_ASSERT(fleet.origin_fetches() <=
                 chunks * fleet.version() * (1 + fleet.failures()));
     });
--- a/src/libverbenalead/decide/transfer_limits.cc
+++ b/src/libverbenalead/decide/transfer_limits.cc
@@ -5,9 +5,10 @@
 namespace verbenalead::decide {
 namespace {
 
-/// A new chunk waits behind about as many others as a host has neighbours, at
-/// two or three hosts on its way; 33 chunk times (4 s in the bench) doubled a
-/// tenth of all draws, 50 none.
+/// The wait limit in chunk times. A new chunk waits behind about as many other
+/// chunks as a host has neighbours, at each of two or three hosts on its path.
+/// A limit of 33 chunk times (4 s for chunks of 120 ms) duplicated a tenth of
+/// all origin fetches, 50 none.
 constexpr int64_t kWaitLimitChunks = 64;
 constexpr Duration kMinWaitLimit = 2s;
 
--- a/src/libverbenalead/decide/transfer_neighbour.h
+++ b/src/libverbenalead/decide/transfer_neighbour.h
@@ -9,20 +9,22 @@
 
 namespace verbenalead::decide {
 
-/// How far a host is, nearest first.
+/// Distance of another host, nearest first.
 enum class Distance { kDataCenter, kRegion, kFar };
 
-/// A host whose news this host follows.
+/// A host that reports to this host which chunks it has.
 struct TransferNeighbour {
-  /// Empty: the place is free.
+  /// Empty: this entry of the list is free.
   std::string m_name;
   Distance m_distance = Distance::kDataCenter;
   uint32_t m_fetching = 0;
-  /// From request to chunk, smoothed; 0: not known yet.
+  /// Smoothed time from a request to the arrival of its chunk; 0: not known
+  /// yet.
   Duration m_wait{};
-  /// Chunks that came wrong from there: never asked of it again.
+  /// Chunks that it sent with wrong content; they are not requested from it
+  /// again.
   std::set<uint32_t> m_bad;
-  /// Failures since the last good chunk.
+  /// Consecutive failed fetches since the last valid chunk.
   uint32_t m_failures = 0;
   TimePoint m_shunned_until{};
 };
--- a/src/libverbenalead/decide/transfer_outage_test.cc
+++ b/src/libverbenalead/decide/transfer_outage_test.cc
@@ -11,32 +11,34 @@
 
 constexpr uint32_t kChunks = 64;
 constexpr Duration kTick = 10ms;
-/// A chunk over the origin's link, and over a host's share of its own.
+/// Time to send a chunk over the origin's link, and over the share of a host's
+/// link that transfers may use.
 constexpr Duration kOriginChunk = 44ms;
 constexpr Duration kHostChunk = 43ms;
-/// News of chunks and announcements reach other hosts after this.
+/// Delays until updates about chunks and announcements of origin fetches reach
+/// other hosts.
 constexpr Duration kUpdateDelay = 60ms;
 constexpr Duration kAnnounceDelay = 10ms;
 constexpr Duration kAnnounceInterval = 250ms;
 constexpr size_t kUploads = 2;
 constexpr Duration kTimeLimit = 60s;
-/// Who is there is known so late.
+/// Dead hosts stay in the list of members for this long.
 constexpr Duration kMembershipLag = 3s;
 
 struct OutageScenario {
   uint32_t m_hosts = 58;
-  /// The origin is away from then on, and for so long.
+  /// When the origin becomes unreachable, and for how long.
   Duration m_outage_start = 2500ms;
   Duration m_outage = 6s;
-  /// Hosts that die while the origin is away.
+  /// Number of hosts that die while the origin is unreachable.
   uint32_t m_host_failures = 0;
-  /// Whether hosts tell what they draw.
+  /// Whether hosts announce their origin fetches.
   bool m_announced = true;
 };
 
-/// One version spreads from an origin that goes away before one copy of it is
-/// drawn, in virtual time. Draws share the origin's link, chunks queue at the
-/// hosts that send them.
+/// Simulates in virtual time the transfer of one version from an origin that
+/// becomes unreachable before one copy has been fetched. Origin fetches share
+/// the origin's link, and chunks queue at the hosts that send them.
 class OutageFleet {
  public:
   OutageFleet(const OutageScenario& load, uint64_t seed)
@@ -55,7 +57,8 @@
     }
   }
 
-  /// Plays until all living hosts are whole; false if they never are.
+  /// Runs until all live hosts are complete; false if they are not within the
+  /// time limit.
   bool Run() {
     for (; !AllComplete(); m_now += kTick) {
       if (Elapsed() > kTimeLimit)
@@ -70,11 +73,11 @@
     return true;
   }
 
-  /// Draws that sent a chunk, for each chunk.
+  /// Completed origin fetches per chunk.
   double FetchesPerChunk() const {
     return static_cast<double>(m_draws) / kChunks;
   }
-  /// From the origin's return until all hosts were whole.
+  /// Time from the origin's return until all live hosts were complete.
   Duration CompletionDelay() const {
     return Elapsed() - m_load.m_outage_start - m_load.m_outage;
   }
@@ -87,7 +90,7 @@
     bool m_dead = false;
     std::vector<uint32_t> m_held;
     size_t m_told = 0;
-    /// Who waits for which chunk, in order; the first ones are being sent.
+    /// Requesting hosts and chunks, in order; the first ones are being sent.
     std::vector<std::pair<size_t, uint32_t>> m_uploads;
     Duration m_sent{};
   };
@@ -98,7 +101,7 @@
   };
   struct Update {
     TimePoint m_at{};
-    /// Empty: an announcement of draws, to all.
+    /// Empty: an announcement of origin fetches, sent to all hosts.
     std::string m_from;
     size_t m_to = 0;
     std::vector<uint32_t> m_chunks;
@@ -303,9 +306,9 @@
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // Callers find no replica with allowed weights for seconds: the origin comes
-  // back, and its link carries each missing chunk twice, so that the last one
-  // comes to the hosts after the bound.
+  // For seconds no replica has allowed weights: the origin returns, and its
+  // link carries each missing chunk twice, so that the last one reaches the
+  // hosts later than the time limit for a new version.
   void ReturnedOriginSendsEachChunkOnce() {
     for (const uint64_t seed : {1, 2, 3, 4, 20261202}) {
       OutageFleet fleet({}, seed);
@@ -314,9 +317,10 @@
     }
   }
 
-  // Weights come seconds after they could: half of the chunks were missing when
-  // the origin went away, and the first two hosts in line for each of them draw
-  // it at its return, as both have waited longer than they wait for others.
+  // Weights arrive seconds later than possible: half of the chunks were missing
+  // when the origin became unreachable, and when it returns the first two hosts
+  // in rank fetch each of them, since both have waited longer than the wait
+  // limit.
   void OriginSendsEachChunkOnceAfterALongOutage() {
     for (const uint64_t seed : {1, 2, 3, 4, 20261202}) {
       OutageScenario load;
@@ -328,9 +332,9 @@
     }
   }
 
-  // The same while hosts die that others still count on.
+  // The same while hosts die that are still in the list of members.
   void HostFailuresCostFewOriginFetches() {
-    const bool passed = rc::check("deaths cost few draws", [] {
+    const bool passed = rc::check("host failures cost few origin fetches", [] {
       OutageScenario load;
       load.m_hosts = *rc::gen::inRange<uint32_t>(12, 70);
       load.m_host_failures = *rc::gen::inRange<uint32_t>(0, 5);
--- a/src/libverbenalead/decide/transfer_plan.cc
+++ b/src/libverbenalead/decide/transfer_plan.cc
@@ -14,7 +14,7 @@
 
 using Ring = std::vector<const TransferMember*>;
 
-/// The members at `distance`, in an order that all hosts agree on.
+/// The members at `distance`, in an order that is the same on all hosts.
 Ring RingAt(const TransferState& state, Distance distance) {
   std::vector<std::pair<uint64_t, const TransferMember*>> sorted;
   for (const TransferMember& member : state.m_members) {
@@ -28,7 +28,7 @@
   return ring;
 }
 
-/// This host's place among its data centre's hosts.
+/// The position of this host among the hosts of its data centre.
 size_t PositionInRing(const TransferState& state, const Ring& own) {
   for (size_t i = 0; i < own.size(); ++i) {
     if (own[i]->m_name == state.m_self.m_name)
@@ -37,7 +37,8 @@
   return 0;
 }
 
-/// Adds `count` of `ring`, at offsets from `place` that are the same for all.
+/// Adds `count` members of `ring`, at offsets from `position` that are the same
+/// for all hosts that pass the same `salt`.
 void PickFromRing(const TransferState& state,
                   const Ring& ring,
                   size_t position,
@@ -53,14 +54,17 @@
   }
 }
 
-/// The last rank that follows the host which draws a chunk.
+/// A host follows the host of rank 0 of each chunk for which its own rank is at
+/// most this.
 constexpr uint16_t kMaxFollowedRank = 2;
 
-/// The hosts that draw chunks which would be ours to draw next. Failure: news
-/// of a chunk take longer through a large fleet than the patience. Symptom: it
-/// is drawn once more, by hosts that haven't heard of it yet, and a third of
-/// the origin's link carries chunks that are there already. Those whose turn
-/// would come next hear from the drawer itself.
+/// Picks the hosts of rank 0 for chunks where this host has rank 1 or 2.
+///
+/// Failure: updates about a chunk take longer through a large fleet than the
+/// wait limit. Symptom: hosts that have not yet received them fetch the chunk
+/// from the origin once more, and a third of the origin's link carries chunks
+/// that hosts have already. Therefore the hosts that would take over next
+/// receive the updates directly from the host that fetches the chunk.
 void PickPrecedingFetchers(const TransferState& state,
                            std::set<TransferMember>& picked) {
   for (uint32_t chunk = 0; chunk < state.m_chunks.size(); ++chunk) {
@@ -71,7 +75,8 @@
   }
 }
 
-/// The hosts of other regions that draw chunks which are ours to bring over.
+/// Picks the hosts of other regions that fetch from the origin the chunks that
+/// this host has to import into its region.
 void PickImportSources(const TransferState& state,
                        std::set<TransferMember>& picked) {
   uint32_t added = 0;
--- a/src/libverbenalead/decide/transfer_plan.h
+++ b/src/libverbenalead/decide/transfer_plan.h
@@ -11,16 +11,17 @@
 
 Distance DistanceBetween(const TransferMember& a, const TransferMember& b);
 
-/// Sets each chunk's ranks from the members.
+/// Computes the ranks of each chunk from the members.
 void RankChunks(TransferState& state);
 
-/// Hosts that this one should follow, by the same rule everywhere: each is
-/// followed by about as many as it follows, so that no upload link is idle for
-/// lack of followers (random choices left some with half of the mean).
+/// Hosts that this one should follow. The same rule holds on all hosts, so that
+/// each host is followed by about as many as it follows, and no upload link is
+/// idle for lack of followers. With random choices some hosts had half of the
+/// mean number of followers.
 std::vector<TransferMember> PlanNeighbours(const TransferState& state);
 
-/// A random member that isn't followed yet, as near as `distance` if there is
-/// one; null if none is left.
+/// A random member at `distance` that is not followed yet and is not named
+/// `except`; null if there is none.
 const TransferMember* SpareNeighbour(const TransferState& state,
                                      Distance distance,
                                      const std::string& except,
--- a/src/libverbenalead/decide/transfer_state.h
+++ b/src/libverbenalead/decide/transfer_state.h
@@ -19,41 +19,45 @@
 
 namespace verbenalead::decide {
 
-/// Chunks by the time from which this host may bring them in.
+/// Chunks ordered by the time from which this host may fetch them.
 using ChunkSchedule = std::set<std::pair<TimePoint, uint32_t>>;
 
-/// One version's way to this host. Plain data; the functions of
-/// "decide/transfer.h" change it.
+/// State of the transfer of one version to this host. Plain data; the functions
+/// of "decide/transfer.h" change it.
 struct TransferState {
   struct Fetch {
     ChunkSource m_source;
     TimePoint m_begun{};
     TimePoint m_progress{};
   };
-  /// Where a chunk is scheduled: at most in one place.
+  /// The schedule that a chunk is in, at most one.
   enum class Place : uint8_t { kNowhere, kRarest, kImports, kDraws };
   struct Chunk {
     bool m_here = false;
     bool m_under_way = false;
     Place m_place = Place::kNowhere;
-    /// Neighbours that have it: bit i stands for m_neighbours[i].
+    /// Neighbours that have the chunk: bit i stands for m_neighbours[i].
     uint64_t m_holders = 0;
-    /// Hosts whose rendezvous hash goes before ours: among all, and in our
-    /// region. 0: it is ours to draw, or to bring into the region.
+    /// Number of hosts whose rendezvous hash precedes this host's: among all
+    /// hosts, and in the own region. 0: this host fetches the chunk from the
+    /// origin, or imports it into the region.
     uint16_t m_rank = 0;
     uint16_t m_region_rank = 0;
-    /// When the ranks' turns begin. A copy that is seen ends them; the loss of
-    /// the last copy begins them again.
+    /// Start of the schedule by ranks: a host of rank r may fetch the chunk r
+    /// wait limits after it. The schedule ends when a copy is seen and starts
+    /// again when the last copy is lost.
     TimePoint m_draw_base{};
     TimePoint m_import_base{};
-    /// Another host said that it has drawn it, whether or not its news reach
-    /// this one.
+    /// Another host announced that it has fetched the chunk from the origin,
+    /// whether or not this host receives updates from it.
     bool m_drawn = false;
-    /// Since when it is among the first that nobody has or draws.
+    /// Since when the chunk has been among the first that no host has or is
+    /// fetching from the origin.
     std::optional<TimePoint> m_open_since;
-    /// Until when another host that said that it draws it is waited for.
+    /// Until when this host leaves the chunk to another host that announced an
+    /// origin fetch of it.
     TimePoint m_held_until{};
-    /// When it is our turn, if it is in m_draws or m_imports.
+    /// When this host may fetch the chunk, if it is in m_draws or m_imports.
     TimePoint m_turn{};
   };
 
@@ -65,25 +69,27 @@
 
   std::vector<TransferMember> m_members;
   std::vector<TransferNeighbour> m_neighbours;
-  /// Neighbours of our own region, as a mask.
+  /// Neighbours of this host's region, as a bit mask.
   uint64_t m_near = 0;
 
   std::map<uint32_t, Fetch> m_fetching;
-  /// Fetches from hosts under way at once.
+  /// Limit of concurrent fetches from other hosts.
   FetchWindow m_window;
   uint32_t m_origin_fetching = 0;
-  /// Missing chunks that a neighbour of our region has, by copies there.
+  /// Missing chunks that a neighbour of the own region has, by number of copies
+  /// there.
   ChunkBuckets m_rarest;
   /// Missing chunks that no neighbour is known to have.
   ChunkSchedule m_draws;
   /// Missing chunks that only neighbours of other regions have.
   ChunkSchedule m_imports;
 
-  /// Draws under way at other hosts, and when they last said so.
+  /// By host: when it last announced its origin fetches, and how many it had in
+  /// progress.
   std::map<std::string, std::pair<TimePoint, uint32_t>> m_draws_elsewhere;
 
-  /// When this host last began a draw, and when any host was last seen to have
-  /// ended one well.
+  /// When this host last started an origin fetch, and when any host was last
+  /// known to have completed one.
   TimePoint m_last_draw{};
   TimePoint m_last_drawn{};
 
@@ -91,11 +97,12 @@
   TimePoint m_next_refill{};
   TimePoint m_origin_retry_at{};
   uint32_t m_origin_failures = 0;
-  /// Draws beyond the first copy that are left to this host.
+  /// Origin fetches beyond the first copies that this host may still start.
   uint32_t m_spare_draws = 0;
-  /// Smoothed wait for a chunk from any neighbour.
+  /// Smoothed time from a request to the arrival of its chunk, over all
+  /// neighbours.
   Duration m_wait{};
-  /// Follows and cancels that the next Step hands out.
+  /// Actions that the next Step returns.
   TransferActions m_pending;
 };
 
--- a/src/libverbenalead/decide/transfer_test.cc
+++ b/src/libverbenalead/decide/transfer_test.cc
@@ -53,9 +53,10 @@
                    std::vector<uint32_t>{1});
   }
 
-  // Every host would wait for ever for a chunk that nobody brings.
-  // The host that has to draw it dies first; the others can't know. After the
-  // patience the next in rank draws it, and only that one.
+  // A chunk is missing on all hosts for ever: the host that has to fetch it
+  // from the origin dies before it does, and the others cannot know that. After
+  // the wait limit the host of the next rank fetches it, and no other host
+  // does.
   void NextRankTakesOverALostOriginFetch() {
     const std::vector<TransferMember> members = {kSelf, kSameDataCenter,
                                                  kSameRegion};
@@ -73,9 +74,10 @@
     CPPUNIT_ASSERT_EQUAL(size_t{1}, later);
   }
 
-  // New weights come as late as the last host hears of them, and an origin that
-  // dies meanwhile has them alone: each host counted its draws from when it
-  // heard. Those that hear late are due at once with what others draw by then.
+  // New weights arrive only after the last host has learned of them, and if the
+  // origin fails meanwhile it has the only copy: each host scheduled its origin
+  // fetches from when it learned of the version. Hosts that learn late are due
+  // at once with the chunks that are scheduled up to then.
   void LateHostsKeepToTheSchedule() {
     m_limits.m_origin_interval = 100ms;
     m_limits.m_max_origin = 10;
@@ -88,8 +90,9 @@
                    std::vector<uint32_t>{3});
   }
 
-  // The origin's link carries chunks twice: the host whose turn is next hadn't
-  // heard that a far one has drawn a chunk. It follows that host itself.
+  // The origin's link carries chunks twice: the host of the next rank has not
+  // yet received the update that a distant host has fetched a chunk. It has to
+  // follow that host itself.
   void NextRanksFollowTheFetchingHost() {
     std::vector<TransferMember> members;
     for (int host = 0; host < 100; ++host) {
@@ -154,9 +157,9 @@
                          Step(state, kStart, m_random).m_fetches.size());
   }
 
-  // The weights come whole although a host sends wrong bytes.
-  // The digest shows it; the chunk is not asked of that host again, even when
-  // its news is repeated, and after several the host is left alone.
+  // A host sends chunks with wrong bytes, which the digest shows. Such a chunk
+  // is not requested from that host again, even when the host reports it again,
+  // and after several corrupt chunks the host gets no requests for a while.
   void BadChunkIsNotRequestedAgainFromItsSource() {
     m_limits.m_max_origin = 0;
     TransferState state = Start(kSelf, {kSelf, kSameDataCenter}, 5);
@@ -170,9 +173,8 @@
     CPPUNIT_ASSERT(state.m_neighbours[0].m_shunned_until > kStart);
   }
 
-  // The transfer goes on although a connection has gone silent unclosed.
-  // No byte comes; after the stall time the fetch is given up and the chunk
-  // asked of the other host.
+  // A connection delivers nothing but stays open. After the stall time the
+  // fetch is cancelled and the chunk is requested from another host.
   void StalledFetchIsCancelled() {
     m_limits.m_max_origin = 0;
     m_limits.m_max_stall = 2s;
--- a/src/libverbenalead/decide/upload_queue.cc
+++ b/src/libverbenalead/decide/upload_queue.cc
@@ -22,7 +22,8 @@
   if (first == queue.m_waiting.end())
     return std::nullopt;
   const UploadRequest request = *first;
-  // Not a swap with the last: among equals, first come, first served.
+  // The last element is not swapped in: requests that compare equal must stay
+  // in order of arrival.
   queue.m_waiting.erase(first);
   ++queue.m_sent[request.m_chunk];
   return request;
--- a/src/libverbenalead/decide/upload_queue.h
+++ b/src/libverbenalead/decide/upload_queue.h
@@ -7,37 +7,38 @@
 
 namespace verbenalead::decide {
 
-/// One host's wait for a chunk of ours.
+/// A request of another host for a chunk that this host has.
 struct UploadRequest {
   uint64_t m_id = 0;
   uint32_t m_chunk = 0;
-  /// The asking host stands in another region, where nobody else has this.
+  /// The requesting host is in another region, where no host has the chunk.
   bool m_far = false;
-  /// Chunks that the asking host holds.
+  /// Number of chunks that the requesting host has.
   uint32_t m_held = 0;
 
   friend auto operator<=>(const UploadRequest&, const UploadRequest&) = default;
 };
 
-/// Requests for chunks of one version that wait for this host's link.
+/// Requests for chunks of one version that wait for this host's upload link.
 struct UploadQueue {
   std::vector<UploadRequest> m_waiting;
-  /// How often each chunk has been sent.
+  /// How often each chunk has been sent, by chunk number.
   std::vector<uint32_t> m_sent;
 };
 
 void AddUpload(UploadQueue& queue, const UploadRequest& request);
-/// Takes out the request to serve next; nullopt if none waits. Costs O(waiting
-/// requests), of which there are about as many as followers.
+/// Removes and returns the request to serve next; nullopt if none waits. Costs
+/// O(waiting requests), which are about as many as there are followers.
 ///
-/// The load is a burst in which all followers ask for the same new chunk. First
-/// come, first served sends it a dozen times before the next one gets out at
-/// all, while its first receivers could send it on; so the chunk that was sent
-/// least goes first. Then a host of another region, because its whole region
-/// waits for it; then the host that has least, because the last host decides
-/// when a version is in force everywhere.
+/// Load: a burst in which all followers request the same new chunk. Harm: in
+/// order of arrival that chunk is sent a dozen times before the next chunk is
+/// sent at all, although its first receivers could pass it on. Therefore the
+/// chunk that was sent least goes first. Among equals, a host of another region
+/// goes first, because its whole region waits for the chunk; then the host with
+/// the fewest chunks, because a version takes effect everywhere only when the
+/// last host has it.
 std::optional<UploadRequest> TakeUpload(UploadQueue& queue);
-/// Removes a request whose host has gone.
+/// Removes the request `id`, for instance because its host has disconnected.
 void DropUpload(UploadQueue& queue, uint64_t id);
 
 }  // namespace verbenalead::decide
--- a/src/libverbenalead/decide/upload_turns.cc
+++ b/src/libverbenalead/decide/upload_turns.cc
@@ -5,7 +5,7 @@
 namespace verbenalead::decide {
 namespace {
 
-/// What was sent of a version is remembered for the newest ones only.
+/// Upload counts are kept for this many versions, the newest ones.
 constexpr size_t kMaxVersions = 3;
 
 }  // namespace
--- a/src/libverbenalead/decide/upload_turns.h
+++ b/src/libverbenalead/decide/upload_turns.h
@@ -10,38 +10,41 @@
 
 namespace verbenalead::decide {
 
-/// Which hosts are sent chunks now, of those that ask.
+/// Schedules the uploads of a host: which of the requested chunks are sent now.
 ///
-/// Load: a new version in a data centre of dozens of hosts, each of which asks
-/// five others for chunks at once. Harm: a host that sends five chunks side by
-/// side has none of them over before all are, so that nobody can pass the first
-/// one on meanwhile, and links stand idle while the version spreads. Sent one
-/// after the other they are over, on the mean, in half of the time.
+/// Load: a new version in a data centre of dozens of hosts, each of which
+/// requests chunks from five others at once. Harm: a host that sends five
+/// chunks concurrently completes none of them before all are complete, so that
+/// no receiver can pass the first one on meanwhile, and links are idle while
+/// the version spreads. Sent one after the other, chunks are complete after
+/// half the time on average.
 ///
 ///     Ask(turns, version, request);
 ///     while (const auto id = Next(turns, now)) ... send it, then End(turns,
 ///     id)
 struct UploadTurns {
-  /// What waits, by version.
+  /// Waiting requests, by version.
   std::map<uint64_t, UploadQueue> m_queues;
-  /// Uploads under way, by id, and when they began.
+  /// Start times of the uploads in progress, by id.
   std::map<uint64_t, TimePoint> m_running;
 };
 
-/// Uploads side by side: while one ends, the next one fills the link.
+/// Concurrent uploads: when one ends, the other keeps the link busy.
 constexpr size_t kUploadsAtOnce = 2;
-/// One that has lasted for longer is held up by its receiver's link. It holds
-/// up nobody else.
+/// An upload that takes longer is limited by its receiver's link and no longer
+/// counts as concurrent, so that it does not block others.
 constexpr Duration kHeldUpUpload = 300ms;
 
-/// A host asks for a chunk of `version`.
+/// Queues the request of a host for a chunk of `version`.
 void Ask(UploadTurns& turns, uint64_t version, const UploadRequest& request);
 
-/// The upload that begins now; nothing where none may. An older version goes
-/// first: a newer one is fetched while hosts wait for their turn to load it.
+/// Starts the next upload and returns its id; nullopt if none may start. Older
+/// versions go first: a newer version is less urgent, since its chunks are
+/// fetched while hosts wait for their turn to load it.
 std::optional<uint64_t> Next(UploadTurns& turns, TimePoint now);
 
-/// The upload is over, or its receiver has gone; also while it still waits.
+/// Ends upload `id`: it completed, or its receiver disconnected. Also removes a
+/// request that still waits.
 void End(UploadTurns& turns, uint64_t id);
 
 }  // namespace verbenalead::decide
