--- a/src/libverbenalead/decide/transfer_book.cc
+++ b/src/libverbenalead/decide/transfer_book.cc
@@ -63,7 +63,8 @@
   TransferState::Chunk& entry = state.m_chunks[chunk];
   const uint64_t in_region = entry.m_holders & state.m_near;
   const bool wanted = !entry.m_here && !entry.m_under_way;
-  // Load: updates. Every copy of a chunk beyond the first few is handled here.
+  // Fast path: nearly all updates report another copy of a chunk that the
+  // region already has, and end here.
   if (wanted && in_region != 0 && entry.m_place == Place::kRarest) {
     state.m_rarest.Put(chunk, static_cast<uint32_t>(std::popcount(in_region)));
     return;
@@ -104,9 +105,9 @@
   const uint64_t after = holds ? before | Bit(index) : before & ~Bit(index);
   if (after == before)
     return;
-  // The schedule by ranks starts when a chunk is first known to be in another
-  // region only, and starts again when the last copy in the region, or the last
-  // copy of all, is lost.
+  // The schedule by ranks of the imports starts when the first copy is known,
+  // and again when the last copy in the region is lost; that of the origin
+  // fetches starts again when the last known copy is lost.
   const bool region_copies_lost =
       (before & state.m_near) && !(after & state.m_near);
   if (region_copies_lost || before == 0)
--- a/src/libverbenalead/decide/transfer_book.h
+++ b/src/libverbenalead/decide/transfer_book.h
@@ -9,9 +9,9 @@
 
 namespace verbenalead::decide {
 
-/// Consistent changes of a TransferState: which chunk is in which schedule, and
-/// which fetch is in progress. These depend on each other, so only the
-/// functions below change them.
+/// Operations on a TransferState that keep its records consistent: which chunk
+/// is in which schedule, and which fetch is in progress. The records depend on
+/// each other, so only these functions change them.
 
 /// The index of the followed `host`.
 std::optional<size_t> FindNeighbour(const TransferState& state,
--- a/src/libverbenalead/decide/transfer_fleet_test.cc
+++ b/src/libverbenalead/decide/transfer_fleet_test.cc
@@ -103,7 +103,8 @@
   }
 
   uint32_t origin_fetches() const { return m_draws; }
-  /// Number of faults so far: dead hosts, stalled links and wrong chunks.
+  /// Number of faults so far (dead hosts, stalled links, wrong chunks), and the
+  /// last declared version.
   uint32_t failures() const { return m_failures; }
   uint32_t version() const { return m_version; }
 
