--- a/src/libverbenalead/decide/digest_readers_test.cc
+++ b/src/libverbenalead/decide/digest_readers_test.cc
@@ -17,7 +17,7 @@
 class DigestReadersTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(DigestReadersTest);
   CPPUNIT_TEST(AllHostsAgreeOnTheOrder);
-  CPPUNIT_TEST(AReturnedOriginIsAskedByFew);
+  CPPUNIT_TEST(FewHostsAskAReturnedOrigin);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -28,18 +28,18 @@
     std::set<std::string> first;
     for (uint64_t version = 0; version < 40; ++version)
       first.insert(DigestOrder(Hosts(20), version).front());
-    // The work goes round.
+    // Different versions have different first hosts.
     CPPUNIT_ASSERT(first.size() > 10);
   }
 
-  // The first chunks of new weights come a second late: the origin was away for
-  // 6 s, and all hosts ask it for the digests when it returns.
-  void AReturnedOriginIsAskedByFew() {
-    size_t asking = 0;
+  // The first chunks of new weights arrive one second late: the origin was
+  // unreachable for 6 s, and all hosts request the digests when it returns.
+  void FewHostsAskAReturnedOrigin() {
+    size_t readers = 0;
     for (size_t place = 0; place < 300; ++place)
-      asking += DigestPatience(place) <= Duration(6s);
-    CPPUNIT_ASSERT(asking > kDigestReaders);
-    CPPUNIT_ASSERT(asking <= 20);
+      readers += DigestPatience(place) <= Duration(6s);
+    CPPUNIT_ASSERT(readers > kDigestReaders);
+    CPPUNIT_ASSERT(readers <= 20);
     CPPUNIT_ASSERT(DigestPatience(kDigestReaders - 1) == Duration());
     CPPUNIT_ASSERT(DigestPatience(kDigestReaders) == Duration(1s));
   }
--- a/src/libverbenalead/decide/transfer_outage_test.cc
+++ b/src/libverbenalead/decide/transfer_outage_test.cc
@@ -11,35 +11,37 @@
 
 constexpr uint32_t kChunks = 64;
 constexpr Duration kTick = 10ms;
-/// A chunk over the origin's link, and over a host's share of its own.
+/// Time to send a chunk over the origin's link, and over the share of a host's
+/// link that transfers may use.
 constexpr Duration kOriginChunk = 44ms;
 constexpr Duration kHostChunk = 43ms;
-/// News of chunks and announcements reach other hosts after this.
-constexpr Duration kNewsDelay = 60ms;
+/// Delays until updates about chunks and announcements of origin fetches reach
+/// other hosts.
+constexpr Duration kUpdateDelay = 60ms;
 constexpr Duration kAnnounceDelay = 10ms;
 constexpr Duration kAnnounceInterval = 250ms;
 constexpr size_t kUploads = 2;
-constexpr Duration kGiveUp = 60s;
-/// Who is there is known so late.
-constexpr Duration kListLag = 3s;
+constexpr Duration kTimeLimit = 60s;
+/// Dead hosts stay in the list of members for this long.
+constexpr Duration kMembershipLag = 3s;
 
-struct OutageLoad {
+struct OutageScenario {
   uint32_t m_hosts = 58;
-  /// The origin is away from then on, and for so long.
-  Duration m_away_at = 2500ms;
-  Duration m_away = 6s;
-  /// Hosts that die while the origin is away.
-  uint32_t m_deaths = 0;
-  /// Whether hosts tell what they draw.
+  /// When the origin becomes unreachable, and for how long.
+  Duration m_outage_start = 2500ms;
+  Duration m_outage = 6s;
+  /// Number of hosts that die while the origin is unreachable.
+  uint32_t m_host_failures = 0;
+  /// Whether hosts announce their origin fetches.
   bool m_announced = true;
 };
 
-/// One version spreads from an origin that goes away before one copy of it is
-/// drawn, in virtual time. Draws share the origin's link, chunks queue at the
-/// hosts that send them.
+/// Simulates in virtual time the transfer of one version from an origin that
+/// becomes unreachable before one copy has been fetched. Origin fetches share
+/// the origin's link, and chunks queue at the hosts that send them.
 class OutageFleet {
  public:
-  OutageFleet(const OutageLoad& load, uint64_t seed)
+  OutageFleet(const OutageScenario& load, uint64_t seed)
       : m_load(load), m_random(seed) {
     std::vector<TransferMember> members;
     for (uint32_t i = 0; i < load.m_hosts; ++i) {
@@ -55,26 +57,29 @@
     }
   }
 
-  /// Plays until all living hosts are whole; false if they never are.
-  bool Play() {
-    for (; !Whole(); m_now += kTick) {
-      if (Elapsed() > kGiveUp)
+  /// Runs until all live hosts are complete; false if they are not within the
+  /// time limit.
+  bool Run() {
+    for (; !AllComplete(); m_now += kTick) {
+      if (Elapsed() > kTimeLimit)
         return false;
-      MaybeDie();
+      MaybeFailHost();
       RunOrigin();
       RunUploads();
-      TellNews();
+      SendUpdates();
       for (size_t host = 0; host < m_hosts.size(); ++host)
         StepHost(host);
     }
     return true;
   }
 
-  /// Draws that sent a chunk, for each chunk.
-  double DrawsEach() const { return static_cast<double>(m_draws) / kChunks; }
-  /// From the origin's return until all hosts were whole.
-  Duration WholeAfter() const {
-    return Elapsed() - m_load.m_away_at - m_load.m_away;
+  /// Completed origin fetches per chunk.
+  double FetchesPerChunk() const {
+    return static_cast<double>(m_draws) / kChunks;
+  }
+  /// Time from the origin's return until all live hosts were complete.
+  Duration CompletionDelay() const {
+    return Elapsed() - m_load.m_outage_start - m_load.m_outage;
   }
 
  private:
@@ -85,18 +90,18 @@
     bool m_dead = false;
     std::vector<uint32_t> m_held;
     size_t m_told = 0;
-    /// Who waits for which chunk, in order; the first ones are being sent.
+    /// Requesting hosts and chunks, in order; the first ones are being sent.
     std::vector<std::pair<size_t, uint32_t>> m_uploads;
     Duration m_sent{};
   };
-  struct Draw {
+  struct OriginFetch {
     size_t m_host = 0;
     uint32_t m_chunk = 0;
     Duration m_left{};
   };
-  struct News {
+  struct Update {
     TimePoint m_at{};
-    /// Empty: an announcement of draws, to all.
+    /// Empty: an announcement of origin fetches, sent to all hosts.
     std::string m_from;
     size_t m_to = 0;
     std::vector<uint32_t> m_chunks;
@@ -115,11 +120,11 @@
   }
 
   Duration Elapsed() const { return m_now - TimePoint(); }
-  bool Away() const {
-    return Elapsed() >= m_load.m_away_at &&
-           Elapsed() < m_load.m_away_at + m_load.m_away;
+  bool IsOriginDown() const {
+    return Elapsed() >= m_load.m_outage_start &&
+           Elapsed() < m_load.m_outage_start + m_load.m_outage;
   }
-  bool Whole() const {
+  bool AllComplete() const {
     return std::all_of(m_hosts.begin(), m_hosts.end(), [](const Host& host) {
       return host.m_dead || IsComplete(host.m_state);
     });
@@ -128,38 +133,39 @@
     return std::stoul(name.substr(name.find('-') + 1));
   }
 
-  void MaybeDie() {
-    if (!Away() || m_died >= m_load.m_deaths || m_random() % 40 != 0)
+  void MaybeFailHost() {
+    if (!IsOriginDown() || m_failed_hosts >= m_load.m_host_failures ||
+        m_random() % 40 != 0)
       return;
     Host& victim = m_hosts[m_random() % m_hosts.size()];
     if (victim.m_dead)
       return;
     victim.m_dead = true;
-    ++m_died;
-    m_listed_until[victim.m_state.m_self.m_name] = m_now + kListLag;
+    ++m_failed_hosts;
+    m_listed_until[victim.m_state.m_self.m_name] = m_now + kMembershipLag;
   }
 
   void RunOrigin() {
-    if (Away()) {
-      for (const Draw& draw : m_drawing)
-        ChunkFailed(m_hosts[draw.m_host].m_state, draw.m_chunk, false, m_now,
+    if (IsOriginDown()) {
+      for (const OriginFetch& fetch : m_open_fetches)
+        ChunkFailed(m_hosts[fetch.m_host].m_state, fetch.m_chunk, false, m_now,
                     m_random);
-      m_drawing.clear();
+      m_open_fetches.clear();
     }
-    const auto share = kTick / std::max<int64_t>(1, std::ssize(m_drawing));
-    std::vector<Draw> done;
-    std::erase_if(m_drawing, [&](Draw& draw) {
-      draw.m_left -= share;
-      if (draw.m_left > Duration())
+    const auto share = kTick / std::max<int64_t>(1, std::ssize(m_open_fetches));
+    std::vector<OriginFetch> done;
+    std::erase_if(m_open_fetches, [&](OriginFetch& fetch) {
+      fetch.m_left -= share;
+      if (fetch.m_left > Duration())
         return false;
-      done.push_back(draw);
+      done.push_back(fetch);
       return true;
     });
-    for (const Draw& draw : done) {
+    for (const OriginFetch& fetch : done) {
       ++m_draws;
-      Arrive(draw.m_host, draw.m_chunk);
-      if (!m_hosts[draw.m_host].m_dead)
-        Announce(draw.m_host, {draw.m_chunk});
+      Arrive(fetch.m_host, fetch.m_chunk);
+      if (!m_hosts[fetch.m_host].m_dead)
+        Announce(fetch.m_host, {fetch.m_chunk});
     }
   }
 
@@ -191,19 +197,19 @@
     }
   }
 
-  void TellNews() {
+  void SendUpdates() {
     for (Host& host : m_hosts) {
       if (host.m_dead || host.m_told == host.m_held.size())
         continue;
-      const std::vector<uint32_t> fresh(
+      const std::vector<uint32_t> unsent(
           host.m_held.begin() + static_cast<std::ptrdiff_t>(host.m_told),
           host.m_held.end());
       host.m_told = host.m_held.size();
       for (size_t to = 0; to < m_hosts.size(); ++to)
         m_news.push_back(
-            {m_now + kNewsDelay, host.m_state.m_self.m_name, to, fresh});
+            {m_now + kUpdateDelay, host.m_state.m_self.m_name, to, unsent});
     }
-    std::erase_if(m_news, [&](const News& news) {
+    std::erase_if(m_news, [&](const Update& news) {
       if (news.m_at > m_now)
         return false;
       TransferState& state = m_hosts[news.m_to].m_state;
@@ -226,14 +232,14 @@
     for (const std::string& name : actions.m_follows) {
       const Host& other = m_hosts[Index(name)];
       if (!other.m_dead)
-        m_news.push_back({m_now + kNewsDelay, name, index, other.m_held, {}});
+        m_news.push_back({m_now + kUpdateDelay, name, index, other.m_held, {}});
     }
-    bool draws = false;
+    bool fetches_from_origin = false;
     for (const FetchChunk& fetch : actions.m_fetches) {
-      draws |= fetch.m_source.IsOrigin();
+      fetches_from_origin |= fetch.m_source.IsOrigin();
       Send(index, fetch);
     }
-    if (draws || m_now - host.m_announced >= kAnnounceInterval)
+    if (fetches_from_origin || m_now - host.m_announced >= kAnnounceInterval)
       Announce(index, {});
   }
 
@@ -246,16 +252,17 @@
     SetMembers(host.m_state, std::move(members), m_now, m_random);
   }
 
-  void Announce(size_t from, std::vector<uint32_t> drawn) {
+  void Announce(size_t from, std::vector<uint32_t> completed) {
     DrawReport report;
     report.m_host = m_hosts[from].m_state.m_self.m_name;
     for (const auto& [chunk, fetch] : m_hosts[from].m_state.m_fetching) {
       if (fetch.m_source.IsOrigin())
         report.m_under_way.push_back(chunk);
     }
-    if (!m_load.m_announced || (report.m_under_way.empty() && drawn.empty()))
+    if (!m_load.m_announced ||
+        (report.m_under_way.empty() && completed.empty()))
       return;
-    report.m_drawn = std::move(drawn);
+    report.m_drawn = std::move(completed);
     m_hosts[from].m_announced = m_now;
     for (size_t to = 0; to < m_hosts.size(); ++to) {
       if (to != from)
@@ -272,7 +279,7 @@
 
   void Send(size_t index, const FetchChunk& fetch) {
     if (fetch.m_source.IsOrigin()) {
-      m_drawing.push_back({index, fetch.m_chunk, kOriginChunk});
+      m_open_fetches.push_back({index, fetch.m_chunk, kOriginChunk});
       return;
     }
     Host& from = m_hosts[Index(fetch.m_source.m_host)];
@@ -280,63 +287,65 @@
       from.m_uploads.emplace_back(index, fetch.m_chunk);
   }
 
-  const OutageLoad m_load;
+  const OutageScenario m_load;
   std::mt19937_64 m_random;
   TimePoint m_now{};
   std::vector<Host> m_hosts;
-  std::vector<Draw> m_drawing;
-  std::vector<News> m_news;
+  std::vector<OriginFetch> m_open_fetches;
+  std::vector<Update> m_news;
   std::map<std::string, TimePoint> m_listed_until;
   uint32_t m_draws = 0;
-  uint32_t m_died = 0;
+  uint32_t m_failed_hosts = 0;
 };
 
 class TransferOutageTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(TransferOutageTest);
-  CPPUNIT_TEST(AReturnedOriginSendsEachChunkOnce);
-  CPPUNIT_TEST(AnOriginThatWasLongAwaySendsEachChunkOnce);
-  CPPUNIT_TEST(DeathsCostFewDraws);
+  CPPUNIT_TEST(ReturnedOriginSendsEachChunkOnce);
+  CPPUNIT_TEST(OriginSendsEachChunkOnceAfterALongOutage);
+  CPPUNIT_TEST(HostFailuresCostFewOriginFetches);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // Callers find no replica with allowed weights for seconds: the origin comes
-  // back, and its link carries each missing chunk twice, so that the last one
-  // comes to the hosts after the bound.
-  void AReturnedOriginSendsEachChunkOnce() {
+  // For seconds no replica has allowed weights: the origin returns, and its
+  // link carries each missing chunk twice, so that the last one reaches the
+  // hosts later than the time limit for a new version.
+  void ReturnedOriginSendsEachChunkOnce() {
     for (const uint64_t seed : {1, 2, 3, 4, 20261202}) {
       OutageFleet fleet({}, seed);
-      CPPUNIT_ASSERT(fleet.Play());
-      CPPUNIT_ASSERT_LESSEQUAL(1.05, fleet.DrawsEach());
+      CPPUNIT_ASSERT(fleet.Run());
+      CPPUNIT_ASSERT_LESSEQUAL(1.05, fleet.FetchesPerChunk());
     }
   }
 
-  // Weights come seconds after they could: half of the chunks were missing when
-  // the origin went away, and the first two hosts in line for each of them draw
-  // it at its return, as both have waited longer than they wait for others.
-  void AnOriginThatWasLongAwaySendsEachChunkOnce() {
+  // Weights arrive seconds later than possible: half of the chunks were missing
+  // when the origin became unreachable, and when it returns the first two hosts
+  // in rank fetch each of them, since both have waited longer than the wait
+  // limit.
+  void OriginSendsEachChunkOnceAfterALongOutage() {
     for (const uint64_t seed : {1, 2, 3, 4, 20261202}) {
-      OutageLoad load;
-      load.m_away_at = 1400ms;
-      load.m_away = 10s;
+      OutageScenario load;
+      load.m_outage_start = 1400ms;
+      load.m_outage = 10s;
       OutageFleet fleet(load, seed);
-      CPPUNIT_ASSERT(fleet.Play());
-      CPPUNIT_ASSERT_LESSEQUAL(1.05, fleet.DrawsEach());
+      CPPUNIT_ASSERT(fleet.Run());
+      CPPUNIT_ASSERT_LESSEQUAL(1.05, fleet.FetchesPerChunk());
     }
   }
 
-  // The same while hosts die that others still count on.
-  void DeathsCostFewDraws() {
-    const bool held = rc::check("deaths cost few draws", [] {
-      OutageLoad load;
+  // The same while hosts die that are still in the list of members.
+  void HostFailuresCostFewOriginFetches() {
+    const bool passed = rc::check("host failures cost few origin fetches", [] {
+      OutageScenario load;
       load.m_hosts = *rc::gen::inRange<uint32_t>(12, 70);
-      load.m_deaths = *rc::gen::inRange<uint32_t>(0, 5);
-      load.m_away = std::chrono::milliseconds(*rc::gen::inRange<int>(0, 9000));
+      load.m_host_failures = *rc::gen::inRange<uint32_t>(0, 5);
+      load.m_outage =
+          std::chrono::milliseconds(*rc::gen::inRange<int>(0, 9000));
       OutageFleet fleet(load, *rc::gen::arbitrary<uint64_t>());
-      RC_ASSERT(fleet.Play());
-      RC_ASSERT(fleet.DrawsEach() <= 1.5);
-      RC_ASSERT(fleet.WholeAfter() <= Duration(15s));
+      RC_ASSERT(fleet.Run());
+      RC_ASSERT(fleet.FetchesPerChunk() <= 1.5);
+      RC_ASSERT(fleet.CompletionDelay() <= Duration(15s));
     });
-    CPPUNIT_ASSERT(held);
+    CPPUNIT_ASSERT(passed);
   }
 };
 
