--- a/src/libverbenalead/decide/patience_share.h
+++ b/src/libverbenalead/decide/patience_share.h
@@ -31,8 +31,9 @@
 /// are so slow that a shorter wait doesn't help.
 constexpr double kLeastShare = 0.3;
 
-/// Adapts the share to a call that waited for its slot and has begun to answer.
-/// The share stays constant while the part kLateShare of these calls is late.
+/// Adapts the share when a call that waited for its slot begins to answer. The
+/// share stays constant on average while a part kLateShare of these calls is
+/// late.
 inline void NoteFirstEvent(PatienceShare& share, bool late) {
   constexpr double kRise = kLateStep * kLateShare / (1 - kLateShare);
   share.m_share =
--- a/src/libverbenalead/decide/place_queue.cc
+++ b/src/libverbenalead/decide/place_queue.cc
@@ -40,14 +40,14 @@
                    : a.m_read_by < b.m_read_by;
 }
 
-/// Whether all calls that were granted a slot can still begin in time if
-/// another prompt is read until `read_at`. An engine reads all prompts that
+/// Whether all on-time calls that were granted a slot can still begin in time
+/// if another prompt is read until `read_at`. An engine reads all prompts that
 /// arrive between two passes before the next pass writes, so a long prompt
 /// delays every call that arrived with it.
-bool KeepsPromisesOnTime(const PlaceQueue& queue, TimePoint read_at) {
+bool KeepsGrantsOnTime(const PlaceQueue& queue, TimePoint read_at) {
   return std::all_of(queue.m_promises.begin(), queue.m_promises.end(),
-                     [read_at](const PlaceQueue::Promise& promise) {
-                       return read_at <= promise.m_read_by;
+                     [read_at](const PlaceQueue::Promise& grant) {
+                       return read_at <= grant.m_read_by;
                      });
 }
 
@@ -59,7 +59,7 @@
       now + ReadingTime(queue, load.m_unread + request.m_prompt_tokens);
   if (!HasRoom(queue.m_slots, queue.m_prefill_rate, load.m_calls,
                load.m_unread) ||
-      !KeepsPromisesOnTime(queue, read_at))
+      !KeepsGrantsOnTime(queue, read_at))
     return false;
   return !request.m_fresh ||
          now + ReadingTime(queue, load.m_unread) <= StartBy(queue, request);
@@ -96,22 +96,22 @@
   return request.m_fresh && !CanStart(queue, *most_urgent, load, now);
 }
 
-/// Drops requests that can no longer be met, and promises to calls whose
-/// prompts have been read.
+/// Drops requests that can no longer be met, and grants whose calls have begun
+/// or are late.
 void DropExpired(PlaceQueue& queue, TimePoint now) {
   std::erase_if(queue.m_wishes, [&](const PlaceWish& request) {
     return IsExpired(queue, request, now);
   });
-  std::erase_if(queue.m_promises, [&](const PlaceQueue::Promise& promise) {
-    return std::min(promise.m_read_by, promise.m_read_at) <= now;
+  std::erase_if(queue.m_promises, [&](const PlaceQueue::Promise& grant) {
+    return std::min(grant.m_read_by, grant.m_read_at) <= now;
   });
 }
 
 /// Records the grant of a slot to an on-time call.
-void RecordPromise(PlaceQueue& queue,
-                   const PlaceWish& request,
-                   const ReplicaLoad& load,
-                   TimePoint now) {
+void RecordGrant(PlaceQueue& queue,
+                 const PlaceWish& request,
+                 const ReplicaLoad& load,
+                 TimePoint now) {
   if (request.m_fresh) {
     queue.m_promises.push_back(
         {request.m_read_by,
@@ -128,7 +128,7 @@
   DropExpired(queue, now);
   if (MayOvertake(queue, request, load, now) &&
       CanStart(queue, request, load, now)) {
-    RecordPromise(queue, request, load, now);
+    RecordGrant(queue, request, load, now);
     return PlaceVerdict::kGranted;
   }
   if (IsExpired(queue, request, now) ||
@@ -148,7 +148,7 @@
        most_urgent != queue.m_wishes.end() &&
        CanStart(queue, *most_urgent, load, now);
        most_urgent = FindMostUrgent(queue)) {
-    RecordPromise(queue, *most_urgent, load, now);
+    RecordGrant(queue, *most_urgent, load, now);
     ++load.m_calls;
     load.m_unread += most_urgent->m_prompt_tokens;
     granted.push_back(*most_urgent);
--- a/src/libverbenalead/decide/place_queue.h
+++ b/src/libverbenalead/decide/place_queue.h
@@ -78,9 +78,11 @@
   kDenied,
 };
 
-/// Handles a request for a slot, given the current load of the replica. A
-/// request for an on-time call is granted at once if it can start now and the
-/// most urgent waiting call can't; the slot would stay empty otherwise.
+/// Handles an entry's request for a slot, given the current load of the
+/// replica. The request is granted at once if its call can start now and is
+/// more urgent than all waiting ones, or if it is on time and the most urgent
+/// waiting call can't start yet, since the slot would stay empty otherwise. If
+/// not granted, it is queued or denied.
 PlaceVerdict Ask(PlaceQueue& queue,
                  const PlaceWish& request,
                  const ReplicaLoad& load,
--- a/src/libverbenalead/decide/place_queue_test.cc
+++ b/src/libverbenalead/decide/place_queue_test.cc
@@ -41,7 +41,7 @@
   CPPUNIT_TEST(MostUrgentRequestIsNext);
   CPPUNIT_TEST(LateCallWaitsForOnTimeCalls);
   CPPUNIT_TEST(NoCallIsPlacedBehindTooManyPrompts);
-  CPPUNIT_TEST(LongPromptDoesNotDelayPromisedCalls);
+  CPPUNIT_TEST(LongPromptDoesNotDelayGrantedCalls);
   CPPUNIT_TEST(UnmeetableRequestIsDeniedAtOnce);
   CPPUNIT_TEST(WithdrawnRequestGetsNoSlot);
   CPPUNIT_TEST(AnySequenceKeepsTheLimits);
@@ -96,11 +96,11 @@
     CPPUNIT_ASSERT(Grant(queue, {1, 20}, kStart + 60ms).at(0).m_ticket == 1);
   }
 
-  // Guards against first events after 0.43 s instead of 0.25 s: three calls are
-  // placed, and before the next pass a prompt arrives that takes 0.2 s to read,
-  // which is read before any of the three writes. The long prompt must go
+  // Guards against a first event after 0.43 s in place of 0.25: three calls are
+  // placed, and before the next pass a prompt arrives that takes 0.2 s to read
+  // and is read before any of the three writes. The long prompt must go
   // elsewhere, or wait until the three calls have begun.
-  void LongPromptDoesNotDelayPromisedCalls() {
+  void LongPromptDoesNotDelayGrantedCalls() {
     PlaceQueue queue = MakeQueue();
     CPPUNIT_ASSERT(Ask(queue, MakeRequest(1, 100ms), {}, kStart) ==
                    PlaceVerdict::kGranted);
--- a/src/libverbenalead/decide/replica_pool.cc
+++ b/src/libverbenalead/decide/replica_pool.cc
@@ -16,8 +16,8 @@
 /// Weight of the latest call in the moving average of failures.
 constexpr double kFailureWeight = 0.1;
 /// Upper bound of the random part of a replica's cost. It is below the cost of
-/// one call, 1/16, so it only decides between replicas with equal load. It
-/// keeps entries that see the same loads from all choosing the same replica.
+/// one call, 1/16, so it only decides between replicas with equal load. Without
+/// it, entries that see the same loads would all choose the same replica.
 constexpr double kTieBreakNoise = 0.06;
 
 /// Limit of the unread prompts at a replica, in seconds of reading; above it
--- a/src/libverbenalead/decide/replica_pool.h
+++ b/src/libverbenalead/decide/replica_pool.h
@@ -65,9 +65,9 @@
   friend bool operator==(const PoolStart&, const PoolStart&) = default;
 };
 
-/// Updates the pool from the list of live replicas. Replicas that are not
-/// listed are kept until `keep_missing_until`, or removed at once if that is
-/// past.
+/// Updates the pool from the list of live replicas. A replica that is not
+/// listed any more is kept until the `keep_missing_until` of the first update
+/// without it, or removed at once if that is past.
 void SetReplicas(ReplicaPool& pool,
                  const std::vector<model::Replica>& replicas,
                  TimePoint keep_missing_until,
@@ -84,8 +84,8 @@
                                      const PoolCall& call,
                                      TimePoint now,
                                      std::mt19937_64& random);
-/// The best `count` replicas, or fewer, for `call` to wait at: their targets
-/// are asked for a slot though none is free.
+/// Up to `count` replicas at whose targets `call` should wait for a slot, the
+/// best first. They need not have a free slot.
 std::vector<std::string> WaitingPlaces(const ReplicaPool& pool,
                                        const PoolCall& call,
                                        size_t count,
@@ -113,8 +113,8 @@
                const std::string& replica,
                uint32_t prompt_tokens);
 
-/// Records that the target of `replica` was asked for a slot (NoteAsked), and
-/// that it answered or timed out (NoteAnswer).
+/// NoteAsked() records that the target of `replica` was asked for a slot,
+/// NoteAnswer() that it answered or that its answer is no longer awaited.
 void NoteAsked(ReplicaPool& pool,
                const std::string& replica,
                uint32_t prompt_tokens);
