--- a/src/libverbenalead/decide/admit.cc
+++ b/src/libverbenalead/decide/admit.cc
@@ -8,11 +8,13 @@
 
 using Actions = std::vector<AdmitAction>;
 
-/// However many urgent calls an organisation sends, the estimate for its others
-/// stays finite.
+/// Minimum share of an organisation's service rate that the wait estimate
+/// assumes for its less urgent calls, so that the estimate stays finite however
+/// many urgent calls the organisation sends.
 constexpr double kLeastLeft = 0.05;
 constexpr double kLeastWeight = 0.001;
-/// Units below which an organisation counts as one that sends nothing.
+/// An organisation with fewer decayed units of work than this counts as
+/// inactive.
 constexpr double kLeastDemand = 0.01;
 
 Duration Seconds(double seconds) {
@@ -45,8 +47,8 @@
   --state.m_waiting;
 }
 
-/// Work of `queue` that is served before a call of `urgency`: what waits, and,
-/// as more urgent calls go on coming while it waits, their part of the service.
+/// Units of work waiting in `queue` that are served before a new call of
+/// `urgency`.
 double WorkAhead(const OrganisationQueue& queue, int urgency) {
   double ahead = 0;
   for (int u = 0; u <= urgency; ++u)
@@ -54,9 +56,10 @@
   return ahead;
 }
 
-/// Units of work a second that this entry serves: what it has lately, or its
-/// part of the pool where it was idle. Its limit would promise more: after an
-/// idle time it is the whole pool, which other entries share in a burst.
+/// Estimated service rate of this entry in units of work per second: the recent
+/// rate, or the entry's equal share of the pool if that is more, as after an
+/// idle time. A rate computed from m_limit would be too high: after an idle
+/// time the limit may be the whole pool, which the entries share in a burst.
 double Rate(const AdmitState& state) {
   const double seconds = SecondsPerUnit(state.m_service);
   if (seconds <= 0)
@@ -66,7 +69,8 @@
   return std::max(lately, LeastLimit(state) / seconds);
 }
 
-/// Units a second that `queue` has lately brought, up to `urgency`.
+/// Recent arrival rate of `queue` in units of work per second, for calls of
+/// `urgency` and more urgent ones.
 double Demand(const OrganisationQueue& queue, int urgency) {
   double units = 0;
   for (int u = 0; u <= urgency; ++u)
@@ -75,8 +79,8 @@
 }
 
 /// Units a second that `queue` may count on: what the others leave, each taking
-/// what it asks for up to its share. By the queues alone it would look as if
-/// a flooding organisation had the pool for itself, since the others are served
+/// what it asks for up to its share. By the queues alone it would look as if a
+/// flooding organisation had the pool for itself, since the others are served
 /// at once and seldom wait; its calls would be refused only after a long wait.
 double RateOf(const AdmitState& state, const OrganisationQueue& queue) {
   double weights = 0;
@@ -94,10 +98,10 @@
   return std::max(left, rate * queue.m_weight / weights);
 }
 
-/// Time until a call of `units` at `urgency` would have been answered, were it
-/// to join `queue` now. More urgent calls that come while it waits overtake it;
-/// without their part a call of the least urgency would be admitted on the
-/// strength of a short queue and be overtaken until its deadline had passed.
+/// Estimated time until a call of `units` and `urgency` is answered if it joins
+/// `queue` now. More urgent calls that arrive while it waits are served first.
+/// If the estimate ignored them, a call of the lowest urgency would be admitted
+/// because the queue is short, and overtaken until its deadline had passed.
 Duration TimeToAnswer(const AdmitState& state,
                       const OrganisationQueue& queue,
                       int urgency,
@@ -114,7 +118,7 @@
   return Seconds(WorkAhead(queue, urgency) / left * kWaitMargin + service);
 }
 
-/// The queue that has most waiting for its weight.
+/// The queue with the most waiting calls relative to its weight.
 OrganisationQueue* Greediest(AdmitState& state) {
   OrganisationQueue* greediest = nullptr;
   for (auto& [name, queue] : state.m_queues) {
@@ -128,9 +132,11 @@
   return greediest;
 }
 
-/// Makes room in a full queue for a call of `queue` at `urgency`. Whoever has
-/// most waiting for its weight gives way, at its least urgent call: one
-/// organisation's flood fills the queue only until another one calls.
+/// Makes room for a call of `urgency` in `queue` when the limit on waiting
+/// calls is reached: refuses the least urgent call of the organisation with the
+/// most waiting calls relative to its weight. An organisation that fills the
+/// queue thus can't keep the calls of others out. Returns false if the new call
+/// itself would be the one to refuse.
 bool MakeRoom(AdmitState& state,
               const OrganisationQueue& queue,
               int urgency,
@@ -148,8 +154,8 @@
   return true;
 }
 
-/// Refuses what waits and can't be answered in time any more, while its caller
-/// still has time to go elsewhere.
+/// Refuses waiting calls that can no longer be answered before their deadline,
+/// so that their callers can still send them elsewhere.
 void DropHopeless(AdmitState& state, TimePoint now, Actions& actions) {
   if (now - state.m_dropped_at < kDropEvery)
     return;
@@ -168,9 +174,10 @@
   }
 }
 
-/// Start-time fair queueing: the organisation that was served least for its
-/// weight is next. Urgency orders calls within an organisation only, so that
-/// none gains by calling all its calls urgent.
+/// The queue to serve next by start-time fair queueing: that of the
+/// organisation with the least work served relative to its weight. Urgency
+/// orders calls only within an organisation, so that none gains by marking all
+/// its calls as urgent.
 OrganisationQueue* Next(AdmitState& state) {
   OrganisationQueue* next = nullptr;
   for (auto& [name, queue] : state.m_queues) {
@@ -235,7 +242,8 @@
   if (state.m_waiting >= std::max(most, kQueuePerSlot) &&
       !MakeRoom(state, queue, call.urgency(), actions))
     return {Refuse(ticket, "queue_full", needed)};
-  // An organisation that comes back has no claim on what it didn't use.
+  // An organisation that was idle gets no credit for the service it did not
+  // use.
   if (queue.m_calls.empty())
     queue.m_tag = std::max(queue.m_tag, state.m_tag);
   queue.m_arrived[urgency] += units;
@@ -278,7 +286,7 @@
 std::vector<AdmitAction> Tick(AdmitState& state,
                               uint32_t capacity,
                               TimePoint now) {
-  // A pool that grows is taken up at once: its targets refuse what is too much.
+  // Added capacity is used at once; targets refuse calls beyond their capacity.
   if (capacity > state.m_capacity)
     state.m_limit += capacity - state.m_capacity;
   state.m_capacity = capacity;
--- a/src/libverbenalead/decide/admit.h
+++ b/src/libverbenalead/decide/admit.h
@@ -15,79 +15,91 @@
 
 namespace verbenalead::decide {
 
-/// The calls of one pool that run or wait at this entry.
+/// Admission queue of one pool at this entry: its running and waiting calls.
 ///
-/// Made for twice the load that the pool can carry, with one organisation
-/// sending most of it: the others keep their share, urgent calls stay in time,
-/// and whoever can't be served hears so at once rather than after its deadline.
+/// Load: twice the capacity of the pool, most of it from one organisation.
+/// Harm: in one first-come, first-served queue, the calls of all organisations,
+/// urgent ones too, would wait until their deadlines had passed. Start-time
+/// fair queueing keeps each organisation's share of the pool, urgent calls go
+/// first within an organisation, and a call that can't meet its deadline is
+/// refused on arrival.
 struct AdmitState {
-  /// Calls that the pool can run at once, from the targets' reports.
+  /// Calls that the pool can run at once: the sum of the capacities that its
+  /// targets report.
   uint32_t m_capacity = 0;
-  /// Entries that place on the same targets.
+  /// Number of entries that send calls to the same targets.
   uint32_t m_entries = 8;
-  /// Calls that this entry may have under way. The entries don't talk about it:
-  /// each takes more while the targets take its calls, and steps back when a
-  /// target says that it is full.
+  /// Calls that this entry may run at once. The entries don't coordinate their
+  /// limits: each entry raises its own while the targets accept its calls, and
+  /// lowers it when the targets are full.
   double m_limit = 0;
   TimePoint m_lowered_at{};
   uint32_t m_running = 0;
   uint32_t m_waiting = 0;
   std::map<std::string, OrganisationQueue> m_queues;
-  /// Ticket -> the organisation whose queue holds it.
+  /// Organisation of each waiting call, by ticket.
   std::map<uint64_t, std::string> m_tickets;
-  /// Tag of the call that was started last.
+  /// Start tag of the call that was started last: the virtual time of the fair
+  /// queueing.
   double m_tag = 0;
   ServiceTime m_service;
-  /// Units served lately, fading.
+  /// Units of work completed, decayed exponentially with kArrivalsFadeIn.
   double m_served = 0;
   TimePoint m_faded_at{};
   TimePoint m_dropped_at{};
 };
 
-/// Calls that may wait for each that may run. What stands further back would
-/// wait for four whole services; only callers with minutes of patience gain by
-/// it, and each call that waits costs memory for its body (4 MB at most).
+/// Calls that may wait for each call that may run. A call further back would
+/// wait for four service times, which helps only callers whose deadlines are
+/// minutes away, and each waiting call keeps its body in memory (4 MB at most).
 constexpr uint32_t kQueuePerSlot = 4;
-/// Waits come out longer than estimated when service times vary. A call that is
-/// refused too early costs a caller one retry; one that is admitted in vain
-/// costs it its deadline.
+/// Factor on the estimated wait. Actual waits are longer than the estimate when
+/// service times vary. Refusing a call that would have been on time costs its
+/// caller one retry; admitting a call that will be late costs it its deadline.
 constexpr double kWaitMargin = 1.75;
-/// Step back of the limit when targets are full; at most one step in
-/// kLowerEvery, as a burst of refusals has one cause.
+/// Factor by which the limit falls when targets are full. It falls at most once
+/// in kLowerEvery, because refusals that arrive in a burst have one cause.
 constexpr double kLowerFactor = 0.9;
 constexpr Duration kLowerEvery = 50ms;
-/// Calls that the limit grows by for each round of calls that fit.
+/// Increase of the limit, in calls, after as many completed calls as the limit
+/// allows at once, counting only calls that end while the limit is reached.
 constexpr double kRaiseStep = 2;
-/// How fast the picture of what each organisation sends, and of what is served,
-/// fades, and how often it is brought up to date.
+/// Time constant of the exponential decay of the arrival and service rates, and
+/// the least time between two updates of the decayed sums.
 constexpr Duration kArrivalsFadeIn = 2s;
 constexpr Duration kFadeEvery = 10ms;
-/// The queue is searched for calls whose time is over this often: it holds
-/// thousands under load, and callers are promised to hear within 10 ms.
+/// Interval at which the queue is scanned for calls that can no longer meet
+/// their deadline. A scan on every event would be expensive, as the queue holds
+/// thousands of calls under load; refusals must reach callers within 10 ms.
 constexpr Duration kDropEvery = 5ms;
 constexpr Duration kLeastRetryAfter = 100ms;
 constexpr Duration kMostRetryAfter = std::chrono::seconds(30);
 constexpr Duration kRetryAfterNoTarget = 1s;
 
-/// A call has come: starts, waits, or is refused at once. `ticket` is unique.
+/// Handles the arrival of a call, which starts, waits or is refused at once.
+/// `ticket` identifies the call and must be unique.
 std::vector<AdmitAction> Arrive(AdmitState& state,
                                 uint64_t ticket,
                                 const model::Call& call,
                                 TimePoint now);
-/// A call that was started has been answered after `elapsed`, or, with nullopt,
-/// has ended without a whole answer, which says nothing of the service time.
+/// Handles the end of a started call. `elapsed` is the time to its complete
+/// answer; nullopt means that there was none, so that the call is no sample of
+/// the service time.
 std::vector<AdmitAction> Finish(AdmitState& state,
                                 double units,
                                 std::optional<Duration> elapsed,
                                 TimePoint now);
-/// A call that was started found all targets full: the entries together have
-/// too much under way. It keeps its slot and asks again after kFullPause.
+/// Lowers the limit after a started call has found all targets full: the
+/// entries together run more calls than the pool has slots. The call still
+/// counts as running, and the router retries it after kFullPause.
 void LowerLimit(AdmitState& state, TimePoint now);
-/// The capacity has changed, or time has passed.
+/// Sets the capacity, starts the calls that now fit, and refuses calls that can
+/// no longer meet their deadline. Called periodically and when capacity
+/// changes.
 std::vector<AdmitAction> Tick(AdmitState& state,
                               uint32_t capacity,
                               TimePoint now);
-/// The caller of a waiting call has gone.
+/// Removes a waiting call whose caller has disconnected.
 void Abandon(AdmitState& state, uint64_t ticket);
 
 }  // namespace verbenalead::decide
--- a/src/libverbenalead/decide/admit_action.h
+++ b/src/libverbenalead/decide/admit_action.h
@@ -8,13 +8,13 @@
 
 namespace verbenalead::decide {
 
-/// What admission tells its daemon to do with one call.
+/// The decision of the admission queue about one call: start it or refuse it.
 struct AdmitAction {
   enum class Kind { kStart, kRefuse };
   Kind m_kind = Kind::kStart;
-  /// The ticket that Arrive() was given.
+  /// The ticket of the call, as passed to Arrive().
   uint64_t m_ticket = 0;
-  /// Set for kRefuse.
+  /// Set for kRefuse, as is m_retry_after: the reason that the response gives.
   std::string m_reason;
   Duration m_retry_after{};
 
--- a/src/libverbenalead/decide/event_splitter.cc
+++ b/src/libverbenalead/decide/event_splitter.cc
@@ -3,7 +3,8 @@
 namespace verbenalead::decide {
 namespace {
 
-/// The end of the event that begins at `from`: past its blank line, or npos.
+/// Position after the blank line that ends the event beginning at `from`, or
+/// npos if the event is incomplete.
 size_t EndOfEvent(std::string_view text, size_t from) {
   while (true) {
     const size_t newline = text.find('\n', from);
@@ -18,7 +19,7 @@
   }
 }
 
-/// The value of the `id` field of one event, or "".
+/// The value of the `id` field of `event`, or "".
 std::string_view IdOf(std::string_view event) {
   constexpr std::string_view kField = "id:";
   size_t begin = 0;
--- a/src/libverbenalead/decide/event_splitter.h
+++ b/src/libverbenalead/decide/event_splitter.h
@@ -6,25 +6,26 @@
 
 namespace verbenalead::decide {
 
-/// Cuts the bytes of an event stream at whole events, and remembers the last
-/// one.
+/// Splits a stream of server-sent events into complete events and keeps the id
+/// of the last one, from which another replica can continue the stream.
 ///
-/// A replica may break off in the middle of an event. Were those bytes passed
-/// on, another replica's events could not follow them; so an event is passed on
-/// once it is whole, and what is left over at a break is dropped.
+/// The stream of a replica may break off in the middle of an event. If the
+/// partial event were forwarded to the caller, the events of another replica
+/// could not follow it. An event is therefore forwarded only when it is
+/// complete, and a partial event is discarded when the stream breaks off.
 struct EventSplitter {
-  /// The beginning of an event that isn't whole yet.
+  /// The received part of an incomplete event.
   std::string m_partial;
-  /// Id of the last whole event; empty: none yet.
+  /// Id of the last complete event that had one; empty if none had.
   std::string m_last_id;
   uint64_t m_events = 0;
 };
 
-/// Takes in `bytes` and returns the whole events that they complete, as they
-/// came.
+/// Appends `bytes` and returns the events that are now complete, byte for byte
+/// as received.
 std::string TakeEvents(EventSplitter& splitter, std::string_view bytes);
 
-/// Begins a new run of the same stream: the partial event is dropped.
+/// Discards the partial event, before another replica continues the stream.
 void DropPartial(EventSplitter& splitter);
 
 }  // namespace verbenalead::decide
--- a/src/libverbenalead/decide/event_splitter_test.cc
+++ b/src/libverbenalead/decide/event_splitter_test.cc
@@ -43,9 +43,10 @@
     CPPUNIT_ASSERT_EQUAL(std::string("7"), splitter.m_last_id);
   }
 
-  // Replicas break off anywhere, in the middle of an event too, and the next
-  // one goes on after the last whole event. Whatever the pieces and the breaks,
-  // the caller gets each event once and in order.
+  // Guards against lost, duplicate or corrupt events when a stream continues at
+  // another replica. Replicas break off at random positions, also within an
+  // event, and the next one continues after the last complete event; the bytes
+  // arrive in pieces of random size.
   void ASplicedStreamHasEachEventOnce() {
     const bool held = rc::check("splice", [] {
       const uint64_t last = *rc::gen::inRange<uint64_t>(1, 30);
--- a/src/libverbenalead/decide/fake_pool.h
+++ b/src/libverbenalead/decide/fake_pool.h
@@ -18,9 +18,10 @@
 #include "decide/retry.h"
 #include "model/call_builder.h"
 
-/// Entries that route calls to fake targets in virtual time, for the tests and
-/// benchmarks of the decision cores: the same events and actions as in the
-/// daemon, without a socket.
+/// Simulation of entries that route calls to fake targets in virtual time, for
+/// the tests and benchmarks of admission, placement and retries. The decision
+/// code gets the same events and returns the same actions as in the daemon,
+/// without sockets.
 namespace verbenalead::decide::fake {
 
 enum class Policy { kOurs, kRoundRobin, kRandom, kLeastReported, kOracle };
@@ -43,33 +44,36 @@
 
 struct PoolSettings {
   Policy m_policy = Policy::kOurs;
-  /// Without: calls start in their order, whoever sent them.
+  /// If false, calls start in order of arrival, regardless of their
+  /// organisation and urgency.
   bool m_admission = true;
   uint32_t m_entries = 8;
   uint32_t m_targets = 10;
-  /// Calls that a target runs at once, and those that it lets in; between the
-  /// two they wait in the engine, first come first served.
+  /// Calls that a target runs at once (m_slots) and calls that it admits
+  /// (m_gate). Admitted calls beyond m_slots wait in the engine in order of
+  /// arrival.
   uint32_t m_slots = 8;
   uint32_t m_gate = 10;
   Duration m_per_unit = 2ms;
-  /// Time to read a prefix that is not cached, and prefixes cached at most.
+  /// Time to process a prefix that is not cached, and the maximum number of
+  /// prefixes that a target caches.
   Duration m_prefill{};
   size_t m_cached = 0;
   Duration m_one_way = 1ms;
   Duration m_report_every = 250ms;
   Duration m_report_lag = 250ms;
-  /// Share of cache events that are lost; the rest come this late.
+  /// Fraction of cache events that are lost, and the delay of the others.
   double m_events_lost = 0.2;
   Duration m_event_lag = 1s;
   uint32_t m_slow_targets = 0;
   double m_slow_factor = 10;
-  /// The first of these targets break at m_dead_from.
+  /// Number of targets, counted from the first, that fail at m_dead_from.
   uint32_t m_dead_targets = 0;
   Duration m_dead_from{};
   uint64_t m_seed = 1;
 };
 
-/// What became of one call.
+/// The result of one call.
 struct CallRecord {
   model::Call m_call;
   TimePoint m_arrived{};
@@ -105,7 +109,8 @@
     Ticks();
   }
 
-  /// A call comes to a random entry at `at`; its timeout starts then.
+  /// Schedules the arrival of a call at a random entry at `at`. `timeout`
+  /// starts at that time.
   void Add(Duration at, model::CallBuilder builder, Duration timeout) {
     const TimePoint when = TimePoint{} + at;
     builder.Id(std::to_string(m_records.size())).Pool("p");
@@ -134,7 +139,7 @@
       work.push_back(target.m_work);
     return work;
   }
-  /// Calls that wait at an entry past their deadline.
+  /// Number of calls that still wait at an entry after their deadline.
   size_t overdue() const {
     size_t count = 0;
     for (const Entry& entry : m_entries) {
@@ -197,7 +202,7 @@
   }
 
   void SendReports(size_t target) {
-    // A dead target's last reports go on counting until they are stale.
+    // The last report of a failed target stays valid for kReportStale.
     if (!IsDead(target)) {
       const model::TargetReport report = ReportOf(target);
       At(m_now + m_settings.m_report_lag, [this, report] {
@@ -287,7 +292,8 @@
     return placement;
   }
 
-  /// Knows every cache and all work done as they are.
+  /// Chooses with exact knowledge of all caches, of the admitted calls and of
+  /// the work done: the upper bound for the other policies.
   std::optional<Placement> ChooseKnowing(const model::Call& call,
                                          const std::set<std::string>& tried) {
     double mean = UnitsOf(call);
@@ -466,7 +472,8 @@
     Carry(e, Finish(m_entries[e].m_admit, units, elapsed, m_now));
   }
 
-  /// No target had room: the call keeps its slot and asks again.
+  /// Handles a call for which no target had a free slot: the call still counts
+  /// as running and is sent again after kFullPause.
   void NoRoom(size_t call, size_t e, uint32_t number, TimePoint started) {
     if (m_now + kFullPause >= m_records[call].m_call.deadline() ||
         number > kMaxAttempts)
--- a/src/libverbenalead/decide/organisation_queue.h
+++ b/src/libverbenalead/decide/organisation_queue.h
@@ -11,7 +11,7 @@
 
 namespace verbenalead::decide {
 
-/// A call that waits. The order is the order of service within an
+/// A waiting call. Calls compare in the order of service within an
 /// organisation: the most urgent first, then the earliest deadline.
 struct WaitingCall {
   int m_urgency = model::kDefaultUrgency;
@@ -22,17 +22,18 @@
   friend auto operator<=>(const WaitingCall&, const WaitingCall&) = default;
 };
 
-/// The waiting calls of one organisation, and its standing among the others.
+/// The waiting calls of one organisation and its state for fair queueing.
 struct OrganisationQueue {
   static constexpr size_t kUrgencies = model::kLeastUrgent + 1;
 
   double m_weight = 1;
-  /// Start tag of start-time fair queueing: work served, by weight.
+  /// Start tag of start-time fair queueing: units of work served, divided by
+  /// m_weight.
   double m_tag = 0;
   std::set<WaitingCall> m_calls;
-  /// Units waiting, by urgency.
+  /// Units of work that wait, by urgency.
   std::array<double, kUrgencies> m_units{};
-  /// Units admitted lately, by urgency, fading.
+  /// Units of work admitted, by urgency, decayed with kArrivalsFadeIn.
   std::array<double, kUrgencies> m_arrived{};
 };
 
--- a/src/libverbenalead/decide/place.cc
+++ b/src/libverbenalead/decide/place.cc
@@ -9,13 +9,15 @@
 namespace verbenalead::decide {
 namespace {
 
-/// Load is compared in steps of this, so that near-equals are chosen among by
-/// chance: entries that see the same reports must not all take the same target.
+/// Range of the random number that is added to each load, so that the choice
+/// among almost equally loaded targets is random. Otherwise all entries that
+/// received the same reports would choose the same target.
 constexpr double kLoadStep = 0.02;
-/// A target is not asked to be emptier than this: its last answer may still be
-/// leaving the gate when the next call comes.
+/// Minimum of Placement::m_max_running. The gate of a target may still count a
+/// call whose answer has just been sent when the next call arrives, so that 0
+/// would cause refusals at an idle target.
 constexpr uint32_t kLeastMaxRunning = 1;
-/// Weight of one call in the mean time of a call.
+/// Weight of one call in the mean duration and the mean work of a call.
 constexpr double kMeanDecay = 0.01;
 
 bool IsServing(const TargetView& target, TimePoint now) {
@@ -29,19 +31,21 @@
          now >= target.m_full_until;
 }
 
-/// An ejected target whose time is over gets one call to show itself.
+/// Whether to send one call to an ejected target, whose ejection has ended, to
+/// check whether it has recovered.
 bool WantsProbe(const TargetView& target, TimePoint now) {
   return target.m_health.m_ejected && IsServing(target, now) &&
          now >= target.m_health.m_ejected_until && target.m_in_flight == 0;
 }
 
-/// The mean over the targets that may be chosen.
+/// Means over the usable targets.
 struct PoolMean {
   double m_others = 0;
   double m_own = 0;
   double m_work = 0;
   size_t m_count = 0;
-  /// Worth of what was heard of others, for each nanosecond of its age.
+  /// Decay of the reported number of other entries' attempts, for each
+  /// nanosecond of its age.
   double m_fade = 0;
 };
 
@@ -67,9 +71,11 @@
   return mean;
 }
 
-/// Attempts that run there: our own as they are, others' as last heard, drawn
-/// towards the pool's mean with age. Old news is not read as idleness: that
-/// would send every entry to whichever target has been silent longest.
+/// Estimated number of attempts that run at `target`: the exact count of this
+/// entry's attempts plus the last known count of the others', which moves
+/// towards the mean of the pool as it ages. If it moved towards zero instead,
+/// every entry would choose the target that has not reported for the longest
+/// time.
 double RunningNow(const TargetView& target,
                   const PoolMean& mean,
                   TimePoint now) {
@@ -91,8 +97,9 @@
   return hash ^ hash >> 31;
 }
 
-/// Room for a call that comes for its prefix. Work may always reach the mean:
-/// with few calls the bound would else forbid any choice.
+/// Whether `target` may be chosen for a prefix. A call may always raise the
+/// work of a target to the mean plus the call itself: with few calls,
+/// kWorkBound alone would exclude every target.
 bool WithinBounds(const TargetView& target,
                   const PoolMean& mean,
                   double units) {
@@ -113,11 +120,13 @@
   return placement;
 }
 
-/// The target whose cache holds the call's prefix, or is the one to hold it:
-/// the first by rendezvous hash that has room. All entries hash alike, so a
-/// prefix meets the same few caches wherever its callers connect, without any
-/// news among entries; where one of these targets is full, all overflow to the
-/// same next one, and a popular prefix spreads no further than it must.
+/// The target whose cache contains the prefix of the call or, if there is none,
+/// should contain it: the first usable target within bounds in the order of the
+/// rendezvous hash. All entries use the same hash, so that calls with one
+/// prefix reach the same few caches at whichever entry they arrive, without
+/// communication between entries. When one of these targets is full, all
+/// entries overflow to the same next one, and a popular prefix spreads to as
+/// few targets as necessary.
 const TargetView* ChooseByPrefix(const PlaceState& state,
                                  const PoolMean& mean,
                                  const model::Call& call,
@@ -141,7 +150,7 @@
   return best;
 }
 
-/// The emptiest target; among near-equals any, by chance.
+/// The least loaded target; random among almost equally loaded ones.
 const TargetView* ChooseByLoad(const PlaceState& state,
                                const PoolMean& mean,
                                const std::set<std::string>& tried,
@@ -153,7 +162,8 @@
   for (const TargetView& target : state.m_targets) {
     if (!IsUsable(target, now) || tried.contains(target.m_report.m_name))
       continue;
-    // One draw for the call; its mix with the name serves as one for each.
+    // One random number for the call, mixed with the hash of the target's name,
+    // replaces a random number for each target.
     const double chance =
         static_cast<double>((draw ^ target.m_hash) * kMixFactor >> 32) *
         0x1p-32;
@@ -166,14 +176,15 @@
   return best;
 }
 
-/// How many may run at the target that is to take `call`. The mean is the part
-/// of the reports that lags least: it changes with the whole pool's load only.
+/// How many calls may already run at the target when `call` arrives. The limit
+/// is derived from the mean over the pool, which is the most current value in
+/// the reports: it changes only with the load of the whole pool.
 uint32_t MaxRunning(const PlaceState& state,
                     const PoolMean& mean,
                     const model::Call& call,
                     const std::set<std::string>& tried,
                     Duration waited) {
-  // Nowhere else to go.
+  // No other target is left.
   if (tried.size() + 1 >= mean.m_count)
     return UINT32_MAX;
   const auto running = std::max(
@@ -190,8 +201,9 @@
   return std::max(running, kLongMargin + kLeastMaxRunning) - kLongMargin;
 }
 
-/// A probe may cost its caller the wait for a slow target, so calls that must
-/// not be late or run twice are spared.
+/// The target to probe with `call`, or nullptr. A probe may be delayed by a
+/// slow target or may have to be retried, so calls that are urgent or not
+/// idempotent are not used as probes.
 const TargetView* ChooseToProbe(const PlaceState& state,
                                 const model::Call& call,
                                 const std::set<std::string>& tried,
@@ -205,9 +217,10 @@
   return nullptr;
 }
 
-/// With every target ejected the fault may well be ours (our link was down):
-/// the one that was ejected first is asked, lest nobody is until the longest
-/// ejection ends.
+/// The idle target whose ejection ends first, for use when all targets are
+/// ejected. The cause is then probably on the side of this entry, such as a
+/// failed link; without this choice, no call would run until an ejection ends,
+/// which may take kLongestEjection.
 const TargetView* ChooseEjected(const PlaceState& state,
                                 const std::set<std::string>& tried,
                                 TimePoint now) {
@@ -224,7 +237,7 @@
   return best;
 }
 
-/// Whether any target may be chosen without being a probe.
+/// Whether any serving target is not ejected.
 bool AnyInRotation(const PlaceState& state, TimePoint now) {
   return std::any_of(state.m_targets.begin(), state.m_targets.end(),
                      [&](const TargetView& target) {
@@ -409,7 +422,8 @@
     else
       capacity += target.m_report.m_capacity;
   }
-  // One probe each, so that calls go on coming while all are ejected.
+  // While all targets are ejected, each can run one probe; with a capacity of
+  // 0, admission would refuse all calls, and no target could be reinstated.
   return capacity > 0 ? capacity : ejected;
 }
 
--- a/src/libverbenalead/decide/place.h
+++ b/src/libverbenalead/decide/place.h
@@ -21,65 +21,77 @@
 
 using Random = std::minstd_rand;
 
-/// The targets of one pool.
+/// The targets of one pool, as this entry sees them, for the choice of the
+/// target of each attempt.
 ///
-/// Made for several entries that place on the same targets without talking to
-/// each other, by reports that lag. Own attempts count in full, others' by the
-/// report's age; prefixes choose their targets by hash, alike at every entry.
+/// Load: several entries choose among the same targets without coordination,
+/// from reports that lag.
+/// Harm: entries that trust the same old reports would all send to the same
+/// target. The attempts of this entry therefore count in full and those of
+/// others are discounted by the age of the report. A prompt prefix is mapped to
+/// targets by hash, the same way at every entry, so that its calls share a
+/// cache.
 struct PlaceState {
   std::vector<TargetView> m_targets;
   std::unordered_map<std::string, size_t> m_index;
-  /// Time per unit of work over the whole pool.
+  /// Mean time per unit of work over all targets of the pool.
   ServiceTime m_service;
-  /// Decayed mean time of a call, in seconds.
+  /// Decayed mean duration of a call, in seconds.
   double m_mean_seconds = 0;
-  /// Decayed mean work of a call.
+  /// Decayed mean work of a call, in units.
   double m_mean_units = 0;
   PrefixIndex m_prefixes;
   TimePoint m_halved_at{};
 };
 
-/// A report older than this no longer counts as a sign of life. A connection
-/// that goes silent costs 1.5 s of a question held back, 2 s until the silence
-/// is found, and up to 1.25 s until the next answer: a limit below that would
-/// take every target behind one dead connection out of use. A host that dies
-/// meanwhile is found sooner by the attempts that fail there.
+/// A target whose last report is older than this is not used. When a connection
+/// goes silent, the next report may be late by 1.5 s for the long poll, 2 s
+/// until the silence is detected and up to 1.25 s until the next answer; a
+/// shorter limit would take every target behind one dead connection out of use.
+/// A host that fails meanwhile is detected sooner by the attempts that fail
+/// there.
 constexpr Duration kReportStale = 6s;
-/// A report's count of others' attempts loses its worth about as fast as calls
-/// end; before any was measured, as fast as this.
+/// Decay time of a reported count of other entries' attempts, used until the
+/// duration of a call has been measured. From then on the mean duration of a
+/// call is used, as the count changes about as fast as calls end.
 constexpr Duration kLoadFades = 200ms;
-/// A full target has room again when one of its calls ends. Until then it is
-/// not asked again: asking costs a round trip and delays the call.
+/// Time for which a target that reported itself full is not used. It has a free
+/// slot when one of its calls ends; an earlier attempt would be refused, which
+/// costs a round trip and delays the call.
 constexpr Duration kFullPause = 20ms;
-/// No target is given more than this over the mean work, by what this entry has
-/// sent lately. As each entry holds to it, so does their sum. The users' limit
-/// is 1.25.
+/// A target is chosen for a prefix only while its recent work from this entry
+/// is below this multiple of the mean over the targets. If each entry keeps to
+/// the bound, so does their sum; the limit required of the whole pool is 1.25.
 constexpr double kWorkBound = 1.15;
-/// Nor may it, at the moment, have more of our own attempts than the mean and
-/// these: a prefix that many callers send at once spreads to a second target.
+/// A target is chosen for a prefix only while it runs fewer of this entry's
+/// attempts than the mean plus this number, so that a prefix that many callers
+/// send at once spreads to a second target.
 constexpr double kOwnBound = 4;
-/// How fast work counts as past.
+/// Interval at which the counts of recent work are halved.
 constexpr Duration kHalveWorkEvery = std::chrono::seconds(5);
 
-/// A call waits for a good place for this part of its own expected time at
-/// most, and then takes any: so waiting costs each call the same share.
+/// A call waits for a lightly loaded target for at most this fraction of its
+/// own expected duration, and then accepts any target with a free slot. The
+/// added latency is thus the same fraction for short and long calls.
 constexpr double kPatience = 0.5;
-/// A call with this many times the mean work counts as long.
+/// A call with more than this many times the mean work counts as long.
 constexpr double kLongFactor = 2;
-/// A long call goes only where this many fewer calls run than on average. A
-/// long call that takes the last free slot makes each short one behind it wait
-/// many times its own length; the long one hardly feels the wait.
+/// A long call is sent only to a target that runs this many fewer calls than
+/// the average. If a long call takes the last free slot, each short call behind
+/// it waits for many times its own duration, whereas waiting adds little to the
+/// latency of the long call.
 constexpr uint32_t kLongMargin = 3;
 
-/// Takes in a report. One of an older incarnation than the known one is
-/// dropped, and `leaving` never reverts within an incarnation.
+/// Applies a report of a target. A report of an older incarnation than the
+/// known one is ignored, and `m_leaving` is never reset within an incarnation.
 void Report(PlaceState& state,
             const model::TargetReport& report,
             TimePoint now);
 void RemoveTarget(PlaceState& state, const std::string& name);
 
-/// The target for `call`, or nullopt if none can take it now. Targets in
-/// `tried` are left out. `waited`: since the call was first to be placed.
+/// Chooses the target for `call`; nullopt if none can accept it now. Targets in
+/// `tried` are excluded. `waited` is the time since the first choice for this
+/// call.
 std::optional<Placement> Place(const PlaceState& state,
                                const model::Call& call,
                                const std::set<std::string>& tried,
@@ -87,17 +99,18 @@
                                TimePoint now,
                                Random& random);
 
-/// How an attempt ended, as far as it speaks of its target.
+/// What the end of an attempt shows about the state of its target.
 enum class TargetSign {
-  kGood,     ///< It answered.
-  kFull,     ///< It had no room.
-  kBusier,   ///< It had more under way than the placement allows.
-  kRefused,  ///< It did not run the call for another reason, at once.
-  kFailed,   ///< It ran the call and failed.
-  kBroken,   ///< The connection or the answer broke.
+  kGood,     ///< The target answered.
+  kFull,     ///< The target had no free slot.
+  kBusier,   ///< The target ran more than Placement::m_max_running calls.
+  kRefused,  ///< The target refused the call at once for another reason.
+  kFailed,   ///< The target ran the call, which failed.
+  kBroken,   ///< The connection or the answer broke off.
 };
 
-/// An attempt has been sent to or has ended at `target`.
+/// Records that an attempt has been sent to `target`, or has ended there after
+/// `elapsed`.
 void AttemptSent(PlaceState& state,
                  const std::string& target,
                  const model::Call& call,
@@ -109,15 +122,15 @@
                   Duration elapsed,
                   TimePoint now);
 
-/// An answer of `target`, of whatever kind, said how many attempts ran there.
-/// It is fresher than any report.
+/// Records the number of attempts that run at `target`, as given in an answer
+/// or a refusal of the target. The number is newer than that of any report.
 void LoadSeen(PlaceState& state,
               const std::string& target,
               uint32_t running,
               TimePoint now);
 
-/// An engine's cache event, however late: `prefix` is cached or was evicted at
-/// `when`.
+/// Records a cache event of an engine: `prefix` was cached or evicted at
+/// `when`. The event may arrive late.
 void PrefixCached(PlaceState& state,
                   const std::string& target,
                   uint64_t prefix,
@@ -127,7 +140,7 @@
                    uint64_t prefix,
                    TimePoint when);
 
-/// Attempts that the usable targets can run at once.
+/// Number of attempts that the usable targets can run at once.
 uint32_t UsableCapacity(const PlaceState& state, TimePoint now);
 
 }  // namespace verbenalead::decide
--- a/src/libverbenalead/decide/place_bench.cc
+++ b/src/libverbenalead/decide/place_bench.cc
@@ -1,4 +1,4 @@
-/// Prints how long one placement takes:
+/// Prints the mean time of one placement, by load and by prefix:
 ///
 ///     bench=decide decision=place targets=200 by=load us=...
 #include <cstdio>
--- a/src/libverbenalead/decide/placement.h
+++ b/src/libverbenalead/decide/placement.h
@@ -9,18 +9,19 @@
 
 namespace verbenalead::decide {
 
-/// Where one attempt goes.
+/// The target chosen for one attempt.
 struct Placement {
   std::string m_target;
   Endpoint m_peer;
   uint64_t m_incarnation = 0;
   Digest m_digest;
   std::string m_version;
-  /// Why this one, for the log.
+  /// Why this target was chosen, for the log.
   std::string m_reason;
-  /// The target is to refuse the attempt, as not run, if more than this many
-  /// run there already. Reports lag, and its gate alone knows: a refusal costs
-  /// one round trip, a wrong guess the wait behind a long call.
+  /// The target refuses the attempt without running it if more than this many
+  /// attempts already run there. Reports lag, and only the target's gate has
+  /// the current count: a refusal costs one round trip, an attempt at an
+  /// overloaded target costs the wait behind a long call.
   uint32_t m_max_running = UINT32_MAX;
 };
 
--- a/src/libverbenalead/decide/prefix_index.cc
+++ b/src/libverbenalead/decide/prefix_index.cc
@@ -17,7 +17,9 @@
     entry =
         entry->second.empty() ? index.m_holders.erase(entry) : std::next(entry);
   }
-  // All are young: placement goes on by hash alone, and learns them anew.
+  // No entry has expired and the index is still full. Without it, placement
+  // uses the rendezvous hash alone, until later calls and events fill the index
+  // again.
   if (index.m_holders.size() >= kMaxPrefixes)
     index.m_holders.clear();
 }
--- a/src/libverbenalead/decide/prefix_index.h
+++ b/src/libverbenalead/decide/prefix_index.h
@@ -9,48 +9,52 @@
 
 namespace verbenalead::decide {
 
-/// A target that is believed to hold a prefix, and when this was last known: by
-/// a call that was sent there, or by an event of its engine.
+/// A target that probably has a prefix in its cache.
 struct PrefixHolder {
-  /// Hash of its name.
+  /// Hash of the target's name.
   uint64_t m_target = 0;
+  /// Time of the last evidence: a call with the prefix that was sent to the
+  /// target, or a cache event of its engine.
   TimePoint m_known_at{};
 };
 
-/// The prompt prefixes that a pool's targets are believed to hold.
+/// The prompt prefixes that the targets of a pool probably have in their
+/// caches.
 ///
-/// Made for engines whose events come late and with gaps, and whose memory is
-/// limited: an eviction may never be heard of. So a belief fades with its age
-/// instead of lasting until an event ends it.
+/// Used to send a call to a target that need not compute its prefix again.
+/// Cache events of engines arrive late and some are lost, so the eviction of a
+/// prefix may never be reported: an entry expires with its age instead of
+/// lasting until an eviction event.
 struct PrefixIndex {
   std::unordered_map<uint64_t, std::vector<PrefixHolder>> m_holders;
   TimePoint m_swept_at{};
 };
 
-/// A belief older than this counts for nothing: an engine's cache under load
-/// turns over in a few minutes.
+/// Lifetime of an entry of the index: under load, an engine replaces the
+/// contents of its cache within a few minutes.
 constexpr Duration kPrefixForgotten = std::chrono::minutes(2);
-/// Prefixes remembered at most: about 5 MB for each pool.
+/// Maximum number of prefixes in the index: about 5 MB for each pool.
 constexpr size_t kMaxPrefixes = 50000;
 
-/// `prefix` was on `target` at `when`; older news than what is known is
-/// ignored.
+/// Records that `prefix` was in the cache of `target` at `when`. Evidence older
+/// than the recorded one is ignored.
 void NotePrefix(PrefixIndex& index,
                 uint64_t prefix,
                 uint64_t target,
                 TimePoint when);
-/// `prefix` was evicted at `when`; a use since then has brought it back.
+/// Records that `target` evicted `prefix` at `when`. Ignored if the prefix has
+/// been used at the target since then, as the use has cached it again.
 void NoteEviction(PrefixIndex& index,
                   uint64_t prefix,
                   uint64_t target,
                   TimePoint when);
-/// `target` has lost its memory.
+/// Removes all entries of `target`, whose cache was lost in a restart.
 void ForgetTarget(PrefixIndex& index, uint64_t target);
-/// Those that are believed to hold `prefix`, or nullptr.
+/// The targets that probably have `prefix` in their caches, or nullptr. Expired
+/// entries may be among them.
 const std::vector<PrefixHolder>* HoldersOf(const PrefixIndex& index,
                                            uint64_t prefix);
-/// Whether `target` is among `holders`, which may be nullptr; beliefs that are
-/// too old count for nothing.
+/// Whether `target` has an unexpired entry in `holders`, which may be nullptr.
 bool Holds(const std::vector<PrefixHolder>* holders,
            uint64_t target,
            TimePoint now);
--- a/src/libverbenalead/decide/quarantine.h
+++ b/src/libverbenalead/decide/quarantine.h
@@ -11,9 +11,9 @@
 
 namespace verbenalead::decide {
 
-/// A target crashed while it ran the request with this key.
+/// Record of the crash of a target while it ran a request.
 struct CrashNote {
-  /// model::Call::fingerprint().
+  /// Key of the request: model::Call::fingerprint() or RequestKey().
   uint64_t m_key = 0;
   std::string m_target;
   TimePoint m_at{};
@@ -21,60 +21,70 @@
   friend auto operator<=>(const CrashNote&, const CrashNote&) = default;
 };
 
-/// When a request is set aside, and for how long.
+/// When a request is quarantined, and for how long.
 struct QuarantineLimits {
+  /// Number of different targets that must crash under a request.
   size_t m_crashes = 2;
-  /// Long enough that whoever sends it again in a loop gives up or is asked
-  /// why; a version that is mended meanwhile serves it then.
+  /// Long enough for a client that retries in a loop to stop or to be noticed.
+  /// Afterwards the request runs again, on a corrected version if one has been
+  /// deployed.
   Duration m_hold = std::chrono::minutes(10);
 
   friend bool operator==(const QuarantineLimits&,
                          const QuarantineLimits&) = default;
 };
 
-/// Requests under which targets crash.
+/// Requests under which targets have crashed, for the refusal of those that
+/// caused the crashes.
 ///
-/// Made for the one request that crashes each target that runs it, and whose
-/// caller sends it again: retried, it takes a pool down target by target. A
-/// target that crashes for reasons of its own takes many requests with it, but
-/// each of them only once; a request under which two targets crashed, or as
-/// many as the limits say, is set aside. So it costs no more targets than that,
-/// over all entries that have heard of it.
+/// Load: a request that crashes each target that runs it, sent again and again
+/// by its caller.
+/// Harm: retries of the request would take down the pool target by target. A
+/// target that crashes for another reason aborts many requests, but each of
+/// them only once; a request under which QuarantineLimits::m_crashes targets
+/// have crashed is therefore refused. All entries that have received the crash
+/// records refuse it, so that it crashes no more targets.
 struct QuarantineState {
   QuarantineLimits m_limits;
-  /// Key -> target -> when it crashed last.
+  /// Time of the last crash, by key of the request and name of the target.
   std::map<uint64_t, std::map<std::string, TimePoint>> m_crashes;
-  /// Not yet told to the other entries.
+  /// Crashes seen by this entry that have not been sent to the other entries.
   std::vector<CrashNote> m_news;
-  /// Requests that ran well though a target had crashed under them, and when:
-  /// what others tell late doesn't bring the blame back.
+  /// Requests that succeeded after a target had crashed under them, and when. A
+  /// crash record that another entry sends late doesn't count against them.
   std::map<uint64_t, TimePoint> m_cleared;
 };
 
-/// When a data centre fails, each request that ran there leaves a note: 20,000
-/// of them take about 4 MB. Beyond, the oldest knowledge isn't worth more.
+/// Maximum number of requests in each map and of unsent crash records. When a
+/// data centre fails, each request that ran there leaves a record; 20,000 of
+/// them take about 4 MB. At that number, new records are dropped until older
+/// ones have expired.
 constexpr size_t kMaxKeys = 20000;
 
-/// A target crashed under `key`: kept, and told to the others.
+/// Records that `target` crashed while it ran the request with `key`, and
+/// queues the record for the other entries.
 void NoteCrash(QuarantineState& state,
                uint64_t key,
                const std::string& target,
                TimePoint now);
-/// What identifies a request when it comes again, the same in every process.
+/// Key that identifies a request when it is sent again; the same in every
+/// process.
 uint64_t RequestKey(const std::string& organisation,
                     const std::string& method,
                     const std::string& path,
                     const std::string& body);
-/// The request ran well: what crashed under it before had another cause. So a
-/// request that is sent over and over, as status checks are, isn't blamed for
-/// the hosts that happened to die under it.
+/// Records that the request succeeded, which clears its crashes: they had
+/// another cause. Otherwise a request that is sent periodically, such as a
+/// status check, would be quarantined after some hosts had failed while they
+/// ran it.
 void NoteSuccess(QuarantineState& state, uint64_t key, TimePoint now);
-/// Whether the request with `key` must not run now.
+/// Whether the request with `key` is in quarantine and must not run.
 bool IsSetAside(const QuarantineState& state, uint64_t key, TimePoint now);
-/// What is to be told to the other entries; each note is handed out once.
+/// Returns and clears the crash records to send to the other entries.
 std::vector<CrashNote> News(QuarantineState& state);
-/// Takes in what another entry tells, in any order and any number of times. It
-/// is not told on: each entry tells all.
+/// Merges crash records of another entry, which may arrive in any order and
+/// more than once. They are not forwarded: each entry sends its own records to
+/// all other entries.
 void Merge(QuarantineState& state,
            const std::vector<CrashNote>& notes,
            TimePoint now);
--- a/src/libverbenalead/decide/quarantine_test.cc
+++ b/src/libverbenalead/decide/quarantine_test.cc
@@ -20,8 +20,9 @@
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // The other callers keep their targets. A request crashes one target through
-  // each of two entries; once they have told each other, both refuse it.
+  // Guards against a request that takes down targets through several entries:
+  // it crashes one target through each of two entries. After an exchange of
+  // their crash records, both entries must refuse it.
   void SetAsideAtEveryEntry() {
     QuarantineState a, b;
     NoteCrash(a, 7, "t1", kStart);
@@ -45,8 +46,8 @@
     }
   }
 
-  // A status check that is sent over and over goes on. Two hosts die under it,
-  // minutes apart; in between it was answered.
+  // Guards against the quarantine of a status check that is sent periodically:
+  // two hosts fail while they run it, but it succeeded in between.
   void SuccessClearsTheRequest() {
     QuarantineState state;
     NoteCrash(state, 7, "t1", kStart);
--- a/src/libverbenalead/decide/rendezvous.h
+++ b/src/libverbenalead/decide/rendezvous.h
@@ -10,7 +10,7 @@
 
 namespace verbenalead::decide {
 
-/// The two halves of MixHash, for loops over many numbers.
+/// The two steps of MixHash(), for loops that hash many numbers with one name.
 uint64_t HashName(std::string_view name);
 inline uint64_t MixNumber(uint64_t name_hash, uint64_t number) {
   // The finaliser of SplitMix64.
@@ -24,10 +24,12 @@
 uint64_t MixHash(std::string_view name, uint64_t number);
 
 /// The name among `names` with the highest hash for `number` (rendezvous
-/// hashing): when one name goes, only its own numbers move. "" if none.
+/// hashing): when a name is removed, only the numbers mapped to it are mapped
+/// to other names. "" if `names` is empty.
 std::string RendezvousChoice(const std::vector<std::string>& names,
                              uint64_t number);
-/// The same over members, as an index; `members` isn't empty.
+/// The same for the names of `members`, as an index. `members` must not be
+/// empty.
 size_t RendezvousIndex(const std::vector<TransferMember>& members,
                        uint64_t number);
 
--- a/src/libverbenalead/decide/retry.cc
+++ b/src/libverbenalead/decide/retry.cc
@@ -17,8 +17,8 @@
   return model::Outcome::kUnknown;
 }
 
-/// Safe: it did not run, or running it twice does no harm and nothing of an
-/// answer was shown.
+/// Whether the call can be retried safely: the attempt did not run, or the call
+/// is idempotent and no part of an answer has been sent to the caller.
 bool IsSafe(const model::Call& call, const EndedAttempt& attempt) {
   if (attempt.m_end == AttemptEnd::kNotRun)
     return true;
--- a/src/libverbenalead/decide/retry.h
+++ b/src/libverbenalead/decide/retry.h
@@ -10,41 +10,44 @@
 
 namespace verbenalead::decide {
 
-/// How an attempt ended, as far as the entry can know.
+/// How an attempt ended, as far as the entry can determine.
 enum class AttemptEnd {
   kCompleted,  ///< The whole answer arrived.
-  kNotRun,     ///< It did not run and never will.
-  kFailed,     ///< The target says that it ran and failed.
-  kDoubtful,   ///< It may have run.
+  kNotRun,     ///< The attempt did not run and never will.
+  kFailed,     ///< The target reported that the attempt ran and failed.
+  kDoubtful,   ///< The attempt may have run.
 };
 
-/// What to do after an attempt has ended.
+/// Whether to retry a call after an attempt has ended.
 struct RetryDecision {
   bool m_retry = false;
-  /// A retry was safe and worthwhile, but the budget was spent.
+  /// A retry was safe and allowed, but the retry budget was exhausted.
   bool m_over_budget = false;
-  /// Without a retry: what the caller is told.
+  /// Without a retry: the outcome reported to the caller.
   model::Outcome m_outcome = model::Outcome::kCompleted;
 };
 
-/// Attempts of one call at most. Each is another target; if three could not
-/// take it, a fourth is unlikely to, and the caller has waited enough.
+/// Maximum number of attempts of a call. Each goes to another target: if three
+/// targets could not run the call, a fourth is unlikely to, and a further
+/// attempt would only delay the error.
 constexpr uint32_t kMaxAttempts = 3;
 
-/// What is known of an attempt that has ended.
+/// Facts about an ended attempt that decide on a retry.
 struct EndedAttempt {
   AttemptEnd m_end = AttemptEnd::kDoubtful;
-  /// Attempts of the call so far, this one included.
+  /// Number of attempts of the call so far, including this one.
   uint32_t m_number = 1;
-  /// Any byte has gone to the caller: a second attempt's answer must not be
-  /// spliced onto it.
+  /// Some bytes of the answer have been sent to the caller, so that the answer
+  /// of a second attempt can't be appended.
   bool m_answer_begun = false;
-  /// The target itself said at once that it did not run the call. Asking the
-  /// next one costs a round trip and no work, so it is free of the budget.
+  /// The target refused the call at once, without running it. Sending the call
+  /// to the next target costs a round trip and no work, so this retry is not
+  /// charged to the budget.
   bool m_turned_away = false;
 };
 
-/// Decides on the call's next step. A retry takes its token from `budget`.
+/// Decides whether to retry `call` after `attempt`. A retry takes a token from
+/// `budget`, except after a refusal (m_turned_away).
 RetryDecision AfterAttempt(const model::Call& call,
                            const EndedAttempt& attempt,
                            RetryBudget& budget,
--- a/src/libverbenalead/decide/retry_budget.h
+++ b/src/libverbenalead/decide/retry_budget.h
@@ -5,21 +5,24 @@
 
 namespace verbenalead::decide {
 
-/// A token bucket that allows retries as a share of first attempts.
+/// A token bucket that limits retries to a share of the first attempts.
 ///
-/// Made for the outage of half a pool. Without it every call there tries three
-/// targets, and the half that still works gets up to three times its load just
-/// when it has twice the usual; with it all attempts stay under 1.1 per call.
+/// Load: an outage of half of a pool, in which calls to the failed half are
+/// retried.
+/// Harm: without the limit, each call would be attempted at up to three
+/// targets, and the working half, whose usual load has already doubled, would
+/// receive up to three times that load. With the limit there are fewer than 1.1
+/// attempts per call.
 struct RetryBudget {
   double m_tokens = 10;
 };
 
-/// Retries for each first attempt. A target that dies in ordinary times fails a
-/// few calls in a thousand, far below; a tenth of the load is what a pool at
-/// 0.9 has to spare.
+/// Retries allowed for each first attempt. The failure of a single target fails
+/// a few calls in a thousand, far fewer than this; a pool at 0.9 of its
+/// capacity has a tenth to spare for retries.
 constexpr double kRetriesPerAttempt = 0.09;
-/// What a quiet time may save up: enough for the calls that one target was
-/// running when it died.
+/// Capacity of the bucket: enough to retry the calls that one target was
+/// running when it failed.
 constexpr double kMaxRetryTokens = 10;
 
 inline void CountFirstAttempt(RetryBudget& budget) {
@@ -27,7 +30,7 @@
       std::min(kMaxRetryTokens, budget.m_tokens + kRetriesPerAttempt);
 }
 
-/// Whether a retry may be made now; takes its token.
+/// Takes the token of one retry. Returns whether the budget had one.
 inline bool TakeRetry(RetryBudget& budget) {
   if (budget.m_tokens < 1)
     return false;
--- a/src/libverbenalead/decide/retry_window.cc
+++ b/src/libverbenalead/decide/retry_window.cc
@@ -5,8 +5,8 @@
 namespace verbenalead::decide {
 namespace {
 
-/// Parts of the allowance that are used. The rest covers repeats that arrive in
-/// another window than the one they were counted in.
+/// Fraction of the allowance that is used. The rest covers retries that arrive
+/// in a later window than the one in which they were counted.
 constexpr double kUsedShare = 0.8;
 
 int64_t PartNumber(const RetryAllowance& allowance, TimePoint now) {
--- a/src/libverbenalead/decide/retry_window.h
+++ b/src/libverbenalead/decide/retry_window.h
@@ -8,11 +8,12 @@
 
 namespace verbenalead::decide {
 
-/// What all entries together may repeat at one service within a window.
+/// Limit on the retries that all entries together send to one service within a
+/// sliding window.
 struct RetryAllowance {
-  /// Repeats for each call.
+  /// Retries allowed for each call.
   double m_ratio = 0.2;
-  /// Repeats beyond that.
+  /// Retries allowed in addition, for all entries together.
   double m_slack = 100;
   Duration m_window = 10s;
 
@@ -20,13 +21,15 @@
                          const RetryAllowance&) = default;
 };
 
-/// One entry's calls and repeats at one service, in parts of a window.
+/// Counts of the calls and retries of one entry at one service, for a sliding
+/// window that is divided into parts.
 ///
-/// Made for the failure of many replicas at once: each entry repeats what it
-/// lost, and together they press the rest with several times the usual load.
-/// The slack is split evenly between the entries that may exist, and the ratio
-/// counts the entry's own calls, so that the sum keeps to the allowance without
-/// a word between them.
+/// Load: many replicas fail at once, and each entry retries the calls it lost.
+/// Harm: without a limit, the retries of all entries would load the remaining
+/// replicas with several times the usual rate. Each entry applies the ratio to
+/// its own calls and takes an equal share of the slack, computed from the
+/// maximum number of entries, so that the total keeps to the allowance without
+/// any communication between entries.
 struct RetryWindow {
   static constexpr size_t kParts = 10;
   struct Part {
@@ -34,16 +37,16 @@
     uint32_t m_calls = 0;
     uint32_t m_repeats = 0;
   };
-  /// One part more than a window, so that a repeat leaves the count only after
-  /// a whole window.
+  /// Ring of one part more than a window has, so that a retry is counted for at
+  /// least a whole window.
   std::array<Part, kParts + 1> m_parts{};
 };
 
 void CountCall(RetryWindow& window,
                const RetryAllowance& allowance,
                TimePoint now);
-/// Whether one more repeat may be sent; takes it. `entries`: how many entries
-/// may exist at most.
+/// Counts one more retry if the allowance permits it, and returns whether it
+/// does. `entries` is the maximum number of entries.
 bool TakeRepeat(RetryWindow& window,
                 const RetryAllowance& allowance,
                 uint32_t entries,
--- a/src/libverbenalead/decide/retry_window_test.cc
+++ b/src/libverbenalead/decide/retry_window_test.cc
@@ -38,9 +38,10 @@
     CPPUNIT_ASSERT(TakeRepeat(window, allowance, kEntries, kStart + 12s));
   }
 
-  // Replicas fail and every entry repeats all it can, at any times. In no
-  // window do the repeats of all entries exceed the ratio of their calls plus
-  // the slack, whichever span of that length one looks at.
+  // Guards against a retry storm after the failure of replicas: every entry
+  // sends as many retries as it may, at random times. In any interval of the
+  // length of the window, the retries of all entries must not exceed the ratio
+  // of their calls plus the slack.
   void AllEntriesTogetherKeepToTheAllowance() {
     const bool held = rc::check("allowance", [] {
       const RetryAllowance allowance{0.2, 40, 10s};
--- a/src/libverbenalead/decide/route_table.h
+++ b/src/libverbenalead/decide/route_table.h
@@ -11,7 +11,8 @@
 
 namespace verbenalead::decide {
 
-/// One configuration, laid out for look-ups.
+/// One routing configuration, indexed for look-ups by host and path, API key
+/// and service name.
 class RouteTable {
  public:
   explicit RouteTable(model::RoutingConfig config);
@@ -20,23 +21,25 @@
 
   const model::RoutingConfig& config() const { return m_config; }
 
-  /// The route of `host` with the longest prefix that begins `path`, or null.
+  /// The route of `host` with the longest path prefix that `path` starts with,
+  /// or null.
   const model::Route* FindRoute(const std::string& host,
                                 const std::string& path) const;
-  /// Whoever holds `key`, or null.
+  /// The organisation that owns the API key `key`, or null.
   const model::Organisation* FindOrganisation(const std::string& key) const;
-  /// The service `name`, or null.
+  /// The service with this name, or null.
   const model::Service* FindService(const std::string& name) const;
 
  private:
   const model::RoutingConfig m_config;
-  /// By host, the longest prefix first.
+  /// Routes by host, the longest path prefix first.
   std::unordered_map<std::string, std::vector<const model::Route*>> m_routes;
   std::unordered_map<std::string, const model::Organisation*> m_keys;
   std::unordered_map<std::string, const model::Service*> m_services;
 };
 
-/// The service that a call on `route` goes to, drawn by weight.
+/// Selects the service for a call on `route` at random, in proportion to the
+/// weights of its services.
 const std::string& DrawService(const model::Route& route,
                                std::mt19937_64& random);
 
--- a/src/libverbenalead/decide/route_table_test.cc
+++ b/src/libverbenalead/decide/route_table_test.cc
@@ -62,7 +62,7 @@
     WeightsWatch watch;
     Declare(watch, 2, start + 8s);
     Declare(watch, 3, start + 10s);
-    Declare(watch, 3, start + 99s);  // Seen again.
+    Declare(watch, 3, start + 99s);  // A later declaration is ignored.
     CPPUNIT_ASSERT_EQUAL(uint64_t{0}, Binding(watch, start + 7s));
     CPPUNIT_ASSERT_EQUAL(uint64_t{2}, Binding(watch, start + 8s));
     CPPUNIT_ASSERT_EQUAL(uint64_t{3}, Binding(watch, start + 10s));
--- a/src/libverbenalead/decide/routing_bench.cc
+++ b/src/libverbenalead/decide/routing_bench.cc
@@ -2,7 +2,7 @@
 ///
 ///     bench=requests scenario=saturation policy=verbenalead goodput=...
 ///
-/// Time is virtual, so the figures are the same on any machine.
+/// Time is simulated, so the results are the same on any machine.
 #include <cmath>
 #include <cstdio>
 
@@ -39,7 +39,7 @@
   return all;
 }
 
-/// Exponential gaps at `rate` a second.
+/// Arrivals with exponentially distributed gaps.
 struct Arrivals {
   std::mt19937 m_random{7};
   double m_at = 0;
@@ -52,7 +52,8 @@
   uint32_t Pick(uint32_t below) { return m_random() % below; }
 };
 
-/// Calls a second that the pool's slots can run, at `units` for each call.
+/// Calls per second that the slots of the pool can run, with `units` of work
+/// for each call.
 double Capacity(const PoolSettings& settings, double units) {
   const double seconds =
       units * std::chrono::duration<double>(settings.m_per_unit).count();
@@ -66,8 +67,8 @@
   return lost;
 }
 
-/// Twice the capacity; one organisation sends 80%, nine share the rest; a tenth
-/// of all calls is urgent.
+/// Load of twice the capacity: one organisation sends 80% of the calls, nine
+/// others the rest; a tenth of all calls is urgent.
 void Saturation(Policy policy, bool admission) {
   PoolSettings settings;
   settings.m_policy = policy;
@@ -109,7 +110,8 @@
     }
   }
   const double span = seconds - 2 - warm;
-  // The small ones ask for less than a tenth, so that is their fair share.
+  // A small organisation sends less than a tenth of the capacity, so its fair
+  // share is all that it sends.
   double least = 1;
   for (const auto& [name, asked] : demand) {
     const double share = name == "o0" ? 0.6 * capacity * span : asked;
@@ -177,7 +179,8 @@
       Percentile(long_ones, 0.5), Percentile(long_ones, 0.99), Lost(pool));
 }
 
-/// Idle, then five times the capacity for two seconds, three times.
+/// Three bursts of two seconds at five times the capacity, with idle times
+/// between them.
 void Bursts(Policy policy) {
   PoolSettings settings;
   settings.m_policy = policy;
@@ -206,7 +209,7 @@
       pool.records().size());
 }
 
-/// Prefixes by Zipf's law; a target caches 40 of 300.
+/// 300 prefixes whose frequencies follow Zipf's law; each target caches 40.
 void PrefixReuse(Policy policy) {
   PoolSettings settings;
   settings.m_policy = policy;
@@ -242,7 +245,7 @@
       Percentile(Latencies(pool, [](const auto&) { return true; }), 0.99));
 }
 
-/// Half of the targets break at 10 s.
+/// Half of the targets fail after 10 s.
 void Outage(Policy policy) {
   PoolSettings settings;
   settings.m_policy = policy;
--- a/src/libverbenalead/decide/routing_test.cc
+++ b/src/libverbenalead/decide/routing_test.cc
@@ -31,7 +31,8 @@
   return report;
 }
 
-/// Runs `calls` evenly over `seconds`; each is made by `make`.
+/// Returns a pool with `calls` calls scheduled evenly over `seconds`; `make`
+/// builds each call from its number.
 template <typename Make>
 FakePool RunCalls(PoolSettings settings, int calls, int seconds, Make&& make) {
   FakePool pool(settings);
@@ -58,9 +59,9 @@
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // Callers of the small organisations get their answers in time.
-  // One organisation sends four times what the pool can carry; the others send
-  // a tenth of it. In order of arrival they would share its fate.
+  // Callers of the small organisations get their answers in time. One
+  // organisation sends four times what the pool can carry; the others send a
+  // tenth of it. In order of arrival they would share its fate.
   void FloodLeavesOthersTheirShare() {
     PoolSettings settings;
     FakePool pool = RunCalls(settings, 41 * 160, 8, [](int i) {
@@ -90,8 +91,8 @@
     CPPUNIT_ASSERT_EQUAL(uint64_t{3}, actions.at(0).m_ticket);
   }
 
-  // The caller hears at once that it would not be answered in time, and when
-  // to come back. Two calls of 1 s each stand before it, it waits 2 s.
+  // The caller hears at once that it would not be answered in time, and when to
+  // come back. Two calls of 1 s each stand before it, it waits 2 s.
   void HopelessIsRefusedOnArrival() {
     AdmitState state;
     Tick(state, 1, kStart);
@@ -108,8 +109,9 @@
     CPPUNIT_ASSERT(actions[0].m_retry_after >= 1s);
   }
 
-  // The caller is told while it still listens. The targets hang, so nothing
-  // ends and nothing starts.
+  // Guards against calls that stay in the queue after their deadline when all
+  // targets hang, so that no call ends and none starts. The waiting call must
+  // be refused at its deadline.
   void NothingWaitsPastItsDeadline() {
     AdmitState state;
     Tick(state, 1, kStart);
@@ -121,8 +123,9 @@
     CPPUNIT_ASSERT_EQUAL(uint32_t{0}, state.m_waiting);
   }
 
-  // Whatever comes, each caller is told exactly once, and none waits past its
-  // deadline: bursts, targets that die, slow ones, long calls.
+  // Guards against calls with no result or two, and calls that wait past their
+  // deadline, under random combinations of bursts, failed targets, slow targets
+  // and long calls.
   void EveryCallerIsToldOnce() {
     const bool good = rc::check("told once", [] {
       PoolSettings settings;
@@ -151,8 +154,9 @@
     CPPUNIT_ASSERT(good);
   }
 
-  // Callers are not sent to a target that answers ten times slower, however
-  // idle it says it is; once it is well again it gets work.
+  // Guards against a target that answers ten times slower than the other and
+  // gets more calls because it reports itself idle. It must be ejected, and
+  // reinstated after a successful probe.
   void SlowTargetIsFoundAndProbedBack() {
     PlaceState state = TwoTargets();
     const model::Call call = MakeCall("a", 3, 9s);
@@ -169,7 +173,7 @@
     const auto probe = Place(state, call, {}, {}, later, random);
     CPPUNIT_ASSERT_EQUAL(std::string("probe"), probe->m_reason);
     CPPUNIT_ASSERT_EQUAL(std::string("slow"), probe->m_target);
-    // Only one at a time, and none that must not be late.
+    // While the probe is in flight, no second call goes to the ejected target.
     AttemptSent(state, "slow", call, later);
     CPPUNIT_ASSERT_EQUAL(std::string("fast"),
                          Place(state, call, {}, {}, later, random)->m_target);
@@ -177,8 +181,9 @@
     CPPUNIT_ASSERT_EQUAL(uint32_t{16}, UsableCapacity(state, later));
   }
 
-  // Callers are served as soon as our own link is back. It was down, so every
-  // target seemed broken and is ejected for a while.
+  // Guards against refused calls after a failure of the entry's own link,
+  // during which every target seemed broken and was ejected. Calls must be sent
+  // to a target again before the ejections end.
   void AllEjectedStillAsksOne() {
     PlaceState state = TwoTargets();
     const model::Call call = MakeCall("a", 0, 9s);
@@ -191,9 +196,10 @@
     CPPUNIT_ASSERT_EQUAL(std::string("all_ejected"), placed->m_reason);
   }
 
-  // A caller that calls again right after its answer is not kept waiting. The
-  // gate may still count the first attempt; were it asked to be idle, it would
-  // turn the second one away, and a pool of one target has no other.
+  // Guards against the refusal of a call that is sent right after the answer to
+  // the previous one. The target's gate may still count the previous attempt;
+  // with a limit of 0 running calls, it would refuse the new one, and a pool of
+  // one target has no other.
   void AnswerStillLeavingIsNoLoad() {
     PlaceState state;
     const model::Call call = MakeCall("a", 3, 9s);
@@ -225,7 +231,8 @@
       std::set<std::string> chosen;
       for (uint32_t entry = 0; entry < 4; ++entry) {
         PlaceState state;
-        // Entries learn of targets in any order, with reports of any age.
+        // Entries receive the reports in different orders and with different
+        // loads.
         for (uint32_t i = 0; i < 5; ++i)
           Report(state,
                  OpenTarget("t" + std::to_string((i + entry) % 5), entry),
@@ -239,8 +246,8 @@
     }
   }
 
-  // Cache events come late: an eviction of before our last call there must not
-  // end the belief that this call has renewed.
+  // Guards against late cache events: an eviction before the last use of the
+  // prefix at the target must not remove the entry that this use has renewed.
   void EvictionIsForgottenUnlessUsedSince() {
     PrefixIndex index;
     NotePrefix(index, 7, 1, kStart + 2s);
@@ -253,8 +260,9 @@
         !Holds(HoldersOf(index, 7), 1, kStart + 4s + kPrefixForgotten));
   }
 
-  // The half of the pool that works is not drowned in retries. The other half
-  // breaks every call, and each broken call could go to two more targets.
+  // Guards against an overload of the working half of a pool by retries: the
+  // other half breaks every call, and each broken call may be sent to two more
+  // targets.
   void OutageIsNotAnsweredWithRetries() {
     RetryBudget budget;
     const model::Call call = MakeCall("a", 3, 9s);
--- a/src/libverbenalead/decide/target_health.cc
+++ b/src/libverbenalead/decide/target_health.cc
@@ -13,7 +13,8 @@
   health.m_failures = 0;
 }
 
-/// The answer to a probe decides alone: it was the only call there.
+/// Reinstates or ejects the target by the result of a single probe: there is no
+/// other sample, as a probe is the only call at its target.
 bool ObserveProbe(TargetHealth& health,
                   AttemptSign sign,
                   double slowness,
@@ -42,7 +43,7 @@
              double slowness,
              TimePoint now) {
   if (health.m_ejected) {
-    // Calls that were sent before the ejection say nothing new.
+    // Results of calls sent before the ejection are ignored.
     if (now < health.m_ejected_until)
       return false;
     return ObserveProbe(health, sign, slowness, now);
@@ -53,7 +54,8 @@
     health.m_slowness += kHealthDecay * (slowness - health.m_slowness);
     ++health.m_samples;
   }
-  // A connection that breaks has most often lost its host: one is enough.
+  // One broken connection is enough for an ejection: its usual cause is the
+  // failure of the host.
   const bool bad =
       sign == AttemptSign::kBroken || health.m_failures > kFailingShare ||
       (health.m_samples >= kLeastSamples && health.m_slowness > kSlowFactor);
--- a/src/libverbenalead/decide/target_health.h
+++ b/src/libverbenalead/decide/target_health.h
@@ -7,40 +7,49 @@
 
 namespace verbenalead::decide {
 
-/// How a target's own answers speak of it.
+/// Health of a target, derived from the results of the attempts sent to it
+/// (outlier ejection).
 ///
-/// Made for a target that is slow or failing while it reports itself open and
-/// idle: the faster it fails, the emptier it looks, and the more it is given.
+/// Load: a target that is slow or failing while it reports itself open and
+/// idle.
+/// Harm: the faster it fails calls, the less loaded it looks, and the more
+/// calls it would get from placement by load.
 struct TargetHealth {
-  /// Decayed mean of its time per unit of work over the pool's.
+  /// Decayed mean of the ratio of the target's time per unit of work to the
+  /// mean of the pool.
   double m_slowness = 1;
   uint32_t m_samples = 0;
-  /// Decayed share of attempts that failed.
+  /// Decayed fraction of attempts that failed.
   double m_failures = 0;
-  /// Ejections in a row.
+  /// Number of consecutive ejections.
   uint32_t m_ejections = 0;
-  /// Left alone until then, and after that only probed.
+  /// End of the ejection. Until then the target gets no calls, and after that
+  /// only probes until one of them succeeds.
   TimePoint m_ejected_until{};
   bool m_ejected = false;
 };
 
-/// Weight of one sample: three slow answers in a row show in the mean.
+/// Weight of one sample in the means: three consecutive slow answers raise the
+/// mean noticeably.
 constexpr double kHealthDecay = 0.3;
-/// A target this many times slower than the pool is worse than a queue for the
-/// others. Twice happens by chance and by long prompts.
+/// A target is ejected when it is more than this many times slower than the
+/// pool: waiting for another target then costs less. A factor of two also
+/// occurs by chance and with long prompts.
 constexpr double kSlowFactor = 3;
 constexpr uint32_t kLeastSamples = 3;
 constexpr double kFailingShare = 0.5;
-/// First ejection, doubled for each further one: a host that restarts is back
-/// soon, one that is broken costs one probe in half a minute.
+/// Length of the first ejection, doubled for each further one up to
+/// kLongestEjection. A host that restarts is used again soon; a host that stays
+/// broken costs one probe in half a minute.
 constexpr Duration kFirstEjection = 1s;
 constexpr Duration kLongestEjection = std::chrono::seconds(32);
 
 enum class AttemptSign { kGood, kFailed, kBroken };
 
 void Eject(TargetHealth& health, TimePoint now);
-/// An attempt there has ended; `slowness` is its time over what the pool takes
-/// for such a call, 0 where that is unknown. Returns whether it was ejected.
+/// Records the end of an attempt. `slowness` is the ratio of its duration to
+/// the duration expected from the mean of the pool, 0 if that is unknown.
+/// Returns whether the target was ejected.
 bool Observe(TargetHealth& health,
              AttemptSign sign,
              double slowness,
--- a/src/libverbenalead/decide/target_view.h
+++ b/src/libverbenalead/decide/target_view.h
@@ -9,22 +9,24 @@
 
 namespace verbenalead::decide {
 
-/// A target as this entry sees it.
+/// The state of a target as this entry knows it.
 struct TargetView {
   model::TargetReport m_report;
   TimePoint m_reported_at{};
-  /// Attempts of this entry that are under way there: known at once, where the
-  /// report lags.
+  /// Attempts of this entry that are in flight at the target: an exact count,
+  /// whereas the report lags.
   uint32_t m_in_flight = 0;
-  /// Attempts of other entries, when last heard of.
+  /// Attempts of other entries at the target, as of m_others_at.
   uint32_t m_others = 0;
   TimePoint m_others_at{};
-  /// It said that it was full, and is left alone until then.
+  /// End of the pause after the target refused an attempt, mostly because it
+  /// was full.
   TimePoint m_full_until{};
-  /// Units of work sent there lately.
+  /// Units of work that this entry sent to the target, halved every
+  /// kHalveWorkEvery.
   double m_work = 0;
   TargetHealth m_health;
-  /// Hash of its name, for rendezvous.
+  /// Hash of the target's name, for rendezvous hashing.
   uint64_t m_hash = 0;
 };
 
