--- a/src/libverbenalead/decide/admit.cc
+++ b/src/libverbenalead/decide/admit.cc
@@ -11,11 +11,11 @@
 /// Minimum share of an organisation's service rate that the wait estimate
 /// assumes for its less urgent calls, so that the estimate stays finite however
 /// many urgent calls the organisation sends.
-constexpr double kLeastLeft = 0.05;
-constexpr double kLeastWeight = 0.001;
+constexpr double kMinRateShare = 0.05;
+constexpr double kMinWeight = 0.001;
 /// An organisation with fewer decayed units of work than this counts as
 /// inactive.
-constexpr double kLeastDemand = 0.01;
+constexpr double kMinDemand = 0.01;
 
 Duration Seconds(double seconds) {
   return std::chrono::duration_cast<Duration>(
@@ -27,15 +27,15 @@
           std::clamp(retry_after, kLeastRetryAfter, kMostRetryAfter)};
 }
 
-double LeastLimit(const AdmitState& state) {
+double MinLimit(const AdmitState& state) {
   return std::max(1.0, static_cast<double>(state.m_capacity) /
                            std::max<uint32_t>(state.m_entries, 1));
 }
 
 void BoundLimit(AdmitState& state) {
-  const double most = std::max<double>(state.m_capacity, 1);
-  state.m_limit =
-      std::clamp(state.m_limit, std::min(LeastLimit(state), most), most);
+  const double upper_bound = std::max<double>(state.m_capacity, 1);
+  state.m_limit = std::clamp(
+      state.m_limit, std::min(MinLimit(state), upper_bound), upper_bound);
 }
 
 void Remove(AdmitState& state,
@@ -60,39 +60,41 @@
 /// rate, or the entry's equal share of the pool if that is more, as after an
 /// idle time. A rate computed from m_limit would be too high: after an idle
 /// time the limit may be the whole pool, which the entries share in a burst.
-double Rate(const AdmitState& state) {
+double ServiceRate(const AdmitState& state) {
   const double seconds = SecondsPerUnit(state.m_service);
   if (seconds <= 0)
     return 0;
-  const double lately =
+  const double recent =
       state.m_served / std::chrono::duration<double>(kArrivalsFadeIn).count();
-  return std::max(lately, LeastLimit(state) / seconds);
+  return std::max(recent, MinLimit(state) / seconds);
 }
 
 /// Recent arrival rate of `queue` in units of work per second, for calls of
 /// `urgency` and more urgent ones.
-double Demand(const OrganisationQueue& queue, int urgency) {
+double ArrivalRate(const OrganisationQueue& queue, int urgency) {
   double units = 0;
   for (int u = 0; u <= urgency; ++u)
     units += queue.m_arrived[static_cast<size_t>(u)];
   return units / std::chrono::duration<double>(kArrivalsFadeIn).count();
 }
 
-/// Units a second that `queue` may count on: what the others leave, each taking
-/// what it asks for up to its share. By the queues alone it would look as if a
-/// flooding organisation had the pool for itself, since the others are served
-/// at once and seldom wait; its calls would be refused only after a long wait.
-double RateOf(const AdmitState& state, const OrganisationQueue& queue) {
+/// Estimated service rate of `queue` in units of work per second: what the
+/// other organisations leave, each of which uses its arrival rate up to its
+/// fair share. An estimate from the queue lengths alone would give an
+/// organisation that sends far above its share the whole pool, because the
+/// calls of the others start at once and rarely wait; its calls would be
+/// refused only after a long wait.
+double RateFor(const AdmitState& state, const OrganisationQueue& queue) {
   double weights = 0;
   for (const auto& [name, other] : state.m_queues) {
-    if (&other == &queue || Demand(other, model::kLeastUrgent) > 0)
+    if (&other == &queue || ArrivalRate(other, model::kLeastUrgent) > 0)
       weights += other.m_weight;
   }
-  const double rate = Rate(state);
+  const double rate = ServiceRate(state);
   double left = rate;
   for (const auto& [name, other] : state.m_queues) {
     if (&other != &queue)
-      left -= std::min(Demand(other, model::kLeastUrgent),
+      left -= std::min(ArrivalRate(other, model::kLeastUrgent),
                        rate * other.m_weight / weights);
   }
   return std::max(left, rate * queue.m_weight / weights);
@@ -112,24 +114,23 @@
   const double service = units * seconds;
   if (state.m_waiting == 0 && state.m_running < state.m_limit)
     return Seconds(service);
-  const double rate = RateOf(state, queue);
-  const double overtaking = urgency > 0 ? Demand(queue, urgency - 1) : 0;
-  const double left = std::max(rate - overtaking, rate * kLeastLeft);
+  const double rate = RateFor(state, queue);
+  const double overtaking = urgency > 0 ? ArrivalRate(queue, urgency - 1) : 0;
+  const double left = std::max(rate - overtaking, rate * kMinRateShare);
   return Seconds(WorkAhead(queue, urgency) / left * kWaitMargin + service);
 }
 
 /// The queue with the most waiting calls relative to its weight.
-OrganisationQueue* Greediest(AdmitState& state) {
-  OrganisationQueue* greediest = nullptr;
+OrganisationQueue* LargestBacklog(AdmitState& state) {
+  OrganisationQueue* largest = nullptr;
   for (auto& [name, queue] : state.m_queues) {
     if (queue.m_calls.empty())
       continue;
-    if (greediest == nullptr ||
-        queue.m_calls.size() / queue.m_weight >
-            greediest->m_calls.size() / greediest->m_weight)
-      greediest = &queue;
+    if (largest == nullptr || queue.m_calls.size() / queue.m_weight >
+                                  largest->m_calls.size() / largest->m_weight)
+      largest = &queue;
   }
-  return greediest;
+  return largest;
 }
 
 /// Makes room for a call of `urgency` in `queue` when the limit on waiting
@@ -141,7 +142,7 @@
               const OrganisationQueue& queue,
               int urgency,
               Actions& actions) {
-  OrganisationQueue* victim = Greediest(state);
+  OrganisationQueue* victim = LargestBacklog(state);
   if (victim == nullptr)
     return false;
   const auto last = std::prev(victim->m_calls.end());
@@ -156,7 +157,7 @@
 
 /// Refuses waiting calls that can no longer be answered before their deadline,
 /// so that their callers can still send them elsewhere.
-void DropHopeless(AdmitState& state, TimePoint now, Actions& actions) {
+void RefuseUnmeetable(AdmitState& state, TimePoint now, Actions& actions) {
   if (now - state.m_dropped_at < kDropEvery)
     return;
   state.m_dropped_at = now;
@@ -178,7 +179,7 @@
 /// organisation with the least work served relative to its weight. Urgency
 /// orders calls only within an organisation, so that none gains by marking all
 /// its calls as urgent.
-OrganisationQueue* Next(AdmitState& state) {
+OrganisationQueue* NextQueue(AdmitState& state) {
   OrganisationQueue* next = nullptr;
   for (auto& [name, queue] : state.m_queues) {
     if (!queue.m_calls.empty() &&
@@ -188,12 +189,12 @@
   return next;
 }
 
-void Start(AdmitState& state, TimePoint now, Actions& actions) {
+void StartWaiting(AdmitState& state, TimePoint now, Actions& actions) {
   if (state.m_waiting == 0)
     return;
-  DropHopeless(state, now, actions);
+  RefuseUnmeetable(state, now, actions);
   while (state.m_running < std::floor(state.m_limit)) {
-    OrganisationQueue* queue = Next(state);
+    OrganisationQueue* queue = NextQueue(state);
     if (queue == nullptr)
       return;
     const auto call = queue->m_calls.begin();
@@ -205,17 +206,17 @@
   }
 }
 
-void Fade(AdmitState& state, TimePoint now) {
-  const Duration passed = now - state.m_faded_at;
-  if (passed < kFadeEvery)
+void DecayRates(AdmitState& state, TimePoint now) {
+  const Duration elapsed_time = now - state.m_faded_at;
+  if (elapsed_time < kFadeEvery)
     return;
   state.m_faded_at = now;
-  const double left = std::exp(-std::chrono::duration<double>(passed) /
+  const double left = std::exp(-std::chrono::duration<double>(elapsed_time) /
                                std::chrono::duration<double>(kArrivalsFadeIn));
   state.m_served *= left;
   for (auto& [name, queue] : state.m_queues) {
     for (double& units : queue.m_arrived)
-      units = units * left < kLeastDemand ? 0 : units * left;
+      units = units * left < kMinDemand ? 0 : units * left;
   }
 }
 
@@ -227,21 +228,22 @@
                                 TimePoint now) {
   if (state.m_capacity == 0)
     return {Refuse(ticket, "no_usable_target", kRetryAfterNoTarget)};
-  Fade(state, now);
+  DecayRates(state, now);
   OrganisationQueue& queue = state.m_queues[call.organisation()];
-  queue.m_weight = std::max(call.weight(), kLeastWeight);
+  queue.m_weight = std::max(call.weight(), kMinWeight);
   const double units = UnitsOf(call);
   const auto urgency = static_cast<size_t>(call.urgency());
-  const Duration needed = TimeToAnswer(state, queue, call.urgency(), units);
-  if (now + needed > call.deadline()) {
+  const Duration time_to_answer =
+      TimeToAnswer(state, queue, call.urgency(), units);
+  if (now + time_to_answer > call.deadline()) {
     return {Refuse(ticket, "deadline_cannot_be_met",
-                   now + needed - call.deadline())};
+                   now + time_to_answer - call.deadline())};
   }
   Actions actions;
-  const auto most = static_cast<uint32_t>(kQueuePerSlot * state.m_limit);
-  if (state.m_waiting >= std::max(most, kQueuePerSlot) &&
+  const auto upper_bound = static_cast<uint32_t>(kQueuePerSlot * state.m_limit);
+  if (state.m_waiting >= std::max(upper_bound, kQueuePerSlot) &&
       !MakeRoom(state, queue, call.urgency(), actions))
-    return {Refuse(ticket, "queue_full", needed)};
+    return {Refuse(ticket, "queue_full", time_to_answer)};
   // An organisation that was idle gets no credit for the service it did not
   // use.
   if (queue.m_calls.empty())
@@ -251,7 +253,7 @@
   queue.m_calls.insert({call.urgency(), call.deadline(), ticket, units});
   state.m_tickets[ticket] = call.organisation();
   ++state.m_waiting;
-  Start(state, now, actions);
+  StartWaiting(state, now, actions);
   return actions;
 }
 
@@ -260,7 +262,7 @@
                                 std::optional<Duration> elapsed,
                                 TimePoint now) {
   if (elapsed) {
-    Fade(state, now);
+    DecayRates(state, now);
     state.m_served += units;
     Add(state.m_service, units, *elapsed);
     if (state.m_running + 1 >= state.m_limit)
@@ -270,7 +272,7 @@
     --state.m_running;
   BoundLimit(state);
   Actions actions;
-  Start(state, now, actions);
+  StartWaiting(state, now, actions);
   return actions;
 }
 
@@ -292,7 +294,7 @@
   state.m_capacity = capacity;
   BoundLimit(state);
   Actions actions;
-  Start(state, now, actions);
+  StartWaiting(state, now, actions);
   if (capacity > 0)
     return actions;
   for (auto& [name, queue] : state.m_queues) {
--- a/src/libverbenalead/decide/event_splitter_test.cc
+++ b/src/libverbenalead/decide/event_splitter_test.cc
@@ -20,13 +20,13 @@
 
 class EventSplitterTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(EventSplitterTest);
-  CPPUNIT_TEST(HoldsBackHalfAnEvent);
-  CPPUNIT_TEST(TakesCarriageReturns);
-  CPPUNIT_TEST(ASplicedStreamHasEachEventOnce);
+  CPPUNIT_TEST(BuffersIncompleteEvent);
+  CPPUNIT_TEST(AcceptsCarriageReturns);
+  CPPUNIT_TEST(ResumedStreamHasEachEventOnce);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void HoldsBackHalfAnEvent() {
+  void BuffersIncompleteEvent() {
     EventSplitter splitter;
     CPPUNIT_ASSERT_EQUAL(Event(1),
                          TakeEvents(splitter, Event(1) + "id: 2\nda"));
@@ -36,7 +36,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("2"), splitter.m_last_id);
   }
 
-  void TakesCarriageReturns() {
+  void AcceptsCarriageReturns() {
     EventSplitter splitter;
     const std::string event = "id:7\r\ndata: x\r\n\r\n";
     CPPUNIT_ASSERT_EQUAL(event, TakeEvents(splitter, event));
@@ -47,32 +47,33 @@
   // another replica. Replicas break off at random positions, also within an
   // event, and the next one continues after the last complete event; the bytes
   // arrive in pieces of random size.
-  void ASplicedStreamHasEachEventOnce() {
-    const bool held = rc::check("splice", [] {
+  void ResumedStreamHasEachEventOnce() {
+    const bool passed = rc::check("splice", [] {
       const uint64_t last = *rc::gen::inRange<uint64_t>(1, 30);
       EventSplitter splitter;
       std::string caller;
-      const int breaks = *rc::gen::inRange(0, 6);
-      for (int run_number = 0; run_number <= breaks; ++run_number) {
+      const int break_count = *rc::gen::inRange(0, 6);
+      for (int run_number = 0; run_number <= break_count; ++run_number) {
         const uint64_t from =
             splitter.m_last_id.empty() ? 0 : std::stoull(splitter.m_last_id);
-        const std::string run = Events(from + 1, last);
+        const std::string replica_stream = Events(from + 1, last);
         DropPartial(splitter);
-        const size_t end = run_number == breaks
-                               ? run.size()
-                               : *rc::gen::inRange<size_t>(0, run.size() + 1);
+        const size_t end =
+            run_number == break_count
+                ? replica_stream.size()
+                : *rc::gen::inRange<size_t>(0, replica_stream.size() + 1);
         size_t begin = 0;
         while (begin < end) {
           const size_t size = *rc::gen::inRange<size_t>(1, 40);
-          caller += TakeEvents(
-              splitter,
-              std::string_view(run).substr(begin, std::min(size, end - begin)));
+          caller += TakeEvents(splitter,
+                               std::string_view(replica_stream)
+                                   .substr(begin, std::min(size, end - begin)));
           begin += size;
         }
       }
       RC_ASSERT(caller == Events(1, last));
     });
-    CPPUNIT_ASSERT(held);
+    CPPUNIT_ASSERT(passed);
   }
 };
 
--- a/src/libverbenalead/decide/fake_pool.h
+++ b/src/libverbenalead/decide/fake_pool.h
@@ -24,11 +24,17 @@
 /// without sockets.
 namespace verbenalead::decide::fake {
 
-enum class Policy { kOurs, kRoundRobin, kRandom, kLeastReported, kOracle };
+enum class Policy {
+  kVerbenalead,
+  kRoundRobin,
+  kRandom,
+  kLeastReported,
+  kOracle
+};
 
 inline const char* ToString(Policy policy) {
   switch (policy) {
-    case Policy::kOurs:
+    case Policy::kVerbenalead:
       return "verbenalead";
     case Policy::kRoundRobin:
       return "round_robin";
@@ -43,22 +49,22 @@
 }
 
 struct PoolSettings {
-  Policy m_policy = Policy::kOurs;
+  Policy m_policy = Policy::kVerbenalead;
   /// If false, calls start in order of arrival, regardless of their
   /// organisation and urgency.
   bool m_admission = true;
   uint32_t m_entries = 8;
   uint32_t m_targets = 10;
   /// Calls that a target runs at once (m_slots) and calls that it admits
-  /// (m_gate). Admitted calls beyond m_slots wait in the engine in order of
-  /// arrival.
+  /// (m_gate_limit). Admitted calls beyond m_slots wait in the engine in order
+  /// of arrival.
   uint32_t m_slots = 8;
-  uint32_t m_gate = 10;
+  uint32_t m_gate_limit = 10;
   Duration m_per_unit = 2ms;
   /// Time to process a prefix that is not cached, and the maximum number of
   /// prefixes that a target caches.
   Duration m_prefill{};
-  size_t m_cached = 0;
+  size_t m_max_cached = 0;
   Duration m_one_way = 1ms;
   Duration m_report_every = 250ms;
   Duration m_report_lag = 250ms;
@@ -67,9 +73,9 @@
   Duration m_event_lag = 1s;
   uint32_t m_slow_targets = 0;
   double m_slow_factor = 10;
-  /// Number of targets, counted from the first, that fail at m_dead_from.
-  uint32_t m_dead_targets = 0;
-  Duration m_dead_from{};
+  /// Number of targets, counted from the first, that fail at m_failed_from.
+  uint32_t m_failed_targets = 0;
+  Duration m_failed_from{};
   uint64_t m_seed = 1;
 };
 
@@ -77,15 +83,17 @@
 struct CallRecord {
   model::Call m_call;
   TimePoint m_arrived{};
-  TimePoint m_told{};
+  TimePoint m_ended_at{};
   bool m_completed = false;
   std::string m_reason;
   uint32_t m_attempts = 0;
-  uint32_t m_told_times = 0;
+  uint32_t m_result_count = 0;
   bool m_cached = false;
 
-  Duration latency() const { return m_told - m_arrived; }
-  bool in_time() const { return m_completed && m_told <= m_call.deadline(); }
+  Duration latency() const { return m_ended_at - m_arrived; }
+  bool on_time() const {
+    return m_completed && m_ended_at <= m_call.deadline();
+  }
 };
 
 class FakePool {
@@ -98,15 +106,15 @@
     for (Entry& entry : m_entries) {
       entry.m_random.seed(m_random());
       entry.m_admit.m_entries = settings.m_entries;
-      entry.m_turn = m_random() % settings.m_targets;
+      entry.m_next_target = m_random() % settings.m_targets;
     }
     for (uint32_t i = 0; i < settings.m_targets; ++i) {
       for (uint32_t e = 0; e < settings.m_entries; ++e)
-        Report(m_entries[e].m_place, ReportOf(i), m_now);
-      At(m_now + settings.m_report_every * i / settings.m_targets,
-         [this, i] { SendReports(i); });
+        Report(m_entries[e].m_place, MakeReport(i), m_now);
+      Schedule(m_now + settings.m_report_every * i / settings.m_targets,
+               [this, i] { SendReports(i); });
     }
-    Ticks();
+    TickEntries();
   }
 
   /// Schedules the arrival of a call at a random entry at `at`. `timeout`
@@ -120,7 +128,7 @@
     const size_t call = m_records.size();
     m_records.push_back(std::move(record));
     const size_t entry = m_random() % m_entries.size();
-    At(when, [this, call, entry] { Come(call, entry); });
+    Schedule(when, [this, call, entry] { HandleArrival(call, entry); });
   }
 
   void Run(Duration until) {
@@ -128,7 +136,7 @@
       Event event = m_events.top();
       m_events.pop();
       m_now = event.m_at;
-      event.m_do();
+      event.m_action();
     }
   }
 
@@ -155,7 +163,7 @@
   struct Event {
     TimePoint m_at;
     uint64_t m_order;
-    std::function<void()> m_do;
+    std::function<void()> m_action;
     bool operator<(const Event& other) const {
       return std::tie(m_at, m_order) > std::tie(other.m_at, other.m_order);
     }
@@ -165,7 +173,7 @@
     PlaceState m_place;
     RetryBudget m_budget;
     Random m_random;
-    size_t m_turn = 0;
+    size_t m_next_target = 0;
     TimePoint m_started{};
   };
   struct Running {
@@ -174,100 +182,100 @@
     std::function<void(bool)> m_done;
   };
   struct Target {
-    uint32_t m_inside = 0;
-    uint32_t m_busy = 0;
+    uint32_t m_admitted = 0;
+    uint32_t m_active = 0;
     std::deque<Running> m_queue;
     std::list<uint64_t> m_cache;
     double m_work = 0;
   };
 
-  void At(TimePoint when, std::function<void()> what) {
-    m_events.push({when, ++m_order, std::move(what)});
+  void Schedule(TimePoint when, std::function<void()> action) {
+    m_events.push({when, ++m_order, std::move(action)});
   }
 
-  bool IsDead(size_t target) const {
-    return target < m_settings.m_dead_targets &&
-           m_now >= TimePoint{} + m_settings.m_dead_from;
+  bool HasFailed(size_t target) const {
+    return target < m_settings.m_failed_targets &&
+           m_now >= TimePoint{} + m_settings.m_failed_from;
   }
 
-  model::TargetReport ReportOf(size_t target) const {
+  model::TargetReport MakeReport(size_t target) const {
     model::TargetReport report;
     report.m_name = "t" + std::to_string(target);
     report.m_pool = "p";
     report.m_incarnation = 1;
-    report.m_capacity = m_settings.m_gate;
-    report.m_running = m_targets[target].m_inside;
+    report.m_capacity = m_settings.m_gate_limit;
+    report.m_running = m_targets[target].m_admitted;
     report.m_open = true;
     return report;
   }
 
   void SendReports(size_t target) {
     // The last report of a failed target stays valid for kReportStale.
-    if (!IsDead(target)) {
-      const model::TargetReport report = ReportOf(target);
-      At(m_now + m_settings.m_report_lag, [this, report] {
+    if (!HasFailed(target)) {
+      const model::TargetReport report = MakeReport(target);
+      Schedule(m_now + m_settings.m_report_lag, [this, report] {
         for (Entry& entry : m_entries)
           Report(entry.m_place, report, m_now);
       });
     }
-    At(m_now + m_settings.m_report_every,
-       [this, target] { SendReports(target); });
+    Schedule(m_now + m_settings.m_report_every,
+             [this, target] { SendReports(target); });
   }
 
-  void Ticks() {
+  void TickEntries() {
     for (size_t e = 0; e < m_entries.size(); ++e) {
       const uint32_t capacity = UsableCapacity(m_entries[e].m_place, m_now);
-      Carry(e, Tick(m_entries[e].m_admit, capacity, m_now));
+      ApplyActions(e, Tick(m_entries[e].m_admit, capacity, m_now));
     }
     m_worst_overdue = std::max(m_worst_overdue, overdue());
-    At(m_now + kDropEvery, [this] { Ticks(); });
+    Schedule(m_now + kDropEvery, [this] { TickEntries(); });
   }
 
-  void Come(size_t call, size_t e) {
+  void HandleArrival(size_t call, size_t e) {
     CountFirstAttempt(m_entries[e].m_budget);
-    Queue(call, e);
+    EnqueueCall(call, e);
   }
 
-  void Queue(size_t call, size_t e) {
-    model::Call seen = m_records[call].m_call;
+  void EnqueueCall(size_t call, size_t e) {
+    model::Call arriving = m_records[call].m_call;
     if (!m_settings.m_admission) {
       model::CallBuilder builder;
-      builder.Organisation("all").Deadline(seen.deadline());
-      seen = builder.ExpectedTokens(seen.expected_tokens()).Build();
+      builder.Organisation("all").Deadline(arriving.deadline());
+      arriving = builder.ExpectedTokens(arriving.expected_tokens()).Build();
     }
-    Carry(e, Arrive(m_entries[e].m_admit, call, seen, m_now));
+    ApplyActions(e, Arrive(m_entries[e].m_admit, call, arriving, m_now));
   }
 
-  void Carry(size_t e, const std::vector<AdmitAction>& actions) {
+  void ApplyActions(size_t e, const std::vector<AdmitAction>& actions) {
     for (const AdmitAction& action : actions) {
       if (action.m_kind == AdmitAction::Kind::kStart)
-        Start(action.m_ticket, e);
+        StartCall(action.m_ticket, e);
       else
-        Tell(action.m_ticket, false, action.m_reason);
+        RecordResult(action.m_ticket, false, action.m_reason);
     }
   }
 
-  void Tell(size_t call, bool completed, const std::string& reason) {
+  void RecordResult(size_t call, bool completed, const std::string& reason) {
     CallRecord& record = m_records[call];
     record.m_completed = completed;
     record.m_reason = reason;
-    record.m_told = m_now;
-    ++record.m_told_times;
+    record.m_ended_at = m_now;
+    ++record.m_result_count;
   }
 
-  void Start(size_t call, size_t e) {
+  void StartCall(size_t call, size_t e) {
     auto tried = std::make_shared<std::set<std::string>>();
-    Try(call, e, tried, 1, m_now);
+    StartAttempt(call, e, tried, 1, m_now);
   }
 
-  std::optional<Placement> Choose(const model::Call& call,
-                                  Entry& entry,
-                                  const std::set<std::string>& tried,
-                                  Duration waited) {
-    if (m_settings.m_policy == Policy::kOurs)
+  std::optional<Placement> ChooseTarget(const model::Call& call,
+                                        Entry& entry,
+                                        const std::set<std::string>& tried,
+                                        Duration waited) {
+    if (m_settings.m_policy == Policy::kVerbenalead)
       return Place(entry.m_place, call, tried, waited, m_now, entry.m_random);
     if (m_settings.m_policy == Policy::kOracle)
-      return ChooseKnowing(call, tried);
+      return ChooseByOracle(call, tried);
     std::vector<size_t> usable;
     for (size_t i = 0; i < m_targets.size(); ++i) {
       const TargetView& view = entry.m_place.m_targets[i];
@@ -279,7 +287,7 @@
       return std::nullopt;
     size_t chosen = usable[m_random() % usable.size()];
     if (m_settings.m_policy == Policy::kRoundRobin)
-      chosen = usable[entry.m_turn++ % usable.size()];
+      chosen = usable[entry.m_next_target++ % usable.size()];
     if (m_settings.m_policy == Policy::kLeastReported) {
       const auto reported = [&entry](size_t a, size_t b) {
         return entry.m_place.m_targets[a].m_report.m_running <
@@ -294,8 +302,8 @@
 
   /// Chooses with exact knowledge of all caches, of the admitted calls and of
   /// the work done: the upper bound for the other policies.
-  std::optional<Placement> ChooseKnowing(const model::Call& call,
-                                         const std::set<std::string>& tried) {
+  std::optional<Placement> ChooseByOracle(const model::Call& call,
+                                          const std::set<std::string>& tried) {
     double mean = UnitsOf(call);
     for (const Target& target : m_targets)
       mean += target.m_work;
@@ -304,12 +312,12 @@
     std::pair<int, double> best_rank;
     for (size_t i = 0; i < m_targets.size(); ++i) {
       const Target& target = m_targets[i];
-      if (target.m_inside >= m_settings.m_gate ||
+      if (target.m_admitted >= m_settings.m_gate_limit ||
           tried.contains("t" + std::to_string(i)))
         continue;
-      const bool held = Cached(target, call.prefix()) &&
-                        target.m_work + UnitsOf(call) <= 1.25 * mean;
-      const std::pair rank{held ? 0 : 1, target.m_work};
+      const bool prefix_cached = Cached(target, call.prefix()) &&
+                                 target.m_work + UnitsOf(call) <= 1.25 * mean;
+      const std::pair rank{prefix_cached ? 0 : 1, target.m_work};
       if (!best || rank < best_rank) {
         best = i;
         best_rank = rank;
@@ -322,75 +330,77 @@
     return placement;
   }
 
-  void Try(size_t call,
-           size_t e,
-           std::shared_ptr<std::set<std::string>> tried,
-           uint32_t number,
-           TimePoint started) {
+  void StartAttempt(size_t call,
+                    size_t e,
+                    std::shared_ptr<std::set<std::string>> tried,
+                    uint32_t number,
+                    TimePoint started) {
     Entry& entry = m_entries[e];
-    const model::Call& what = m_records[call].m_call;
-    const auto placement = Choose(what, entry, *tried, m_now - started);
+    const model::Call& model_call = m_records[call].m_call;
+    const auto placement =
+        ChooseTarget(model_call, entry, *tried, m_now - started);
     if (!placement) {
       LowerLimit(entry.m_admit, m_now);
-      return NoRoom(call, e, number, started);
+      return RetryWhenFull(call, e, number, started);
     }
     tried->insert(placement->m_target);
-    AttemptSent(entry.m_place, placement->m_target, what, m_now);
+    AttemptSent(entry.m_place, placement->m_target, model_call, m_now);
     const TimePoint sent = m_now;
     const size_t target = std::stoul(placement->m_target.substr(1));
-    At(m_now + m_settings.m_one_way, [=, this] {
+    Schedule(m_now + m_settings.m_one_way, [=, this] {
       ++m_records[call].m_attempts;
-      if (IsDead(target))
-        return Answer(call, e, target, TargetSign::kBroken, sent, tried, number,
-                      started);
-      Target& there = m_targets[target];
-      const bool full = there.m_inside >= m_settings.m_gate;
-      if (full || there.m_inside > placement->m_max_running) {
+      if (HasFailed(target))
+        return SendAnswer(call, e, target, TargetSign::kBroken, sent, tried,
+                          number, started);
+      Target& fake_target = m_targets[target];
+      const bool full = fake_target.m_admitted >= m_settings.m_gate_limit;
+      if (full || fake_target.m_admitted > placement->m_max_running) {
         --m_records[call].m_attempts;
-        return Answer(call, e, target,
-                      full ? TargetSign::kFull : TargetSign::kBusier, sent,
-                      tried, number, started);
+        return SendAnswer(call, e, target,
+                          full ? TargetSign::kFull : TargetSign::kBusier, sent,
+                          tried, number, started);
       }
-      ++there.m_inside;
-      there.m_queue.push_back({call, {}, [=, this](bool alive) {
-                                 Answer(call, e, target,
-                                        alive ? TargetSign::kGood
-                                              : TargetSign::kBroken,
-                                        sent, tried, number, started);
-                               }});
-      Serve(target);
+      ++fake_target.m_admitted;
+      fake_target.m_queue.push_back({call, {}, [=, this](bool working) {
+                                       SendAnswer(call, e, target,
+                                                  working ? TargetSign::kGood
+                                                          : TargetSign::kBroken,
+                                                  sent, tried, number, started);
+                                     }});
+      RunQueued(target);
     });
   }
 
-  void Serve(size_t target) {
-    Target& there = m_targets[target];
-    while (there.m_busy < m_settings.m_slots && !there.m_queue.empty()) {
-      const Running next = there.m_queue.front();
-      there.m_queue.pop_front();
-      ++there.m_busy;
-      const Duration length = Length(target, next.m_call);
-      there.m_work += UnitsOf(m_records[next.m_call].m_call);
-      At(m_now + length, [this, target, next] {
-        Target& there = m_targets[target];
-        --there.m_busy;
-        --there.m_inside;
-        next.m_done(!IsDead(target));
-        Serve(target);
+  void RunQueued(size_t target) {
+    Target& fake_target = m_targets[target];
+    while (fake_target.m_active < m_settings.m_slots &&
+           !fake_target.m_queue.empty()) {
+      const Running next = fake_target.m_queue.front();
+      fake_target.m_queue.pop_front();
+      ++fake_target.m_active;
+      const Duration duration = CallDuration(target, next.m_call);
+      fake_target.m_work += UnitsOf(m_records[next.m_call].m_call);
+      Schedule(m_now + duration, [this, target, next] {
+        Target& fake_target = m_targets[target];
+        --fake_target.m_active;
+        --fake_target.m_admitted;
+        next.m_done(!HasFailed(target));
+        RunQueued(target);
       });
     }
   }
 
-  Duration Length(size_t target, size_t call) {
-    const model::Call& what = m_records[call].m_call;
+  Duration CallDuration(size_t target, size_t call) {
+    const model::Call& model_call = m_records[call].m_call;
     const double noise = 0.9 + 0.2 * static_cast<double>(m_random()) /
                                    static_cast<double>(std::mt19937::max());
     double factor = noise;
     if (target < m_settings.m_slow_targets)
       factor *= m_settings.m_slow_factor;
-    Duration length = m_settings.m_per_unit * what.expected_tokens();
-    if (what.prefix() != 0 && m_settings.m_cached > 0)
-      length += Prefill(target, call);
-    return std::chrono::duration_cast<Duration>(length * factor);
+    Duration duration = m_settings.m_per_unit * model_call.expected_tokens();
+    if (model_call.prefix() != 0 && m_settings.m_max_cached > 0)
+      duration += Prefill(target, call);
+    return std::chrono::duration_cast<Duration>(duration * factor);
   }
 
   bool Cached(const Target& target, uint64_t prefix) const {
@@ -405,19 +415,19 @@
     m_records[call].m_cached = cached;
     cache.remove(prefix);
     cache.push_front(prefix);
-    Publish(target, prefix, true);
-    if (cache.size() > m_settings.m_cached) {
-      Publish(target, cache.back(), false);
+    PublishCacheEvent(target, prefix, true);
+    if (cache.size() > m_settings.m_max_cached) {
+      PublishCacheEvent(target, cache.back(), false);
       cache.pop_back();
     }
     return cached ? Duration{} : m_settings.m_prefill;
   }
 
-  void Publish(size_t target, uint64_t prefix, bool cached) {
+  void PublishCacheEvent(size_t target, uint64_t prefix, bool cached) {
     if (m_random() % 1000 < m_settings.m_events_lost * 1000)
       return;
     const TimePoint when = m_now;
-    At(m_now + m_settings.m_event_lag, [=, this] {
+    Schedule(m_now + m_settings.m_event_lag, [=, this] {
       const std::string name = "t" + std::to_string(target);
       for (Entry& entry : m_entries) {
         if (cached)
@@ -428,20 +438,20 @@
     });
   }
 
-  void Answer(size_t call,
-              size_t e,
-              size_t target,
-              TargetSign sign,
-              TimePoint sent,
-              std::shared_ptr<std::set<std::string>> tried,
-              uint32_t number,
-              TimePoint started) {
-    const uint32_t running = m_targets[target].m_inside;
-    At(m_now + m_settings.m_one_way, [=, this] {
+  void SendAnswer(size_t call,
+                  size_t e,
+                  size_t target,
+                  TargetSign sign,
+                  TimePoint sent,
+                  std::shared_ptr<std::set<std::string>> tried,
+                  uint32_t number,
+                  TimePoint started) {
+    const uint32_t running = m_targets[target].m_admitted;
+    Schedule(m_now + m_settings.m_one_way, [=, this] {
       Entry& entry = m_entries[e];
-      const model::Call& what = m_records[call].m_call;
-      AttemptEnded(entry.m_place, "t" + std::to_string(target), what, sign,
-                   m_now - sent, m_now);
+      const model::Call& model_call = m_records[call].m_call;
+      AttemptEnded(entry.m_place, "t" + std::to_string(target), model_call,
+                   sign, m_now - sent, m_now);
       if (sign != TargetSign::kBroken)
         LoadSeen(entry.m_place, "t" + std::to_string(target), running, m_now);
       EndedAttempt attempt;
@@ -451,35 +461,39 @@
       attempt.m_end = sign == TargetSign::kGood ? AttemptEnd::kCompleted
                                                 : AttemptEnd::kNotRun;
       const RetryDecision decision =
-          AfterAttempt(what, attempt, entry.m_budget, m_now);
+          AfterAttempt(model_call, attempt, entry.m_budget, m_now);
       if (decision.m_retry)
-        return Try(call, e, tried, number + 1, started);
+        return StartAttempt(call, e, tried, number + 1, started);
       if (attempt.m_turned_away) {
         if (sign == TargetSign::kFull)
           LowerLimit(entry.m_admit, m_now);
-        return NoRoom(call, e, number, started);
+        return RetryWhenFull(call, e, number, started);
       }
-      End(call, e, sign == TargetSign::kGood, started);
+      FinishCall(call, e, sign == TargetSign::kGood, started);
     });
   }
 
-  void End(size_t call, size_t e, bool good, TimePoint started) {
+  void FinishCall(size_t call, size_t e, bool good, TimePoint started) {
     const double units = UnitsOf(m_records[call].m_call);
-    Tell(call, good, "broken or full");
+    RecordResult(call, good, "broken or full");
     std::optional<Duration> elapsed;
     if (good)
       elapsed = m_now - started;
-    Carry(e, Finish(m_entries[e].m_admit, units, elapsed, m_now));
+    ApplyActions(e, Finish(m_entries[e].m_admit, units, elapsed, m_now));
   }
 
   /// Handles a call for which no target had a free slot: the call still counts
   /// as running and is sent again after kFullPause.
-  void NoRoom(size_t call, size_t e, uint32_t number, TimePoint started) {
+  void RetryWhenFull(size_t call,
+                     size_t e,
+                     uint32_t number,
+                     TimePoint started) {
     if (m_now + kFullPause >= m_records[call].m_call.deadline() ||
         number > kMaxAttempts)
-      return End(call, e, false, started);
-    At(m_now + kFullPause, [=, this] {
-      Try(call, e, std::make_shared<std::set<std::string>>(), 1, started);
+      return FinishCall(call, e, false, started);
+    Schedule(m_now + kFullPause, [=, this] {
+      StartAttempt(call, e, std::make_shared<std::set<std::string>>(), 1,
+                   started);
     });
   }
 
--- a/src/libverbenalead/decide/place.cc
+++ b/src/libverbenalead/decide/place.cc
@@ -16,7 +16,7 @@
 /// Minimum of Placement::m_max_running. The gate of a target may still count a
 /// call whose answer has just been sent when the next call arrives, so that 0
 /// would cause refusals at an idle target.
-constexpr uint32_t kLeastMaxRunning = 1;
+constexpr uint32_t kMinMaxRunning = 1;
 /// Weight of one call in the mean duration and the mean work of a call.
 constexpr double kMeanDecay = 0.01;
 
@@ -33,7 +33,7 @@
 
 /// Whether to send one call to an ejected target, whose ejection has ended, to
 /// check whether it has recovered.
-bool WantsProbe(const TargetView& target, TimePoint now) {
+bool NeedsProbe(const TargetView& target, TimePoint now) {
   return target.m_health.m_ejected && IsServing(target, now) &&
          now >= target.m_health.m_ejected_until && target.m_in_flight == 0;
 }
@@ -46,7 +46,7 @@
   size_t m_count = 0;
   /// Decay of the reported number of other entries' attempts, for each
   /// nanosecond of its age.
-  double m_fade = 0;
+  double m_decay_per_ns = 0;
 };
 
 PoolMean MeanOf(const PlaceState& state, TimePoint now) {
@@ -67,7 +67,7 @@
       state.m_mean_seconds > 0
           ? state.m_mean_seconds
           : std::chrono::duration<double>(kLoadFades).count();
-  mean.m_fade = 1 / (seconds * 1e9);
+  mean.m_decay_per_ns = 1 / (seconds * 1e9);
   return mean;
 }
 
@@ -80,9 +80,9 @@
                   const PoolMean& mean,
                   TimePoint now) {
   const auto age = static_cast<double>((now - target.m_others_at).count());
-  const double worth = 1 / (1 + age * mean.m_fade);
+  const double weight = 1 / (1 + age * mean.m_decay_per_ns);
   return target.m_in_flight + mean.m_others +
-         (target.m_others - mean.m_others) * worth;
+         (target.m_others - mean.m_others) * weight;
 }
 
 double LoadOf(const TargetView& target, const PoolMean& mean, TimePoint now) {
@@ -156,7 +156,7 @@
                                const std::set<std::string>& tried,
                                TimePoint now,
                                Random& random) {
-  const uint64_t draw = Mix(random());
+  const uint64_t random_bits = Mix(random());
   const TargetView* best = nullptr;
   double best_load = 0;
   for (const TargetView& target : state.m_targets) {
@@ -164,10 +164,10 @@
       continue;
     // One random number for the call, mixed with the hash of the target's name,
     // replaces a random number for each target.
-    const double chance =
-        static_cast<double>((draw ^ target.m_hash) * kMixFactor >> 32) *
+    const double random_fraction =
+        static_cast<double>((random_bits ^ target.m_hash) * kMixFactor >> 32) *
         0x1p-32;
-    const double load = LoadOf(target, mean, now) + kLoadStep * chance;
+    const double load = LoadOf(target, mean, now) + kLoadStep * random_fraction;
     if (best == nullptr || load < best_load) {
       best = &target;
       best_load = load;
@@ -188,30 +188,31 @@
   if (tried.size() + 1 >= mean.m_count)
     return UINT32_MAX;
   const auto running = std::max(
-      static_cast<uint32_t>(mean.m_own + mean.m_others), kLeastMaxRunning);
+      static_cast<uint32_t>(mean.m_own + mean.m_others), kMinMaxRunning);
   const double units = UnitsOf(call);
   const bool is_long = units > kLongFactor * state.m_mean_units;
   const double expected = units * SecondsPerUnit(state.m_service);
-  const double patience = expected * kPatience;
-  const bool last_try = is_long || tried.size() + 1 >= kMaxAttempts;
-  if (std::chrono::duration<double>(waited).count() >= patience && last_try)
+  const double wait_limit = expected * kPatience;
+  const bool last_attempt = is_long || tried.size() + 1 >= kMaxAttempts;
+  if (std::chrono::duration<double>(waited).count() >= wait_limit &&
+      last_attempt)
     return UINT32_MAX;
   if (!is_long)
     return running;
-  return std::max(running, kLongMargin + kLeastMaxRunning) - kLongMargin;
+  return std::max(running, kLongMargin + kMinMaxRunning) - kLongMargin;
 }
 
 /// The target to probe with `call`, or nullptr. A probe may be delayed by a
 /// slow target or may have to be retried, so calls that are urgent or not
 /// idempotent are not used as probes.
-const TargetView* ChooseToProbe(const PlaceState& state,
-                                const model::Call& call,
-                                const std::set<std::string>& tried,
-                                TimePoint now) {
+const TargetView* ChooseProbeTarget(const PlaceState& state,
+                                    const model::Call& call,
+                                    const std::set<std::string>& tried,
+                                    TimePoint now) {
   if (!call.idempotent() || call.urgency() < model::kDefaultUrgency)
     return nullptr;
   for (const TargetView& target : state.m_targets) {
-    if (WantsProbe(target, now) && !tried.contains(target.m_report.m_name))
+    if (NeedsProbe(target, now) && !tried.contains(target.m_report.m_name))
       return &target;
   }
   return nullptr;
@@ -246,7 +247,7 @@
                      });
 }
 
-void SeeLoad(TargetView& target, uint32_t running, TimePoint now) {
+void SetObservedLoad(TargetView& target, uint32_t running, TimePoint now) {
   target.m_others =
       running > target.m_in_flight ? running - target.m_in_flight : 0;
   target.m_others_at = now;
@@ -286,7 +287,7 @@
   target.m_report = report;
   target.m_report.m_leaving |= leaving;
   target.m_reported_at = now;
-  SeeLoad(target, report.m_running, now);
+  SetObservedLoad(target, report.m_running, now);
   if (!same) {
     ForgetTarget(state.m_prefixes, target.m_hash);
     target.m_health = {};
@@ -298,11 +299,11 @@
   auto found = state.m_index.find(name);
   if (found == state.m_index.end())
     return;
-  const size_t gone = found->second;
+  const size_t removed = found->second;
   state.m_index.erase(found);
-  if (gone + 1 != state.m_targets.size()) {
-    state.m_targets[gone] = std::move(state.m_targets.back());
-    state.m_index[state.m_targets[gone].m_report.m_name] = gone;
+  if (removed + 1 != state.m_targets.size()) {
+    state.m_targets[removed] = std::move(state.m_targets.back());
+    state.m_index[state.m_targets[removed].m_report.m_name] = removed;
   }
   state.m_targets.pop_back();
 }
@@ -313,7 +314,7 @@
                                Duration waited,
                                TimePoint now,
                                Random& random) {
-  if (const TargetView* target = ChooseToProbe(state, call, tried, now))
+  if (const TargetView* target = ChooseProbeTarget(state, call, tried, now))
     return MakePlacement(*target, "probe");
   const PoolMean mean = MeanOf(state, now);
   if (call.prefix() != 0) {
@@ -368,9 +369,10 @@
     return;
   }
   const double seconds = std::chrono::duration<double>(elapsed).count();
-  const double usual = SecondsPerUnit(state.m_service) * units;
+  const double expected_seconds = SecondsPerUnit(state.m_service) * units;
   const bool good = sign == TargetSign::kGood;
-  const double slowness = good && usual > 0 ? seconds / usual : 0;
+  const double slowness =
+      good && expected_seconds > 0 ? seconds / expected_seconds : 0;
   const AttemptSign answer = good ? AttemptSign::kGood
                              : sign == TargetSign::kFailed
                                  ? AttemptSign::kFailed
@@ -392,7 +394,7 @@
               uint32_t running,
               TimePoint now) {
   if (TargetView* target = Find(state, name))
-    SeeLoad(*target, running, now);
+    SetObservedLoad(*target, running, now);
 }
 
 void PrefixCached(PlaceState& state,
--- a/src/libverbenalead/decide/prefix_index.cc
+++ b/src/libverbenalead/decide/prefix_index.cc
@@ -5,7 +5,7 @@
 namespace verbenalead::decide {
 namespace {
 
-void Sweep(PrefixIndex& index, TimePoint now) {
+void EvictExpired(PrefixIndex& index, TimePoint now) {
   const bool full = index.m_holders.size() >= kMaxPrefixes;
   if (!full && now - index.m_swept_at < kPrefixForgotten)
     return;
@@ -30,7 +30,7 @@
                 uint64_t prefix,
                 uint64_t target,
                 TimePoint when) {
-  Sweep(index, when);
+  EvictExpired(index, when);
   std::vector<PrefixHolder>& holders = index.m_holders[prefix];
   for (PrefixHolder& holder : holders) {
     if (holder.m_target == target) {
--- a/src/libverbenalead/decide/quarantine.cc
+++ b/src/libverbenalead/decide/quarantine.cc
@@ -8,7 +8,7 @@
 namespace verbenalead::decide {
 namespace {
 
-void ForgetOld(QuarantineState& state, TimePoint now) {
+void EvictExpired(QuarantineState& state, TimePoint now) {
   std::erase_if(state.m_crashes, [&](auto& entry) {
     return std::all_of(entry.second.begin(), entry.second.end(),
                        [&](const auto& crash) {
@@ -20,9 +20,9 @@
   });
 }
 
-void Keep(QuarantineState& state, const CrashNote& note, TimePoint now) {
+void StoreCrash(QuarantineState& state, const CrashNote& note, TimePoint now) {
   if (state.m_crashes.size() >= kMaxKeys)
-    ForgetOld(state, now);
+    EvictExpired(state, now);
   if (state.m_crashes.size() >= kMaxKeys)
     return;
   TimePoint& at = state.m_crashes[note.m_key][note.m_target];
@@ -36,7 +36,7 @@
                const std::string& target,
                TimePoint now) {
   const CrashNote note{key, target, now};
-  Keep(state, note, now);
+  StoreCrash(state, note, now);
   if (state.m_news.size() < kMaxKeys)
     state.m_news.push_back(note);
 }
@@ -75,7 +75,7 @@
     const auto cleared = state.m_cleared.find(note.m_key);
     if (cleared == state.m_cleared.end() ||
         now - cleared->second > state.m_limits.m_hold)
-      Keep(state, note, now);
+      StoreCrash(state, note, now);
   }
 }
 
--- a/src/libverbenalead/decide/quarantine_test.cc
+++ b/src/libverbenalead/decide/quarantine_test.cc
@@ -12,18 +12,18 @@
 
 class QuarantineTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(QuarantineTest);
-  CPPUNIT_TEST(SetAsideAtEveryEntry);
-  CPPUNIT_TEST(OneDyingTargetSetsNothingAside);
+  CPPUNIT_TEST(QuarantinedAtEveryEntry);
+  CPPUNIT_TEST(CrashesOfOneTargetQuarantineNothing);
   CPPUNIT_TEST(SuccessClearsTheRequest);
-  CPPUNIT_TEST(EndsWithTime);
-  CPPUNIT_TEST(OrderAndRepetitionDoNotMatter);
+  CPPUNIT_TEST(QuarantineExpires);
+  CPPUNIT_TEST(MergeIsCommutativeAndIdempotent);
   CPPUNIT_TEST_SUITE_END();
 
  public:
   // Guards against a request that takes down targets through several entries:
   // it crashes one target through each of two entries. After an exchange of
   // their crash records, both entries must refuse it.
-  void SetAsideAtEveryEntry() {
+  void QuarantinedAtEveryEntry() {
     QuarantineState a, b;
     NoteCrash(a, 7, "t1", kStart);
     NoteCrash(b, 7, "t2", kStart);
@@ -37,7 +37,7 @@
     CPPUNIT_ASSERT(News(a).empty());
   }
 
-  void OneDyingTargetSetsNothingAside() {
+  void CrashesOfOneTargetQuarantineNothing() {
     QuarantineState state;
     for (uint64_t key = 0; key < 100; ++key) {
       NoteCrash(state, key, "t1", kStart);
@@ -56,7 +56,7 @@
     CPPUNIT_ASSERT(!IsSetAside(state, 7, kStart + 1s));
   }
 
-  void EndsWithTime() {
+  void QuarantineExpires() {
     QuarantineState state;
     NoteCrash(state, 7, "t1", kStart);
     NoteCrash(state, 7, "t2", kStart);
@@ -65,8 +65,8 @@
         !IsSetAside(state, 7, kStart + QuarantineLimits().m_hold + 1s));
   }
 
-  void OrderAndRepetitionDoNotMatter() {
-    const bool good = rc::check("entries agree", [] {
+  void MergeIsCommutativeAndIdempotent() {
+    const bool passed = rc::check("entries agree", [] {
       const auto numbers = *rc::gen::container<std::vector<uint8_t>>(
           30, rc::gen::arbitrary<uint8_t>());
       std::vector<CrashNote> notes;
@@ -80,7 +80,7 @@
       Merge(b, notes, kStart);
       RC_ASSERT(a.m_crashes == b.m_crashes);
     });
-    CPPUNIT_ASSERT(good);
+    CPPUNIT_ASSERT(passed);
   }
 };
 
--- a/src/libverbenalead/decide/retry.cc
+++ b/src/libverbenalead/decide/retry.cc
@@ -34,9 +34,9 @@
                            TimePoint now) {
   RetryDecision decision;
   decision.m_outcome = OutcomeOf(attempt.m_end);
-  const bool worthwhile =
+  const bool may_retry =
       attempt.m_number < kMaxAttempts && now < call.deadline();
-  if (!worthwhile || !IsSafe(call, attempt))
+  if (!may_retry || !IsSafe(call, attempt))
     return decision;
   decision.m_retry = attempt.m_turned_away || TakeRetry(budget);
   decision.m_over_budget = !decision.m_retry;
--- a/src/libverbenalead/decide/retry_window.cc
+++ b/src/libverbenalead/decide/retry_window.cc
@@ -37,20 +37,20 @@
   const int64_t number = PartNumber(allowance, now);
   RetryWindow::Part& current = PartAt(window, number);
   uint32_t calls = 0;
-  uint32_t repeats = 0;
+  uint32_t retries = 0;
   for (const RetryWindow::Part& part : window.m_parts) {
     const int64_t age = number - part.m_number;
     if (part.m_number < 0 || age < 0 ||
         age > static_cast<int64_t>(RetryWindow::kParts))
       continue;
-    repeats += part.m_repeats;
+    retries += part.m_repeats;
     if (age < static_cast<int64_t>(RetryWindow::kParts))
       calls += part.m_calls;
   }
   const double allowed =
       kUsedShare * (allowance.m_ratio * calls +
                     allowance.m_slack / std::max<uint32_t>(1, entries));
-  if (repeats + 1 > allowed)
+  if (retries + 1 > allowed)
     return false;
   ++current.m_repeats;
   return true;
--- a/src/libverbenalead/decide/retry_window_test.cc
+++ b/src/libverbenalead/decide/retry_window_test.cc
@@ -14,22 +14,22 @@
 
 class RetryWindowTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RetryWindowTest);
-  CPPUNIT_TEST(AShareOfTheSlackIsThereAtOnce);
-  CPPUNIT_TEST(RepeatsAreFreedAfterAWindow);
-  CPPUNIT_TEST(AllEntriesTogetherKeepToTheAllowance);
+  CPPUNIT_TEST(ShareOfSlackIsAvailableAtStart);
+  CPPUNIT_TEST(RetriesExpireAfterWindow);
+  CPPUNIT_TEST(AllEntriesTogetherStayWithinAllowance);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void AShareOfTheSlackIsThereAtOnce() {
+  void ShareOfSlackIsAvailableAtStart() {
     const RetryAllowance allowance{0.2, 100, 10s};
     RetryWindow window;
-    int taken = 0;
+    int granted = 0;
     while (TakeRepeat(window, allowance, kEntries, kStart))
-      ++taken;
-    CPPUNIT_ASSERT_EQUAL(20, taken);
+      ++granted;
+    CPPUNIT_ASSERT_EQUAL(20, granted);
   }
 
-  void RepeatsAreFreedAfterAWindow() {
+  void RetriesExpireAfterWindow() {
     const RetryAllowance allowance{0.2, 100, 10s};
     RetryWindow window;
     while (TakeRepeat(window, allowance, kEntries, kStart)) {
@@ -42,12 +42,12 @@
   // sends as many retries as it may, at random times. In any interval of the
   // length of the window, the retries of all entries must not exceed the ratio
   // of their calls plus the slack.
-  void AllEntriesTogetherKeepToTheAllowance() {
-    const bool held = rc::check("allowance", [] {
+  void AllEntriesTogetherStayWithinAllowance() {
+    const bool passed = rc::check("allowance", [] {
       const RetryAllowance allowance{0.2, 40, 10s};
       std::vector<RetryWindow> entries(kEntries);
       std::vector<TimePoint> calls;
-      std::vector<TimePoint> repeats;
+      std::vector<TimePoint> retries;
       TimePoint now = kStart;
       const auto steps =
           *rc::gen::container<std::vector<int>>(300, rc::gen::inRange(0, 100));
@@ -57,7 +57,7 @@
         CountCall(window, allowance, now);
         calls.push_back(now);
         while (TakeRepeat(window, allowance, kEntries, now))
-          repeats.push_back(now);
+          retries.push_back(now);
       }
       const auto within = [&](const std::vector<TimePoint>& times,
                               TimePoint end) {
@@ -65,13 +65,13 @@
           return time > end - allowance.m_window && time <= end;
         });
       };
-      for (TimePoint end : repeats) {
-        RC_ASSERT(static_cast<double>(within(repeats, end)) <=
+      for (TimePoint end : retries) {
+        RC_ASSERT(static_cast<double>(within(retries, end)) <=
                   allowance.m_ratio * static_cast<double>(within(calls, end)) +
                       allowance.m_slack);
       }
     });
-    CPPUNIT_ASSERT(held);
+    CPPUNIT_ASSERT(passed);
   }
 };
 
--- a/src/libverbenalead/decide/route_table.cc
+++ b/src/libverbenalead/decide/route_table.cc
@@ -52,11 +52,12 @@
     total += share.m_weight;
   if (total == 0)
     return route.m_services.front().m_service;
-  uint64_t draw = std::uniform_int_distribution<uint64_t>(0, total - 1)(random);
+  uint64_t remainder =
+      std::uniform_int_distribution<uint64_t>(0, total - 1)(random);
   for (const model::ServiceShare& share : route.m_services) {
-    if (draw < share.m_weight)
+    if (remainder < share.m_weight)
       return share.m_service;
-    draw -= share.m_weight;
+    remainder -= share.m_weight;
   }
   return route.m_services.back().m_service;
 }
--- a/src/libverbenalead/decide/route_table_test.cc
+++ b/src/libverbenalead/decide/route_table_test.cc
@@ -18,14 +18,14 @@
 
 class RouteTableTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RouteTableTest);
-  CPPUNIT_TEST(TheLongestPrefixWins);
-  CPPUNIT_TEST(KeysNameTheirHolder);
-  CPPUNIT_TEST(ServicesAreDrawnByWeight);
-  CPPUNIT_TEST(WeightsBindAtTheirTime);
+  CPPUNIT_TEST(LongestPrefixWins);
+  CPPUNIT_TEST(FindsOrganisationByKey);
+  CPPUNIT_TEST(ServicesAreSelectedByWeight);
+  CPPUNIT_TEST(WeightsBindAtDeclaredTime);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void TheLongestPrefixWins() {
+  void LongestPrefixWins() {
     model::RoutingConfig config;
     config.m_routes = {MakeRoute("h", "/a/"), MakeRoute("h", "/a/b/"),
                        MakeRoute("other", "/")};
@@ -38,7 +38,7 @@
     CPPUNIT_ASSERT(!table.FindRoute("unknown", "/a/"));
   }
 
-  void KeysNameTheirHolder() {
+  void FindsOrganisationByKey() {
     model::RoutingConfig config;
     config.m_organisations = {{"acme", {"k1", "k2"}, std::nullopt}};
     const RouteTable table(config);
@@ -48,16 +48,16 @@
     CPPUNIT_ASSERT(!table.FindOrganisation(""));
   }
 
-  void ServicesAreDrawnByWeight() {
+  void ServicesAreSelectedByWeight() {
     std::mt19937_64 random(1);
     const model::Route route = MakeRoute("h", "/");
-    int drawn = 0;
+    int selected = 0;
     for (int i = 0; i < 4000; ++i)
-      drawn += DrawService(route, random) == "a" ? 1 : 0;
-    CPPUNIT_ASSERT(drawn > 2850 && drawn < 3150);
+      selected += DrawService(route, random) == "a" ? 1 : 0;
+    CPPUNIT_ASSERT(selected > 2850 && selected < 3150);
   }
 
-  void WeightsBindAtTheirTime() {
+  void WeightsBindAtDeclaredTime() {
     const TimePoint start = TimePoint() + 3600s;
     WeightsWatch watch;
     Declare(watch, 2, start + 8s);
--- a/src/libverbenalead/decide/routing_bench.cc
+++ b/src/libverbenalead/decide/routing_bench.cc
@@ -12,7 +12,7 @@
 namespace verbenalead::decide::fake {
 namespace {
 
-constexpr Policy kPolicies[] = {Policy::kOurs, Policy::kRoundRobin,
+constexpr Policy kPolicies[] = {Policy::kVerbenalead, Policy::kRoundRobin,
                                 Policy::kRandom, Policy::kLeastReported};
 constexpr uint32_t kShort = 50;
 constexpr uint32_t kLong = 500;
@@ -30,10 +30,10 @@
 
 /// Latencies in ms of the completed calls for which `counts` holds.
 template <typename Counts>
-std::vector<double> Latencies(const FakePool& pool, Counts&& counts) {
+std::vector<double> Latencies(const FakePool& pool, Counts&& includes) {
   std::vector<double> all;
   for (const CallRecord& record : pool.records()) {
-    if (record.m_completed && counts(record))
+    if (record.m_completed && includes(record))
       all.push_back(ToMs(record.latency()));
   }
   return all;
@@ -63,7 +63,7 @@
 size_t Lost(const FakePool& pool) {
   size_t lost = 0;
   for (const CallRecord& record : pool.records())
-    lost += record.m_told_times == 1 ? 0 : 1;
+    lost += record.m_result_count == 1 ? 0 : 1;
   return lost;
 }
 
@@ -76,7 +76,7 @@
   FakePool pool(settings);
   const double capacity = Capacity(settings, kShort);
   const double seconds = 30;
-  const double warm = 5;
+  const double warm_up = 5;
   Arrivals arrivals;
   while (arrivals.m_at < seconds) {
     const bool large = arrivals.Pick(10) < 8;
@@ -87,42 +87,44 @@
     pool.Add(arrivals.Next(2 * capacity), builder, 1s);
   }
   pool.Run(60s);
-  double good = 0, urgent = 0, urgent_good = 0, late_refused = 0, refused = 0;
+  double on_time_calls = 0, urgent = 0, urgent_on_time = 0, late_refused = 0,
+         refused = 0;
   std::map<std::string, double> by_organisation, demand;
-  std::vector<double> told;
+  std::vector<double> refusal_times;
   for (const CallRecord& record : pool.records()) {
     const double at = ToMs(record.m_arrived - TimePoint{}) / 1000;
-    if (at < warm || at > seconds - 2)
+    if (at < warm_up || at > seconds - 2)
       continue;
     ++demand[record.m_call.organisation()];
-    if (record.in_time()) {
-      ++good;
+    if (record.on_time()) {
+      ++on_time_calls;
       ++by_organisation[record.m_call.organisation()];
     }
     if (record.m_call.urgency() == 0) {
       ++urgent;
-      urgent_good += record.in_time() ? 1 : 0;
+      urgent_on_time += record.on_time() ? 1 : 0;
     }
     if (!record.m_completed) {
       ++refused;
-      told.push_back(ToMs(record.latency()));
-      late_refused += told.back() > 10 ? 1 : 0;
+      refusal_times.push_back(ToMs(record.latency()));
+      late_refused += refusal_times.back() > 10 ? 1 : 0;
     }
   }
-  const double span = seconds - 2 - warm;
+  const double span = seconds - 2 - warm_up;
   // A small organisation sends less than a tenth of the capacity, so its fair
   // share is all that it sends.
-  double least = 1;
-  for (const auto& [name, asked] : demand) {
-    const double share = name == "o0" ? 0.6 * capacity * span : asked;
-    least = std::min(least, by_organisation[name] / share);
+  double least_share = 1;
+  for (const auto& [name, sent] : demand) {
+    const double share = name == "o0" ? 0.6 * capacity * span : sent;
+    least_share = std::min(least_share, by_organisation[name] / share);
   }
   std::printf(
       "bench=requests scenario=saturation policy=%s%s goodput=%.3f "
       "urgent_in_time=%.4f least_fair_share=%.3f refusal_p99_ms=%.1f "
       "refusal_max_ms=%.1f late_refusals=%.4f lost=%zu\n",
-      ToString(policy), admission ? "" : "+fifo", good / (capacity * span),
-      urgent_good / urgent, least, Percentile(told, 0.99), Percentile(told, 1),
+      ToString(policy), admission ? "" : "+fifo",
+      on_time_calls / (capacity * span), urgent_on_time / urgent, least_share,
+      Percentile(refusal_times, 0.99), Percentile(refusal_times, 1),
       refused > 0 ? late_refused / refused : 0, Lost(pool));
 }
 
@@ -154,7 +156,7 @@
 void ShortAndLong(Policy policy) {
   PoolSettings settings;
   settings.m_policy = policy;
-  settings.m_gate = 16;
+  settings.m_gate_limit = 16;
   FakePool pool(settings);
   const double units = 0.9 * kShort + 0.1 * kLong;
   const double rate = 0.9 * Capacity(settings, units);
@@ -170,13 +172,14 @@
     return record.m_call.expected_tokens() == kShort;
   };
   const auto latencies = Latencies(pool, is_short);
-  const auto long_ones = Latencies(
+  const auto long_latencies = Latencies(
       pool, [&](const CallRecord& record) { return !is_short(record); });
   std::printf(
       "bench=requests scenario=short_and_long policy=%s short_p50_ms=%.1f "
       "short_p99_ms=%.1f long_p50_ms=%.1f long_p99_ms=%.1f lost=%zu\n",
       ToString(policy), Percentile(latencies, 0.5), Percentile(latencies, 0.99),
-      Percentile(long_ones, 0.5), Percentile(long_ones, 0.99), Lost(pool));
+      Percentile(long_latencies, 0.5), Percentile(long_latencies, 0.99),
+      Lost(pool));
 }
 
 /// Three bursts of two seconds at five times the capacity, with idle times
@@ -197,15 +200,15 @@
     }
   }
   pool.Run(60s);
-  double good = 0, late = 0;
+  double on_time_calls = 0, late = 0;
   for (const CallRecord& record : pool.records()) {
-    good += record.in_time() ? 1 : 0;
-    late += record.m_completed && !record.in_time() ? 1 : 0;
+    on_time_calls += record.on_time() ? 1 : 0;
+    late += record.m_completed && !record.on_time() ? 1 : 0;
   }
   std::printf(
       "bench=requests scenario=bursts policy=%s lost=%zu overdue_waiting=%zu "
       "in_time=%.0f completed_late=%.0f of=%zu\n",
-      ToString(policy), Lost(pool), pool.worst_overdue(), good, late,
+      ToString(policy), Lost(pool), pool.worst_overdue(), on_time_calls, late,
       pool.records().size());
 }
 
@@ -213,7 +216,7 @@
 void PrefixReuse(Policy policy) {
   PoolSettings settings;
   settings.m_policy = policy;
-  settings.m_cached = 40;
+  settings.m_max_cached = 40;
   settings.m_prefill = 100ms;
   FakePool pool(settings);
   const double rate = 0.6 * Capacity(settings, kShort);
@@ -249,8 +252,8 @@
 void Outage(Policy policy) {
   PoolSettings settings;
   settings.m_policy = policy;
-  settings.m_dead_targets = settings.m_targets / 2;
-  settings.m_dead_from = 10s;
+  settings.m_failed_targets = settings.m_targets / 2;
+  settings.m_failed_from = 10s;
   FakePool pool(settings);
   const double rate = 0.8 * Capacity(settings, kShort);
   Arrivals arrivals;
@@ -261,21 +264,21 @@
     pool.Add(arrivals.Next(rate), builder, 1s);
   }
   pool.Run(100s);
-  double attempts = 0, tried = 0, calls = 0, good = 0;
+  double attempts = 0, attempted = 0, calls = 0, on_time_calls = 0;
   for (const CallRecord& record : pool.records()) {
-    if (record.m_arrived < TimePoint{} + settings.m_dead_from)
+    if (record.m_arrived < TimePoint{} + settings.m_failed_from)
       continue;
     ++calls;
     attempts += record.m_attempts;
-    tried += record.m_attempts > 0 ? 1 : 0;
-    good += record.in_time() ? 1 : 0;
+    attempted += record.m_attempts > 0 ? 1 : 0;
+    on_time_calls += record.on_time() ? 1 : 0;
   }
   std::printf(
       "bench=requests scenario=outage_of_half policy=%s "
       "attempts_per_request=%.3f attempts_per_started=%.3f in_time=%.3f "
       "lost=%zu\n",
-      ToString(policy), attempts / calls, attempts / tried, good / calls,
-      Lost(pool));
+      ToString(policy), attempts / calls, attempts / attempted,
+      on_time_calls / calls, Lost(pool));
 }
 
 }  // namespace
--- a/src/libverbenalead/decide/routing_test.cc
+++ b/src/libverbenalead/decide/routing_test.cc
@@ -43,26 +43,26 @@
 
 class RoutingTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RoutingTest);
-  CPPUNIT_TEST(FloodLeavesOthersTheirShare);
+  CPPUNIT_TEST(OverloadLeavesOthersTheirShare);
   CPPUNIT_TEST(UrgentGoesFirstWithinItsOrganisation);
-  CPPUNIT_TEST(HopelessIsRefusedOnArrival);
+  CPPUNIT_TEST(UnmeetableDeadlineIsRefusedOnArrival);
   CPPUNIT_TEST(NothingWaitsPastItsDeadline);
-  CPPUNIT_TEST(EveryCallerIsToldOnce);
-  CPPUNIT_TEST(SlowTargetIsFoundAndProbedBack);
-  CPPUNIT_TEST(AllEjectedStillAsksOne);
-  CPPUNIT_TEST(AnswerStillLeavingIsNoLoad);
+  CPPUNIT_TEST(EveryCallEndsExactlyOnce);
+  CPPUNIT_TEST(SlowTargetIsEjectedAndReinstated);
+  CPPUNIT_TEST(AllEjectedStillUsesOne);
+  CPPUNIT_TEST(RecentAnswerIsNotCountedAsLoad);
   CPPUNIT_TEST(LeavingNeverReverts);
-  CPPUNIT_TEST(PrefixMeetsTheSameTargetAtEveryEntry);
-  CPPUNIT_TEST(EvictionIsForgottenUnlessUsedSince);
-  CPPUNIT_TEST(OutageIsNotAnsweredWithRetries);
+  CPPUNIT_TEST(PrefixMapsToSameTargetAtEveryEntry);
+  CPPUNIT_TEST(LateEvictionKeepsRenewedPrefix);
+  CPPUNIT_TEST(RetriesAreLimitedInOutage);
   CPPUNIT_TEST(RetriesOnlyWhatIsSafe);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // Callers of the small organisations get their answers in time. One
-  // organisation sends four times what the pool can carry; the others send a
-  // tenth of it. In order of arrival they would share its fate.
-  void FloodLeavesOthersTheirShare() {
+  // Guards against an organisation whose calls alone use the whole capacity of
+  // the pool and so delay those of a small one, which sends a fortieth of that.
+  // If calls were served in order of arrival, those of both would be late.
+  void OverloadLeavesOthersTheirShare() {
     PoolSettings settings;
     FakePool pool = RunCalls(settings, 41 * 160, 8, [](int i) {
       model::CallBuilder builder;
@@ -70,15 +70,15 @@
       return builder.ExpectedTokens(kTokens);
     });
     pool.Run(20s);
-    int small = 0, in_time = 0;
+    int small = 0, on_time = 0;
     for (const CallRecord& record : pool.records()) {
       if (record.m_call.organisation() != "small")
         continue;
       ++small;
-      in_time += record.in_time() ? 1 : 0;
+      on_time += record.on_time() ? 1 : 0;
     }
     CPPUNIT_ASSERT(small >= 160);
-    CPPUNIT_ASSERT(in_time >= small * 98 / 100);
+    CPPUNIT_ASSERT(on_time >= small * 98 / 100);
   }
 
   void UrgentGoesFirstWithinItsOrganisation() {
@@ -91,9 +91,10 @@
     CPPUNIT_ASSERT_EQUAL(uint64_t{3}, actions.at(0).m_ticket);
   }
 
-  // The caller hears at once that it would not be answered in time, and when to
-  // come back. Two calls of 1 s each stand before it, it waits 2 s.
-  void HopelessIsRefusedOnArrival() {
+  // Guards against callers that wait for an answer that can't be on time. The
+  // call has a timeout of 2 s, and two calls of 1 s each wait before it: it
+  // must be refused on arrival, with the time after which to retry.
+  void UnmeetableDeadlineIsRefusedOnArrival() {
     AdmitState state;
     Tick(state, 1, kStart);
     Arrive(state, 1, MakeCall("a", 3, 9s), kStart);
@@ -126,13 +127,13 @@
   // Guards against calls with no result or two, and calls that wait past their
   // deadline, under random combinations of bursts, failed targets, slow targets
   // and long calls.
-  void EveryCallerIsToldOnce() {
-    const bool good = rc::check("told once", [] {
+  void EveryCallEndsExactlyOnce() {
+    const bool passed = rc::check("told once", [] {
       PoolSettings settings;
       settings.m_entries = *rc::gen::inRange<uint32_t>(1, 5);
       settings.m_targets = *rc::gen::inRange<uint32_t>(1, 6);
-      settings.m_dead_targets = *rc::gen::inRange<uint32_t>(0, 6);
-      settings.m_dead_from = 200ms;
+      settings.m_failed_targets = *rc::gen::inRange<uint32_t>(0, 6);
+      settings.m_failed_from = 200ms;
       settings.m_slow_targets = *rc::gen::inRange<uint32_t>(0, 2);
       settings.m_seed = *rc::gen::inRange<uint64_t>(1, 1000);
       const auto gaps =
@@ -148,22 +149,22 @@
       }
       pool.Run(60s);
       for (const CallRecord& record : pool.records())
-        RC_ASSERT(record.m_told_times == 1u);
+        RC_ASSERT(record.m_result_count == 1u);
       RC_ASSERT(pool.worst_overdue() == 0u);
     });
-    CPPUNIT_ASSERT(good);
+    CPPUNIT_ASSERT(passed);
   }
 
   // Guards against a target that answers ten times slower than the other and
   // gets more calls because it reports itself idle. It must be ejected, and
   // reinstated after a successful probe.
-  void SlowTargetIsFoundAndProbedBack() {
+  void SlowTargetIsEjectedAndReinstated() {
     PlaceState state = TwoTargets();
     const model::Call call = MakeCall("a", 3, 9s);
     for (int i = 0; i < 20; ++i)
-      End(state, "fast", call, TargetSign::kGood, 100ms, kStart);
+      RunAttempt(state, "fast", call, TargetSign::kGood, 100ms, kStart);
     for (int i = 0; i < 4; ++i)
-      End(state, "slow", call, TargetSign::kGood, 1s, kStart);
+      RunAttempt(state, "slow", call, TargetSign::kGood, 1s, kStart);
     Random random;
     for (int i = 0; i < 10; ++i) {
       const auto placed = Place(state, call, {}, {}, kStart, random);
@@ -184,11 +185,11 @@
   // Guards against refused calls after a failure of the entry's own link,
   // during which every target seemed broken and was ejected. Calls must be sent
   // to a target again before the ejections end.
-  void AllEjectedStillAsksOne() {
+  void AllEjectedStillUsesOne() {
     PlaceState state = TwoTargets();
     const model::Call call = MakeCall("a", 0, 9s);
-    End(state, "fast", call, TargetSign::kBroken, 1ms, kStart);
-    End(state, "slow", call, TargetSign::kBroken, 1ms, kStart);
+    RunAttempt(state, "fast", call, TargetSign::kBroken, 1ms, kStart);
+    RunAttempt(state, "slow", call, TargetSign::kBroken, 1ms, kStart);
     CPPUNIT_ASSERT(UsableCapacity(state, kStart) > 0);
     Random random;
     const auto placed = Place(state, call, {}, {}, kStart, random);
@@ -200,12 +201,12 @@
   // the previous one. The target's gate may still count the previous attempt;
   // with a limit of 0 running calls, it would refuse the new one, and a pool of
   // one target has no other.
-  void AnswerStillLeavingIsNoLoad() {
+  void RecentAnswerIsNotCountedAsLoad() {
     PlaceState state;
     const model::Call call = MakeCall("a", 3, 9s);
     Random random;
     Report(state, OpenTarget("t", 0), kStart);
-    End(state, "t", call, TargetSign::kGood, 100ms, kStart);
+    RunAttempt(state, "t", call, TargetSign::kGood, 100ms, kStart);
     CPPUNIT_ASSERT_EQUAL(
         UINT32_MAX, Place(state, call, {}, {}, kStart, random)->m_max_running);
     Report(state, OpenTarget("u", 0), kStart);
@@ -226,7 +227,7 @@
     CPPUNIT_ASSERT_EQUAL(uint32_t{8}, UsableCapacity(state, kStart));
   }
 
-  void PrefixMeetsTheSameTargetAtEveryEntry() {
+  void PrefixMapsToSameTargetAtEveryEntry() {
     for (uint64_t prefix = 1; prefix < 50; ++prefix) {
       std::set<std::string> chosen;
       for (uint32_t entry = 0; entry < 4; ++entry) {
@@ -248,7 +249,7 @@
 
   // Guards against late cache events: an eviction before the last use of the
   // prefix at the target must not remove the entry that this use has renewed.
-  void EvictionIsForgottenUnlessUsedSince() {
+  void LateEvictionKeepsRenewedPrefix() {
     PrefixIndex index;
     NotePrefix(index, 7, 1, kStart + 2s);
     NoteEviction(index, 7, 1, kStart + 1s);
@@ -263,7 +264,7 @@
   // Guards against an overload of the working half of a pool by retries: the
   // other half breaks every call, and each broken call may be sent to two more
   // targets.
-  void OutageIsNotAnsweredWithRetries() {
+  void RetriesAreLimitedInOutage() {
     RetryBudget budget;
     const model::Call call = MakeCall("a", 3, 9s);
     EndedAttempt broken;
@@ -286,12 +287,13 @@
     RetryBudget budget;
     const model::Call call = MakeCall("a", 3, 9s);
     model::CallBuilder builder;
-    const auto once = builder.NotIdempotent("k").Deadline(kStart + 9s).Build();
+    const auto not_idempotent =
+        builder.NotIdempotent("k").Deadline(kStart + 9s).Build();
     EndedAttempt attempt;
     CPPUNIT_ASSERT(AfterAttempt(call, attempt, budget, kStart).m_retry);
-    const auto told = AfterAttempt(once, attempt, budget, kStart);
-    CPPUNIT_ASSERT(!told.m_retry);
-    CPPUNIT_ASSERT(told.m_outcome == model::Outcome::kUnknown);
+    const auto decision = AfterAttempt(not_idempotent, attempt, budget, kStart);
+    CPPUNIT_ASSERT(!decision.m_retry);
+    CPPUNIT_ASSERT(decision.m_outcome == model::Outcome::kUnknown);
     attempt.m_answer_begun = true;
     CPPUNIT_ASSERT(!AfterAttempt(call, attempt, budget, kStart).m_retry);
     attempt = {AttemptEnd::kNotRun, kMaxAttempts};
@@ -306,12 +308,12 @@
     return state;
   }
 
-  static void End(PlaceState& state,
-                  const std::string& target,
-                  const model::Call& call,
-                  TargetSign sign,
-                  Duration elapsed,
-                  TimePoint now) {
+  static void RunAttempt(PlaceState& state,
+                         const std::string& target,
+                         const model::Call& call,
+                         TargetSign sign,
+                         Duration elapsed,
+                         TimePoint now) {
     AttemptSent(state, target, call, now);
     AttemptEnded(state, target, call, sign, elapsed, now);
   }
