--- a/src/libverbenalead/decide/admit.h
+++ b/src/libverbenalead/decide/admit.h
@@ -50,8 +50,9 @@
 };
 
 /// Calls that may wait for each call that may run. A call further back would
-/// wait for four service times, which helps only callers whose deadlines are
-/// minutes away, and each waiting call keeps its body in memory (4 MB at most).
+/// wait for at least four service times, which helps only callers whose
+/// deadlines are minutes away, and each waiting call keeps its body in memory
+/// (4 MB at most).
 constexpr uint32_t kQueuePerSlot = 4;
 /// Factor on the estimated wait. Actual waits are longer than the estimate when
 /// service times vary. Refusing a call that would have been on time costs its
@@ -65,7 +66,7 @@
 /// allows at once, counting only calls that end while the limit is reached.
 constexpr double kRaiseStep = 2;
 /// Time constant of the exponential decay of the arrival and service rates, and
-/// the least time between two updates of the decayed sums.
+/// the minimum time between two updates of the decayed sums.
 constexpr Duration kArrivalsFadeIn = 2s;
 constexpr Duration kFadeEvery = 10ms;
 /// Interval at which the queue is scanned for calls that can no longer meet
--- a/src/libverbenalead/decide/place.cc
+++ b/src/libverbenalead/decide/place.cc
@@ -177,8 +177,8 @@
 }
 
 /// How many calls may already run at the target when `call` arrives. The limit
-/// is derived from the mean over the pool, which is the most current value in
-/// the reports: it changes only with the load of the whole pool.
+/// is derived from the mean over the pool, which is less outdated than the
+/// report of a single target: it changes only with the load of the whole pool.
 uint32_t MaxRunning(const PlaceState& state,
                     const PoolMean& mean,
                     const model::Call& call,
--- a/src/libverbenalead/decide/prefix_index.cc
+++ b/src/libverbenalead/decide/prefix_index.cc
@@ -17,9 +17,8 @@
     entry =
         entry->second.empty() ? index.m_holders.erase(entry) : std::next(entry);
   }
-  // No entry has expired and the index is still full. Without it, placement
-  // uses the rendezvous hash alone, until later calls and events fill the index
-  // again.
+  // No entry has expired, so the full index is cleared. Placement then uses the
+  // rendezvous hash alone until later calls and events fill the index again.
   if (index.m_holders.size() >= kMaxPrefixes)
     index.m_holders.clear();
 }
--- a/src/libverbenalead/decide/quarantine.h
+++ b/src/libverbenalead/decide/quarantine.h
@@ -25,9 +25,9 @@
 struct QuarantineLimits {
   /// Number of different targets that must crash under a request.
   size_t m_crashes = 2;
-  /// Long enough for a client that retries in a loop to stop or to be noticed.
-  /// Afterwards the request runs again, on a corrected version if one has been
-  /// deployed.
+  /// How long a crash counts against a request: long enough for a client that
+  /// retries in a loop to stop or to be noticed. Afterwards the request runs
+  /// again, on a corrected version if one has been deployed.
   Duration m_hold = std::chrono::minutes(10);
 
   friend bool operator==(const QuarantineLimits&,
@@ -42,8 +42,9 @@
 /// Harm: retries of the request would take down the pool target by target. A
 /// target that crashes for another reason aborts many requests, but each of
 /// them only once; a request under which QuarantineLimits::m_crashes targets
-/// have crashed is therefore refused. All entries that have received the crash
-/// records refuse it, so that it crashes no more targets.
+/// have crashed is therefore refused. Every entry that has received the crash
+/// records refuses it; only an entry without them can still send it to a
+/// target.
 struct QuarantineState {
   QuarantineLimits m_limits;
   /// Time of the last crash, by key of the request and name of the target.
--- a/src/libverbenalead/decide/retry.cc
+++ b/src/libverbenalead/decide/retry.cc
@@ -17,8 +17,9 @@
   return model::Outcome::kUnknown;
 }
 
-/// Whether the call can be retried safely: the attempt did not run, or the call
-/// is idempotent and no part of an answer has been sent to the caller.
+/// Whether the call can be retried safely: the attempt did not run, or it may
+/// have run, but the call is idempotent and no part of an answer has been sent
+/// to the caller. A failure that the target reported is not retried.
 bool IsSafe(const model::Call& call, const EndedAttempt& attempt) {
   if (attempt.m_end == AttemptEnd::kNotRun)
     return true;
--- a/src/libverbenalead/decide/routing_bench.cc
+++ b/src/libverbenalead/decide/routing_bench.cc
@@ -28,7 +28,7 @@
   return values[static_cast<size_t>(part * (values.size() - 1))];
 }
 
-/// Latencies in ms of the completed calls for which `counts` holds.
+/// Latencies in ms of the completed calls for which `includes` returns true.
 template <typename Counts>
 std::vector<double> Latencies(const FakePool& pool, Counts&& includes) {
   std::vector<double> all;
--- a/src/libverbenalead/decide/routing_test.cc
+++ b/src/libverbenalead/decide/routing_test.cc
@@ -59,9 +59,10 @@
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // Guards against an organisation whose calls alone use the whole capacity of
-  // the pool and so delay those of a small one, which sends a fortieth of that.
-  // If calls were served in order of arrival, those of both would be late.
+  // Guards against an organisation that uses the whole capacity of the pool and
+  // so delays the calls of another one. The large organisation sends as many
+  // calls as the pool can run, the small one a fortieth of that; the calls of
+  // the small one must be on time.
   void OverloadLeavesOthersTheirShare() {
     PoolSettings settings;
     FakePool pool = RunCalls(settings, 41 * 160, 8, [](int i) {
--- a/src/libverbenalead/decide/target_view.h
+++ b/src/libverbenalead/decide/target_view.h
@@ -19,7 +19,7 @@
   /// Attempts of other entries at the target, as of m_others_at.
   uint32_t m_others = 0;
   TimePoint m_others_at{};
-  /// End of the pause after the target refused an attempt, mostly because it
+  /// End of the pause after the target refused an attempt, usually because it
   /// was full.
   TimePoint m_full_until{};
   /// Units of work that this entry sent to the target, halved every
