--- a/src/libverbenalead/decide/place.cc
+++ b/src/libverbenalead/decide/place.cc
@@ -9,13 +9,15 @@
 namespace verbenalead::decide {
 namespace {
 
-/// Load is compared in steps of this, so that near-equals are chosen among by
-/// chance: entries that see the same reports must not all take the same target.
+/// Range of the random number that is added to each load, so that the choice
+/// among almost equally loaded targets is random. Otherwise all entries that
+/// received the same reports would choose the same target.
 constexpr double kLoadStep = 0.02;
-/// A target is not asked to be emptier than this: its last answer may still be
-/// leaving the gate when the next call comes.
-constexpr uint32_t kLeastMaxRunning = 1;
-/// Weight of one call in the mean time of a call.
+/// Minimum of Placement::m_max_running. The gate of a target may still count a
+/// call whose answer has just been sent when the next call arrives, so that 0
+/// would cause refusals at an idle target.
+constexpr uint32_t kMinMaxRunning = 1;
+/// Weight of one call in the mean duration and the mean work of a call.
 constexpr double kMeanDecay = 0.01;
 
 bool IsServing(const TargetView& target, TimePoint now) {
@@ -29,20 +31,22 @@
          now >= target.m_full_until;
 }
 
-/// An ejected target whose time is over gets one call to show itself.
-bool WantsProbe(const TargetView& target, TimePoint now) {
+/// Whether to send one call to an ejected target, whose ejection has ended, to
+/// check whether it has recovered.
+bool NeedsProbe(const TargetView& target, TimePoint now) {
   return target.m_health.m_ejected && IsServing(target, now) &&
          now >= target.m_health.m_ejected_until && target.m_in_flight == 0;
 }
 
-/// The mean over the targets that may be chosen.
+/// Means over the usable targets.
 struct PoolMean {
   double m_others = 0;
   double m_own = 0;
   double m_work = 0;
   size_t m_count = 0;
-  /// Worth of what was heard of others, for each nanosecond of its age.
-  double m_fade = 0;
+  /// Decay of the reported number of other entries' attempts, for each
+  /// nanosecond of its age.
+  double m_decay_per_ns = 0;
 };
 
 PoolMean MeanOf(const PlaceState& state, TimePoint now) {
@@ -63,20 +67,22 @@
       state.m_mean_seconds > 0
           ? state.m_mean_seconds
           : std::chrono::duration<double>(kLoadFades).count();
-  mean.m_fade = 1 / (seconds * 1e9);
+  mean.m_decay_per_ns = 1 / (seconds * 1e9);
   return mean;
 }
 
-/// Attempts that run there: our own as they are, others' as last heard, drawn
-/// towards the pool's mean with age. Old news is not read as idleness: that
-/// would send every entry to whichever target has been silent longest.
+/// Estimated number of attempts that run at `target`: the exact count of this
+/// entry's attempts plus the last known count of the others', which moves
+/// towards the mean of the pool as it ages. If it moved towards zero instead,
+/// every entry would choose the target that has not reported for the longest
+/// time.
 double RunningNow(const TargetView& target,
                   const PoolMean& mean,
                   TimePoint now) {
   const auto age = static_cast<double>((now - target.m_others_at).count());
-  const double worth = 1 / (1 + age * mean.m_fade);
+  const double weight = 1 / (1 + age * mean.m_decay_per_ns);
   return target.m_in_flight + mean.m_others +
-         (target.m_others - mean.m_others) * worth;
+         (target.m_others - mean.m_others) * weight;
 }
 
 double LoadOf(const TargetView& target, const PoolMean& mean, TimePoint now) {
@@ -91,8 +97,9 @@
   return hash ^ hash >> 31;
 }
 
-/// Room for a call that comes for its prefix. Work may always reach the mean:
-/// with few calls the bound would else forbid any choice.
+/// Whether `target` may be chosen for a prefix. A call may always raise the
+/// work of a target to the mean plus the call itself: with few calls,
+/// kWorkBound alone would exclude every target.
 bool WithinBounds(const TargetView& target,
                   const PoolMean& mean,
                   double units) {
@@ -113,11 +120,13 @@
   return placement;
 }
 
-/// The target whose cache holds the call's prefix, or is the one to hold it:
-/// the first by rendezvous hash that has room. All entries hash alike, so a
-/// prefix meets the same few caches wherever its callers connect, without any
-/// news among entries; where one of these targets is full, all overflow to the
-/// same next one, and a popular prefix spreads no further than it must.
+/// The target whose cache contains the prefix of the call or, if there is none,
+/// should contain it: the first usable target within bounds in the order of the
+/// rendezvous hash. All entries use the same hash, so that calls with one
+/// prefix reach the same few caches at whichever entry they arrive, without
+/// communication between entries. When one of these targets is full, all
+/// entries overflow to the same next one, and a popular prefix spreads to as
+/// few targets as necessary.
 const TargetView* ChooseByPrefix(const PlaceState& state,
                                  const PoolMean& mean,
                                  const model::Call& call,
@@ -141,23 +150,24 @@
   return best;
 }
 
-/// The emptiest target; among near-equals any, by chance.
+/// The least loaded target; random among almost equally loaded ones.
 const TargetView* ChooseByLoad(const PlaceState& state,
                                const PoolMean& mean,
                                const std::set<std::string>& tried,
                                TimePoint now,
                                Random& random) {
-  const uint64_t draw = Mix(random());
+  const uint64_t random_bits = Mix(random());
   const TargetView* best = nullptr;
   double best_load = 0;
   for (const TargetView& target : state.m_targets) {
     if (!IsUsable(target, now) || tried.contains(target.m_report.m_name))
       continue;
-    // One draw for the call; its mix with the name serves as one for each.
-    const double chance =
-        static_cast<double>((draw ^ target.m_hash) * kMixFactor >> 32) *
+    // One random number for the call, mixed with the hash of the target's name,
+    // replaces a random number for each target.
+    const double random_fraction =
+        static_cast<double>((random_bits ^ target.m_hash) * kMixFactor >> 32) *
         0x1p-32;
-    const double load = LoadOf(target, mean, now) + kLoadStep * chance;
+    const double load = LoadOf(target, mean, now) + kLoadStep * random_fraction;
     if (best == nullptr || load < best_load) {
       best = &target;
       best_load = load;
@@ -166,48 +176,52 @@
   return best;
 }
 
-/// How many may run at the target that is to take `call`. The mean is the part
-/// of the reports that lags least: it changes with the whole pool's load only.
+/// How many calls may already run at the target when `call` arrives. The limit
+/// is derived from the mean over the pool, which is less outdated than the
+/// report of a single target: it changes only with the load of the whole pool.
 uint32_t MaxRunning(const PlaceState& state,
                     const PoolMean& mean,
                     const model::Call& call,
                     const std::set<std::string>& tried,
                     Duration waited) {
-  // Nowhere else to go.
+  // No other target is left.
   if (tried.size() + 1 >= mean.m_count)
     return UINT32_MAX;
   const auto running = std::max(
-      static_cast<uint32_t>(mean.m_own + mean.m_others), kLeastMaxRunning);
+      static_cast<uint32_t>(mean.m_own + mean.m_others), kMinMaxRunning);
   const double units = UnitsOf(call);
   const bool is_long = units > kLongFactor * state.m_mean_units;
   const double expected = units * SecondsPerUnit(state.m_service);
-  const double patience = expected * kPatience;
-  const bool last_try = is_long || tried.size() + 1 >= kMaxAttempts;
-  if (std::chrono::duration<double>(waited).count() >= patience && last_try)
+  const double wait_limit = expected * kPatience;
+  const bool last_attempt = is_long || tried.size() + 1 >= kMaxAttempts;
+  if (std::chrono::duration<double>(waited).count() >= wait_limit &&
+      last_attempt)
     return UINT32_MAX;
   if (!is_long)
     return running;
-  return std::max(running, kLongMargin + kLeastMaxRunning) - kLongMargin;
+  return std::max(running, kLongMargin + kMinMaxRunning) - kLongMargin;
 }
 
-/// A probe may cost its caller the wait for a slow target, so calls that must
-/// not be late or run twice are spared.
-const TargetView* ChooseToProbe(const PlaceState& state,
-                                const model::Call& call,
-                                const std::set<std::string>& tried,
-                                TimePoint now) {
+/// The target to probe with `call`, or nullptr. A probe may be delayed by a
+/// slow target or may have to be retried, so calls that are urgent or not
+/// idempotent are not used as probes.
+const TargetView* ChooseProbeTarget(const PlaceState& state,
+                                    const model::Call& call,
+                                    const std::set<std::string>& tried,
+                                    TimePoint now) {
   if (!call.idempotent() || call.urgency() < model::kDefaultUrgency)
     return nullptr;
   for (const TargetView& target : state.m_targets) {
-    if (WantsProbe(target, now) && !tried.contains(target.m_report.m_name))
+    if (NeedsProbe(target, now) && !tried.contains(target.m_report.m_name))
       return &target;
   }
   return nullptr;
 }
 
-/// With every target ejected the fault may well be ours (our link was down):
-/// the one that was ejected first is asked, lest nobody is until the longest
-/// ejection ends.
+/// The idle target whose ejection ends first, for use when all targets are
+/// ejected. The cause is then probably on the side of this entry, such as a
+/// failed link; without this choice, no call would run until an ejection ends,
+/// which may take kLongestEjection.
 const TargetView* ChooseEjected(const PlaceState& state,
                                 const std::set<std::string>& tried,
                                 TimePoint now) {
@@ -224,7 +238,7 @@
   return best;
 }
 
-/// Whether any target may be chosen without being a probe.
+/// Whether any serving target is not ejected.
 bool AnyInRotation(const PlaceState& state, TimePoint now) {
   return std::any_of(state.m_targets.begin(), state.m_targets.end(),
                      [&](const TargetView& target) {
@@ -233,7 +247,7 @@
                      });
 }
 
-void SeeLoad(TargetView& target, uint32_t running, TimePoint now) {
+void SetObservedLoad(TargetView& target, uint32_t running, TimePoint now) {
   target.m_others =
       running > target.m_in_flight ? running - target.m_in_flight : 0;
   target.m_others_at = now;
@@ -273,7 +287,7 @@
   target.m_report = report;
   target.m_report.m_leaving |= leaving;
   target.m_reported_at = now;
-  SeeLoad(target, report.m_running, now);
+  SetObservedLoad(target, report.m_running, now);
   if (!same) {
     ForgetTarget(state.m_prefixes, target.m_hash);
     target.m_health = {};
@@ -285,11 +299,11 @@
   auto found = state.m_index.find(name);
   if (found == state.m_index.end())
     return;
-  const size_t gone = found->second;
+  const size_t removed = found->second;
   state.m_index.erase(found);
-  if (gone + 1 != state.m_targets.size()) {
-    state.m_targets[gone] = std::move(state.m_targets.back());
-    state.m_index[state.m_targets[gone].m_report.m_name] = gone;
+  if (removed + 1 != state.m_targets.size()) {
+    state.m_targets[removed] = std::move(state.m_targets.back());
+    state.m_index[state.m_targets[removed].m_report.m_name] = removed;
   }
   state.m_targets.pop_back();
 }
@@ -300,7 +314,7 @@
                                Duration waited,
                                TimePoint now,
                                Random& random) {
-  if (const TargetView* target = ChooseToProbe(state, call, tried, now))
+  if (const TargetView* target = ChooseProbeTarget(state, call, tried, now))
     return MakePlacement(*target, "probe");
   const PoolMean mean = MeanOf(state, now);
   if (call.prefix() != 0) {
@@ -355,9 +369,10 @@
     return;
   }
   const double seconds = std::chrono::duration<double>(elapsed).count();
-  const double usual = SecondsPerUnit(state.m_service) * units;
+  const double expected_seconds = SecondsPerUnit(state.m_service) * units;
   const bool good = sign == TargetSign::kGood;
-  const double slowness = good && usual > 0 ? seconds / usual : 0;
+  const double slowness =
+      good && expected_seconds > 0 ? seconds / expected_seconds : 0;
   const AttemptSign answer = good ? AttemptSign::kGood
                              : sign == TargetSign::kFailed
                                  ? AttemptSign::kFailed
@@ -379,7 +394,7 @@
               uint32_t running,
               TimePoint now) {
   if (TargetView* target = Find(state, name))
-    SeeLoad(*target, running, now);
+    SetObservedLoad(*target, running, now);
 }
 
 void PrefixCached(PlaceState& state,
@@ -409,7 +424,8 @@
     else
       capacity += target.m_report.m_capacity;
   }
-  // One probe each, so that calls go on coming while all are ejected.
+  // While all targets are ejected, each can run one probe; with a capacity of
+  // 0, admission would refuse all calls, and no target could be reinstated.
   return capacity > 0 ? capacity : ejected;
 }
 
--- a/src/libverbenalead/decide/prefix_index.cc
+++ b/src/libverbenalead/decide/prefix_index.cc
@@ -5,7 +5,7 @@
 namespace verbenalead::decide {
 namespace {
 
-void Sweep(PrefixIndex& index, TimePoint now) {
+void EvictExpired(PrefixIndex& index, TimePoint now) {
   const bool full = index.m_holders.size() >= kMaxPrefixes;
   if (!full && now - index.m_swept_at < kPrefixForgotten)
     return;
@@ -17,7 +17,8 @@
     entry =
         entry->second.empty() ? index.m_holders.erase(entry) : std::next(entry);
   }
-  // All are young: placement goes on by hash alone, and learns them anew.
+  // No entry has expired, so the full index is cleared. Placement then uses the
+  // rendezvous hash alone until later calls and events fill the index again.
   if (index.m_holders.size() >= kMaxPrefixes)
     index.m_holders.clear();
 }
@@ -28,7 +29,7 @@
                 uint64_t prefix,
                 uint64_t target,
                 TimePoint when) {
-  Sweep(index, when);
+  EvictExpired(index, when);
   std::vector<PrefixHolder>& holders = index.m_holders[prefix];
   for (PrefixHolder& holder : holders) {
     if (holder.m_target == target) {
--- a/src/libverbenalead/decide/retry.cc
+++ b/src/libverbenalead/decide/retry.cc
@@ -17,8 +17,9 @@
   return model::Outcome::kUnknown;
 }
 
-/// Safe: it did not run, or running it twice does no harm and nothing of an
-/// answer was shown.
+/// Whether the call can be retried safely: the attempt did not run, or it may
+/// have run, but the call is idempotent and no part of an answer has been sent
+/// to the caller. A failure that the target reported is not retried.
 bool IsSafe(const model::Call& call, const EndedAttempt& attempt) {
   if (attempt.m_end == AttemptEnd::kNotRun)
     return true;
@@ -34,9 +35,9 @@
                            TimePoint now) {
   RetryDecision decision;
   decision.m_outcome = OutcomeOf(attempt.m_end);
-  const bool worthwhile =
+  const bool may_retry =
       attempt.m_number < kMaxAttempts && now < call.deadline();
-  if (!worthwhile || !IsSafe(call, attempt))
+  if (!may_retry || !IsSafe(call, attempt))
     return decision;
   decision.m_retry = attempt.m_turned_away || TakeRetry(budget);
   decision.m_over_budget = !decision.m_retry;
--- a/src/libverbenalead/decide/routing_test.cc
+++ b/src/libverbenalead/decide/routing_test.cc
@@ -31,7 +31,8 @@
   return report;
 }
 
-/// Runs `calls` evenly over `seconds`; each is made by `make`.
+/// Returns a pool with `calls` calls scheduled evenly over `seconds`; `make`
+/// builds each call from its number.
 template <typename Make>
 FakePool RunCalls(PoolSettings settings, int calls, int seconds, Make&& make) {
   FakePool pool(settings);
@@ -42,26 +43,27 @@
 
 class RoutingTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RoutingTest);
-  CPPUNIT_TEST(FloodLeavesOthersTheirShare);
+  CPPUNIT_TEST(OverloadLeavesOthersTheirShare);
   CPPUNIT_TEST(UrgentGoesFirstWithinItsOrganisation);
-  CPPUNIT_TEST(HopelessIsRefusedOnArrival);
+  CPPUNIT_TEST(UnmeetableDeadlineIsRefusedOnArrival);
   CPPUNIT_TEST(NothingWaitsPastItsDeadline);
-  CPPUNIT_TEST(EveryCallerIsToldOnce);
-  CPPUNIT_TEST(SlowTargetIsFoundAndProbedBack);
-  CPPUNIT_TEST(AllEjectedStillAsksOne);
-  CPPUNIT_TEST(AnswerStillLeavingIsNoLoad);
+  CPPUNIT_TEST(EveryCallEndsExactlyOnce);
+  CPPUNIT_TEST(SlowTargetIsEjectedAndReinstated);
+  CPPUNIT_TEST(AllEjectedStillUsesOne);
+  CPPUNIT_TEST(RecentAnswerIsNotCountedAsLoad);
   CPPUNIT_TEST(LeavingNeverReverts);
-  CPPUNIT_TEST(PrefixMeetsTheSameTargetAtEveryEntry);
-  CPPUNIT_TEST(EvictionIsForgottenUnlessUsedSince);
-  CPPUNIT_TEST(OutageIsNotAnsweredWithRetries);
+  CPPUNIT_TEST(PrefixMapsToSameTargetAtEveryEntry);
+  CPPUNIT_TEST(LateEvictionKeepsRenewedPrefix);
+  CPPUNIT_TEST(RetriesAreLimitedInOutage);
   CPPUNIT_TEST(RetriesOnlyWhatIsSafe);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // Callers of the small organisations get their answers in time.
-  // One organisation sends four times what the pool can carry; the others send
-  // a tenth of it. In order of arrival they would share its fate.
-  void FloodLeavesOthersTheirShare() {
+  // Guards against an organisation that uses the whole capacity of the pool and
+  // so delays the calls of another one. The large organisation sends as many
+  // calls as the pool can run, the small one a fortieth of that; the calls of
+  // the small one must be on time.
+  void OverloadLeavesOthersTheirShare() {
     PoolSettings settings;
     FakePool pool = RunCalls(settings, 41 * 160, 8, [](int i) {
       model::CallBuilder builder;
@@ -69,15 +71,15 @@
       return builder.ExpectedTokens(kTokens);
     });
     pool.Run(20s);
-    int small = 0, in_time = 0;
+    int small = 0, on_time = 0;
     for (const CallRecord& record : pool.records()) {
       if (record.m_call.organisation() != "small")
         continue;
       ++small;
-      in_time += record.in_time() ? 1 : 0;
+      on_time += record.on_time() ? 1 : 0;
     }
     CPPUNIT_ASSERT(small >= 160);
-    CPPUNIT_ASSERT(in_time >= small * 98 / 100);
+    CPPUNIT_ASSERT(on_time >= small * 98 / 100);
   }
 
   void UrgentGoesFirstWithinItsOrganisation() {
@@ -90,9 +92,10 @@
     CPPUNIT_ASSERT_EQUAL(uint64_t{3}, actions.at(0).m_ticket);
   }
 
-  // The caller hears at once that it would not be answered in time, and when
-  // to come back. Two calls of 1 s each stand before it, it waits 2 s.
-  void HopelessIsRefusedOnArrival() {
+  // Guards against callers that wait for an answer that can't be on time. The
+  // call has a timeout of 2 s, and two calls of 1 s each wait before it: it
+  // must be refused on arrival, with the time after which to retry.
+  void UnmeetableDeadlineIsRefusedOnArrival() {
     AdmitState state;
     Tick(state, 1, kStart);
     Arrive(state, 1, MakeCall("a", 3, 9s), kStart);
@@ -108,8 +111,9 @@
     CPPUNIT_ASSERT(actions[0].m_retry_after >= 1s);
   }
 
-  // The caller is told while it still listens. The targets hang, so nothing
-  // ends and nothing starts.
+  // Guards against calls that stay in the queue after their deadline when all
+  // targets hang, so that no call ends and none starts. The waiting call must
+  // be refused at its deadline.
   void NothingWaitsPastItsDeadline() {
     AdmitState state;
     Tick(state, 1, kStart);
@@ -121,15 +125,16 @@
     CPPUNIT_ASSERT_EQUAL(uint32_t{0}, state.m_waiting);
   }
 
-  // Whatever comes, each caller is told exactly once, and none waits past its
-  // deadline: bursts, targets that die, slow ones, long calls.
-  void EveryCallerIsToldOnce() {
-    const bool good = rc::check("told once", [] {
+  // Guards against calls with no result or two, and calls that wait past their
+  // deadline, under random combinations of bursts, failed targets, slow targets
+  // and long calls.
+  void EveryCallEndsExactlyOnce() {
+    const bool passed = rc::check("told once", [] {
       PoolSettings settings;
       settings.m_entries = *rc::gen::inRange<uint32_t>(1, 5);
       settings.m_targets = *rc::gen::inRange<uint32_t>(1, 6);
-      settings.m_dead_targets = *rc::gen::inRange<uint32_t>(0, 6);
-      settings.m_dead_from = 200ms;
+      settings.m_failed_targets = *rc::gen::inRange<uint32_t>(0, 6);
+      settings.m_failed_from = 200ms;
       settings.m_slow_targets = *rc::gen::inRange<uint32_t>(0, 2);
       settings.m_seed = *rc::gen::inRange<uint64_t>(1, 1000);
       const auto gaps =
@@ -145,21 +150,22 @@
       }
       pool.Run(60s);
       for (const CallRecord& record : pool.records())
-        RC_ASSERT(record.m_told_times == 1u);
+        RC_ASSERT(record.m_result_count == 1u);
       RC_ASSERT(pool.worst_overdue() == 0u);
     });
-    CPPUNIT_ASSERT(good);
+    CPPUNIT_ASSERT(passed);
   }
 
-  // Callers are not sent to a target that answers ten times slower, however
-  // idle it says it is; once it is well again it gets work.
-  void SlowTargetIsFoundAndProbedBack() {
+  // Guards against a target that answers ten times slower than the other and
+  // gets more calls because it reports itself idle. It must be ejected, and
+  // reinstated after a successful probe.
+  void SlowTargetIsEjectedAndReinstated() {
     PlaceState state = TwoTargets();
     const model::Call call = MakeCall("a", 3, 9s);
     for (int i = 0; i < 20; ++i)
-      End(state, "fast", call, TargetSign::kGood, 100ms, kStart);
+      RunAttempt(state, "fast", call, TargetSign::kGood, 100ms, kStart);
     for (int i = 0; i < 4; ++i)
-      End(state, "slow", call, TargetSign::kGood, 1s, kStart);
+      RunAttempt(state, "slow", call, TargetSign::kGood, 1s, kStart);
     Random random;
     for (int i = 0; i < 10; ++i) {
       const auto placed = Place(state, call, {}, {}, kStart, random);
@@ -169,7 +175,7 @@
     const auto probe = Place(state, call, {}, {}, later, random);
     CPPUNIT_ASSERT_EQUAL(std::string("probe"), probe->m_reason);
     CPPUNIT_ASSERT_EQUAL(std::string("slow"), probe->m_target);
-    // Only one at a time, and none that must not be late.
+    // While the probe is in flight, no second call goes to the ejected target.
     AttemptSent(state, "slow", call, later);
     CPPUNIT_ASSERT_EQUAL(std::string("fast"),
                          Place(state, call, {}, {}, later, random)->m_target);
@@ -177,13 +183,14 @@
     CPPUNIT_ASSERT_EQUAL(uint32_t{16}, UsableCapacity(state, later));
   }
 
-  // Callers are served as soon as our own link is back. It was down, so every
-  // target seemed broken and is ejected for a while.
-  void AllEjectedStillAsksOne() {
+  // Guards against refused calls after a failure of the entry's own link,
+  // during which every target seemed broken and was ejected. Calls must be sent
+  // to a target again before the ejections end.
+  void AllEjectedStillUsesOne() {
     PlaceState state = TwoTargets();
     const model::Call call = MakeCall("a", 0, 9s);
-    End(state, "fast", call, TargetSign::kBroken, 1ms, kStart);
-    End(state, "slow", call, TargetSign::kBroken, 1ms, kStart);
+    RunAttempt(state, "fast", call, TargetSign::kBroken, 1ms, kStart);
+    RunAttempt(state, "slow", call, TargetSign::kBroken, 1ms, kStart);
     CPPUNIT_ASSERT(UsableCapacity(state, kStart) > 0);
     Random random;
     const auto placed = Place(state, call, {}, {}, kStart, random);
@@ -191,15 +198,16 @@
     CPPUNIT_ASSERT_EQUAL(std::string("all_ejected"), placed->m_reason);
   }
 
-  // A caller that calls again right after its answer is not kept waiting. The
-  // gate may still count the first attempt; were it asked to be idle, it would
-  // turn the second one away, and a pool of one target has no other.
-  void AnswerStillLeavingIsNoLoad() {
+  // Guards against the refusal of a call that is sent right after the answer to
+  // the previous one. The target's gate may still count the previous attempt;
+  // with a limit of 0 running calls, it would refuse the new one, and a pool of
+  // one target has no other.
+  void RecentAnswerIsNotCountedAsLoad() {
     PlaceState state;
     const model::Call call = MakeCall("a", 3, 9s);
     Random random;
     Report(state, OpenTarget("t", 0), kStart);
-    End(state, "t", call, TargetSign::kGood, 100ms, kStart);
+    RunAttempt(state, "t", call, TargetSign::kGood, 100ms, kStart);
     CPPUNIT_ASSERT_EQUAL(
         UINT32_MAX, Place(state, call, {}, {}, kStart, random)->m_max_running);
     Report(state, OpenTarget("u", 0), kStart);
@@ -220,12 +228,13 @@
     CPPUNIT_ASSERT_EQUAL(uint32_t{8}, UsableCapacity(state, kStart));
   }
 
-  void PrefixMeetsTheSameTargetAtEveryEntry() {
+  void PrefixMapsToSameTargetAtEveryEntry() {
     for (uint64_t prefix = 1; prefix < 50; ++prefix) {
       std::set<std::string> chosen;
       for (uint32_t entry = 0; entry < 4; ++entry) {
         PlaceState state;
-        // Entries learn of targets in any order, with reports of any age.
+        // Entries receive the reports in different orders and with different
+        // loads.
         for (uint32_t i = 0; i < 5; ++i)
           Report(state,
                  OpenTarget("t" + std::to_string((i + entry) % 5), entry),
@@ -239,9 +248,9 @@
     }
   }
 
-  // Cache events come late: an eviction of before our last call there must not
-  // end the belief that this call has renewed.
-  void EvictionIsForgottenUnlessUsedSince() {
+  // Guards against late cache events: an eviction before the last use of the
+  // prefix at the target must not remove the entry that this use has renewed.
+  void LateEvictionKeepsRenewedPrefix() {
     PrefixIndex index;
     NotePrefix(index, 7, 1, kStart + 2s);
     NoteEviction(index, 7, 1, kStart + 1s);
@@ -253,9 +262,10 @@
         !Holds(HoldersOf(index, 7), 1, kStart + 4s + kPrefixForgotten));
   }
 
-  // The half of the pool that works is not drowned in retries. The other half
-  // breaks every call, and each broken call could go to two more targets.
-  void OutageIsNotAnsweredWithRetries() {
+  // Guards against an overload of the working half of a pool by retries: the
+  // other half breaks every call, and each broken call may be sent to two more
+  // targets.
+  void RetriesAreLimitedInOutage() {
     RetryBudget budget;
     const model::Call call = MakeCall("a", 3, 9s);
     EndedAttempt broken;
@@ -278,12 +288,13 @@
     RetryBudget budget;
     const model::Call call = MakeCall("a", 3, 9s);
     model::CallBuilder builder;
-    const auto once = builder.NotIdempotent("k").Deadline(kStart + 9s).Build();
+    const auto not_idempotent =
+        builder.NotIdempotent("k").Deadline(kStart + 9s).Build();
     EndedAttempt attempt;
     CPPUNIT_ASSERT(AfterAttempt(call, attempt, budget, kStart).m_retry);
-    const auto told = AfterAttempt(once, attempt, budget, kStart);
-    CPPUNIT_ASSERT(!told.m_retry);
-    CPPUNIT_ASSERT(told.m_outcome == model::Outcome::kUnknown);
+    const auto decision = AfterAttempt(not_idempotent, attempt, budget, kStart);
+    CPPUNIT_ASSERT(!decision.m_retry);
+    CPPUNIT_ASSERT(decision.m_outcome == model::Outcome::kUnknown);
     attempt.m_answer_begun = true;
     CPPUNIT_ASSERT(!AfterAttempt(call, attempt, budget, kStart).m_retry);
     attempt = {AttemptEnd::kNotRun, kMaxAttempts};
@@ -298,12 +309,12 @@
     return state;
   }
 
-  static void End(PlaceState& state,
-                  const std::string& target,
-                  const model::Call& call,
-                  TargetSign sign,
-                  Duration elapsed,
-                  TimePoint now) {
+  static void RunAttempt(PlaceState& state,
+                         const std::string& target,
+                         const model::Call& call,
+                         TargetSign sign,
+                         Duration elapsed,
+                         TimePoint now) {
     AttemptSent(state, target, call, now);
     AttemptEnded(state, target, call, sign, elapsed, now);
   }
