--- a/src/libverbenalead/decide/attempt.h
+++ b/src/libverbenalead/decide/attempt.h
@@ -7,11 +7,13 @@
 
 namespace verbenalead::decide {
 
-/// One try of a call at one target.
+/// Identifies one attempt to run a call at one target. The gate of a target
+/// uses it to recognise duplicated and late messages of the same attempt.
 struct Attempt {
-  /// Names one call of one entry. Not the request id: that is the caller's own,
-  /// and a caller that sends a request again uses it again.
+  /// Identifies one call of one entry. Not the request id, which the caller
+  /// chooses and reuses when it retries a request.
   std::string m_call;
+  /// Number of the attempt within its call.
   uint32_t m_number = 0;
 
   friend auto operator<=>(const Attempt&, const Attempt&) = default;
--- a/src/libverbenalead/decide/attempt_fuzz_test.cc
+++ b/src/libverbenalead/decide/attempt_fuzz_test.cc
@@ -16,13 +16,13 @@
 
 constexpr size_t kTargets = 3;
 constexpr size_t kMinSteps = 20000;
-constexpr int kLongestRun = 600;
+constexpr int kMaxStepsPerRun = 600;
 constexpr uint32_t kCapacity = 2;
 
 enum class Kind { kAttempt, kAnswer, kVoid, kVoidReply };
 
-/// One message under way. It belongs to a connection with one run of a target
-/// process, and is lost with it.
+/// One message in transit. It belongs to a connection to one run of a target
+/// process and is lost if that process exits.
 struct Message {
   Kind m_kind = Kind::kAttempt;
   size_t m_call = 0;
@@ -38,7 +38,7 @@
   size_t m_target = 0;
   uint64_t m_incarnation = 0;
   AttemptEvidence m_evidence;
-  bool m_asked_void = false;
+  bool m_void_requested = false;
   bool m_in_doubt = false;
   std::optional<model::Outcome> m_told;
   int m_runs = 0;
@@ -50,7 +50,8 @@
   std::vector<Message> m_running;
 };
 
-/// One thing that happens; m_pick chooses whom it happens to.
+/// One simulated event. m_what selects its kind, m_pick the call, message or
+/// target that it affects.
 struct Step {
   int m_what = 0;
   uint32_t m_pick = 0;
@@ -60,11 +61,12 @@
   return out << step.m_what << ":" << step.m_pick;
 }
 
-/// An entry, three targets and the network between them: all decisions are the
-/// product's own cores, all else is chance. The oracle counts runs.
-class World {
+/// Simulates an entry, three targets and the network between them. The code
+/// under test makes all decisions; all other events are random. The number of
+/// runs of each call is counted independently, to check the reported outcomes.
+class Simulation {
  public:
-  World() : m_targets(kTargets) {
+  Simulation() : m_targets(kTargets) {
     for (Target& target : m_targets) {
       target.m_gate.m_capacity = kCapacity;
       target.m_gate.m_incarnation = ++m_incarnations;
@@ -74,21 +76,34 @@
 
   void Do(const Step& step) {
     m_now += 10ms;
-    using Action = void (World::*)(uint32_t);
-    // Deliveries and ends of runs stand here several times to be more likely.
-    static constexpr Action kActions[] = {
-        &World::Start,      &World::Start,      &World::Deliver,
-        &World::Deliver,    &World::Deliver,    &World::Deliver,
-        &World::Deliver,    &World::Finish,     &World::Finish,
-        &World::Finish,     &World::Lose,       &World::Double,
-        &World::GiveUp,     &World::GiveUp,     &World::VoidTimesOut,
-        &World::Kill,       &World::FreezeWake, &World::Reload,
-        &World::LeaveReturn};
+    using Action = void (Simulation::*)(uint32_t);
+    // Deliveries and ends of runs are listed several times to make them more
+    // likely.
+    static constexpr Action kActions[] = {&Simulation::Start,
+                                          &Simulation::Start,
+                                          &Simulation::Deliver,
+                                          &Simulation::Deliver,
+                                          &Simulation::Deliver,
+                                          &Simulation::Deliver,
+                                          &Simulation::Deliver,
+                                          &Simulation::Finish,
+                                          &Simulation::Finish,
+                                          &Simulation::Finish,
+                                          &Simulation::LoseMessage,
+                                          &Simulation::DuplicateMessage,
+                                          &Simulation::GiveUp,
+                                          &Simulation::GiveUp,
+                                          &Simulation::ExpireVoidRequest,
+                                          &Simulation::RestartTarget,
+                                          &Simulation::ToggleFrozen,
+                                          &Simulation::Reload,
+                                          &Simulation::ToggleLeaving};
     (this->*kActions[static_cast<size_t>(step.m_what) % std::size(kActions)])(
         step.m_pick);
   }
 
-  /// Every outcome told agrees with what ran, and stays so.
+  /// Checks that each reported outcome agrees with the number of runs. Called
+  /// after every step, so that a run after the report is detected, too.
   void Check() const {
     for (const Call& call : m_calls) {
       if (!call.m_call.idempotent())
@@ -103,13 +118,13 @@
     }
   }
 
-  std::map<model::Outcome, size_t> Told() const {
-    std::map<model::Outcome, size_t> told;
+  std::map<model::Outcome, size_t> CountOutcomes() const {
+    std::map<model::Outcome, size_t> counts;
     for (const Call& call : m_calls) {
       if (call.m_told)
-        ++told[*call.m_told];
+        ++counts[*call.m_told];
     }
-    return told;
+    return counts;
   }
 
  private:
@@ -129,16 +144,17 @@
     Call& call = m_calls[index];
     ++call.m_number;
     call.m_target = pick % kTargets;
-    // Now and then the entry has not yet heard that the target is a new one.
+    // Sometimes the entry has not yet been notified that the target process was
+    // replaced.
     const bool stale = pick % 11 == 0;
     call.m_incarnation =
         m_targets[call.m_target].m_gate.m_incarnation - (stale ? 1 : 0);
     call.m_evidence = {};
-    call.m_asked_void = false;
-    m_network.push_back(About(index, Kind::kAttempt));
+    call.m_void_requested = false;
+    m_network.push_back(MakeMessage(index, Kind::kAttempt));
   }
 
-  Message About(size_t index, Kind kind) const {
+  Message MakeMessage(size_t index, Kind kind) const {
     const Call& call = m_calls[index];
     return {kind, index, call.m_number, call.m_target, call.m_incarnation, {}};
   }
@@ -154,14 +170,14 @@
       return;
     m_network.erase(m_network.begin() + static_cast<ptrdiff_t>(index));
     if (message.m_kind == Kind::kAttempt)
-      AtGate(message);
+      ReceiveAttempt(message);
     else if (message.m_kind == Kind::kVoid)
-      AtVoid(message);
+      ReceiveVoidRequest(message);
     else
-      AtEntry(message);
+      ReceiveReply(message);
   }
 
-  void AtGate(Message message) {
+  void ReceiveAttempt(Message message) {
     GateState& gate = m_targets[message.m_target].m_gate;
     const EnterResult result =
         EnterOnce(gate, AttemptOf(message), message.m_incarnation, {}, m_now);
@@ -177,7 +193,7 @@
     m_network.push_back(message);
   }
 
-  void AtVoid(Message message) {
+  void ReceiveVoidRequest(Message message) {
     GateState& gate = m_targets[message.m_target].m_gate;
     message.m_evidence.m_void =
         AnswerVoid(gate, AttemptOf(message), message.m_incarnation, m_now);
@@ -185,12 +201,13 @@
     m_network.push_back(message);
   }
 
-  void AtEntry(const Message& message) {
+  void ReceiveReply(const Message& message) {
     Call& call = m_calls[message.m_call];
-    // An answer belongs to a stream: late ones find it closed.
+    // An answer belongs to one stream. A late answer finds that stream closed
+    // and is ignored.
     const bool awaited =
         !call.m_told && message.m_number == call.m_number &&
-        call.m_asked_void == (message.m_kind == Kind::kVoidReply);
+        call.m_void_requested == (message.m_kind == Kind::kVoidReply);
     if (!awaited)
       return;
     if (message.m_kind == Kind::kVoidReply)
@@ -207,8 +224,8 @@
     attempt.m_end = end;
     attempt.m_number = call.m_number;
     attempt.m_turned_away = call.m_evidence.m_gate_refused;
-    // A full budget for each: what is proved here must not hang on retries
-    // that were not made.
+    // Each decision gets a full retry budget, so that an exhausted budget can't
+    // hide a fault by preventing retries.
     RetryBudget budget;
     const RetryDecision next =
         AfterAttempt(call.m_call, attempt, budget, m_now);
@@ -232,45 +249,45 @@
     AttemptEvidence& evidence = message.m_evidence;
     evidence.m_entered = true;
     evidence.m_ended_badly = pick % 7 == 0;
-    // Some answers are cut off or come with the wrong digest.
+    // Some answers are truncated or have a wrong digest.
     evidence.m_ended_well = !evidence.m_ended_badly && pick % 13 != 0;
     evidence.m_whole = pick % 17 != 0;
     m_network.push_back(message);
   }
 
-  void Lose(uint32_t pick) {
+  void LoseMessage(uint32_t pick) {
     if (!m_network.empty())
       m_network.erase(m_network.begin() +
                       static_cast<ptrdiff_t>(pick % m_network.size()));
   }
 
-  void Double(uint32_t pick) {
+  void DuplicateMessage(uint32_t pick) {
     if (!m_network.empty())
       m_network.push_back(Message(m_network[pick % m_network.size()]));
   }
 
-  /// The entry finds the connection silent.
+  /// The entry detects that the connection has stopped responding.
   void GiveUp(uint32_t pick) {
     if (m_calls.empty())
       return;
     const size_t index = pick % m_calls.size();
     Call& call = m_calls[index];
-    if (call.m_told || call.m_asked_void || !NeedsVoid(call.m_evidence))
+    if (call.m_told || call.m_void_requested || !NeedsVoid(call.m_evidence))
       return;
-    call.m_asked_void = true;
-    m_network.push_back(About(index, Kind::kVoid));
+    call.m_void_requested = true;
+    m_network.push_back(MakeMessage(index, Kind::kVoid));
   }
 
-  void VoidTimesOut(uint32_t pick) {
+  void ExpireVoidRequest(uint32_t pick) {
     if (m_calls.empty())
       return;
     const size_t index = pick % m_calls.size();
-    if (!m_calls[index].m_told && m_calls[index].m_asked_void)
+    if (!m_calls[index].m_told && m_calls[index].m_void_requested)
       End(index);
   }
 
-  /// The process dies and another one starts.
-  void Kill(uint32_t pick) {
+  /// The target process exits and a new one starts.
+  void RestartTarget(uint32_t pick) {
     const size_t index = pick % kTargets;
     Target& target = m_targets[index];
     target.m_running.clear();
@@ -284,7 +301,7 @@
     });
   }
 
-  void FreezeWake(uint32_t pick) {
+  void ToggleFrozen(uint32_t pick) {
     bool& frozen = m_targets[pick % kTargets].m_frozen;
     frozen = !frozen;
   }
@@ -297,7 +314,7 @@
       Open(gate, Sha256(pick % 2 == 0 ? "v1" : "v2"));
   }
 
-  void LeaveReturn(uint32_t pick) {
+  void ToggleLeaving(uint32_t pick) {
     GateState& gate = m_targets[pick % kTargets].m_gate;
     gate.m_leaving = !gate.m_leaving;
   }
@@ -321,36 +338,36 @@
 
 class AttemptFuzzTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(AttemptFuzzTest);
-  CPPUNIT_TEST(OutcomesToldAreTrue);
+  CPPUNIT_TEST(ReportedOutcomesAreTrue);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // The caller is told what became of its call, and acts on it.
-  // Messages are lost, doubled, late and out of order; targets die, freeze,
-  // wake, are replaced, load other weights and leave, in any order.
-  // Were one outcome untrue, work would be lost or run twice.
-  void OutcomesToldAreTrue() {
+  // Guards against a reported outcome that doesn't match what ran: the caller
+  // acts on the outcome, so work would be lost or run twice. Messages are lost,
+  // duplicated, delayed and reordered. Targets exit, freeze, resume, are
+  // replaced, load other weights and leave, in any order.
+  void ReportedOutcomesAreTrue() {
     size_t steps = 0;
-    std::map<model::Outcome, size_t> told;
-    const bool held = rc::check("outcomes told are true", [&] {
+    std::map<model::Outcome, size_t> counts;
+    const bool passed = rc::check("reported outcomes are true", [&] {
       const auto run = *rc::gen::resize(
-          kLongestRun, rc::gen::container<std::vector<Step>>(AnyStep()));
-      World world;
+          kMaxStepsPerRun, rc::gen::container<std::vector<Step>>(AnyStep()));
+      Simulation simulation;
       for (const Step& step : run) {
-        world.Do(step);
-        world.Check();
+        simulation.Do(step);
+        simulation.Check();
         ++steps;
       }
-      for (const auto& [outcome, count] : world.Told())
-        told[outcome] += count;
+      for (const auto& [outcome, count] : simulation.CountOutcomes())
+        counts[outcome] += count;
     });
     std::cout << "steps=" << steps;
-    for (const auto& [outcome, count] : told)
+    for (const auto& [outcome, count] : counts)
       std::cout << " " << ToString(outcome) << "=" << count;
     std::cout << "\n";
-    CPPUNIT_ASSERT(held);
+    CPPUNIT_ASSERT(passed);
     CPPUNIT_ASSERT(steps >= kMinSteps);
-    CPPUNIT_ASSERT_EQUAL(size_t{4}, told.size());
+    CPPUNIT_ASSERT_EQUAL(size_t{4}, counts.size());
   }
 };
 
--- a/src/libverbenalead/decide/attempt_gate.h
+++ b/src/libverbenalead/decide/attempt_gate.h
@@ -6,18 +6,20 @@
 
 namespace verbenalead::decide {
 
-/// Enter(), and on a refusal makes the attempt void. The entry tells its caller
-/// "not run" by the refusal; a doubled or late copy of the message would
-/// otherwise be let in once there is room, and run after all.
+/// Calls Enter() and, if the gate refuses the attempt, makes the attempt void.
+/// On a refusal, the entry answers "not run" to its caller. Without the void
+/// mark, a duplicated or late copy of the message would be admitted as soon as
+/// a slot is free, and the call would run after that answer.
 EnterResult EnterOnce(GateState& gate,
                       const Attempt& attempt,
                       uint64_t incarnation,
                       const Digest& wanted,
                       TimePoint now);
 
-/// What the target replies to the question whether `attempt`, addressed to
-/// `incarnation`, has started. An earlier incarnation may have run it, and this
-/// one can't tell: that counts as started.
+/// Makes `attempt`, which was addressed to `incarnation`, void unless it has
+/// started, and returns the target's reply. An attempt addressed to an earlier
+/// incarnation is reported as started: that process may have run it, and this
+/// process has no record of it.
 VoidReply AnswerVoid(GateState& gate,
                      const Attempt& attempt,
                      uint64_t incarnation,
--- a/src/libverbenalead/decide/attempt_judge.cc
+++ b/src/libverbenalead/decide/attempt_judge.cc
@@ -16,7 +16,8 @@
   }
   if (evidence.m_ended_badly)
     return AttemptEnd::kFailed;
-  // An answer whose length or digest is wrong was cut or mixed up on the way.
+  // A wrong length or digest means that the answer was truncated or corrupted
+  // in transit.
   return evidence.m_ended_well && evidence.m_whole ? AttemptEnd::kCompleted
                                                    : AttemptEnd::kDoubtful;
 }
--- a/src/libverbenalead/decide/attempt_judge.h
+++ b/src/libverbenalead/decide/attempt_judge.h
@@ -5,43 +5,46 @@
 
 namespace verbenalead::decide {
 
-/// The answer to the question whether an attempt started.
+/// A target's reply to a request to make an attempt void.
 enum class VoidReply {
-  kNone,          ///< Not asked, or no answer came.
-  kNeverStarted,  ///< It did not start and never will.
-  kStarted,       ///< It runs or has run, or the target can't tell.
+  kNone,          ///< No request was sent, or no reply arrived.
+  kNeverStarted,  ///< The attempt did not start and never will.
+  kStarted,       ///< The attempt is running, has run, or may have run.
 };
 
-/// What the entry has seen of one attempt.
+/// What the entry has observed of one attempt.
 struct AttemptEvidence {
-  /// A byte of it may have left this process.
+  /// At least one byte of the attempt may have left this process.
   bool m_sent = true;
-  /// The target's gate refused it.
+  /// The target's gate refused the attempt.
   bool m_gate_refused = false;
-  /// The target said that it entered the gate.
+  /// The target reported that its gate admitted the attempt.
   bool m_entered = false;
-  /// The target said at the end of the answer that all went well.
+  /// The target reported success at the end of the answer.
   bool m_ended_well = false;
-  /// The target said at the end of the answer that the run failed.
+  /// The target reported failure of the run at the end of the answer.
   bool m_ended_badly = false;
-  /// Length and digest agree with what the target said.
+  /// Length and digest of the received answer match those that the target sent.
   bool m_whole = false;
   VoidReply m_void = VoidReply::kNone;
 };
 
-/// True if only the target can tell whether the attempt started, so that it is
-/// to be asked, over a connection that works, to make the attempt void.
+/// Returns true if the evidence leaves open whether the attempt started. The
+/// entry then requests, over a working connection, that the target make the
+/// attempt void.
 bool NeedsVoid(const AttemptEvidence& evidence);
 
-/// How the attempt ended. Only three things count as "did not run": nothing was
-/// sent, the gate refused it, or the target promised that it never started and
-/// never will. Anything lost on the way is in doubt: a lost answer looks like a
-/// lost request, and to call it "not run" has a caller pay twice.
+/// Returns how the attempt ended. Only three observations count as "not run":
+/// nothing was sent, the gate refused the attempt, or the target replied that
+/// the attempt never started and never will. An attempt with a lost message is
+/// in doubt: a lost answer can't be distinguished from a lost request, and if
+/// it were reported as "not run", the caller would retry and pay twice.
 AttemptEnd Judge(const AttemptEvidence& evidence);
 
-/// What the caller is told after its last attempt. "Not run" speaks of all
-/// attempts: an earlier one that was left in doubt may still be running, so
-/// that a refusal of the last one alone doesn't make it true.
+/// Returns the outcome reported to the caller after the last attempt. "Not run"
+/// has to hold for all attempts of the call: if an earlier attempt is in doubt,
+/// it may still be running, and a refusal of the last attempt is reported as
+/// unknown.
 model::Outcome OutcomeToTell(model::Outcome last, bool earlier_in_doubt);
 
 }  // namespace verbenalead::decide
--- a/src/libverbenalead/decide/gate.h
+++ b/src/libverbenalead/decide/gate.h
@@ -11,27 +11,31 @@
 
 namespace verbenalead::decide {
 
-/// What one target host lets through to its engine or plain service. The gate
-/// is the one place that knows the target's true load, and the last one that
-/// can still say "not run".
+/// Admission state of one target host: decides which attempts reach its engine
+/// or plain service. Only the gate knows the target's actual load, and it is
+/// the last point at which an attempt can still be refused as "not run".
 struct GateState {
-  /// This run of the target process. An attempt addressed to another one is
-  /// refused: what that one did with it, this one can't know.
+  /// Identifies this run of the target process. An attempt addressed to another
+  /// run is refused, because this process can't know whether that run started
+  /// it.
   uint64_t m_incarnation = 0;
   uint32_t m_capacity = 1;
   bool m_open = false;
-  /// About to shut for a load: still lets in what comes, but tells entries that
-  /// it is shut, so that they have stopped sending by then.
+  /// The gate is about to shut for a load. It still admits attempts, but is
+  /// reported to entries as shut, so that they have stopped sending when it
+  /// shuts.
   bool m_closing = false;
+  /// The target is shutting down and admits no further attempts.
   bool m_leaving = false;
-  /// What the engine has confirmed to serve; empty for a plain service.
+  /// The version that the engine has confirmed to serve; empty for a plain
+  /// service.
   Digest m_digest;
-  /// Rises with each change of what the engine serves, so that an answer that
-  /// straddles a load is told from one that doesn't.
+  /// Incremented with each change of the served version, so that an answer
+  /// that began before a load can be detected and withheld.
   uint64_t m_generation = 0;
   uint32_t m_running = 0;
-  /// Rises whenever what the engine serves becomes doubtful. The gate opens
-  /// only on an answer that the engine was asked for after the last rise.
+  /// Incremented whenever it becomes uncertain what the engine serves. The gate
+  /// opens only on an engine status requested after the last increment.
   uint64_t m_doubt = 1;
 
   struct Record {
@@ -39,7 +43,7 @@
     State m_state = State::kRunning;
     TimePoint m_since{};
   };
-  /// Attempts that started, ended, or were made void before they came.
+  /// Attempts that started, ended, or were made void before they arrived.
   std::map<Attempt, Record> m_attempts;
 };
 
@@ -47,65 +51,71 @@
   kEntered,
   kClosed,            ///< No version is in force, or a load is under way.
   kFull,              ///< m_capacity attempts are running.
-  kLeaving,           ///< The target takes nothing new.
-  kWrongIncarnation,  ///< Addressed to an earlier run of this target.
+  kLeaving,           ///< The target is shutting down.
+  kWrongIncarnation,  ///< Addressed to another run of this target.
   kWrongVersion,      ///< Another version is in force.
-  kVoid,              ///< Made void before it came.
-  kRepeated,          ///< This attempt has come before: a doubled message.
+  kVoid,              ///< Made void before it arrived.
+  kRepeated,          ///< Duplicate of an attempt that has already started.
 };
 
 const char* ToString(EnterResult result);
 
-/// Lets `attempt` in or says why not. Every result but kEntered means: not
-/// run, and it won't be, but for kRepeated, which says nothing of the first.
-/// `wanted` is the version that the request was placed for; empty: any.
+/// Admits `attempt` or returns the reason for the refusal. A refused message is
+/// not run and won't be; with kRepeated, however, an earlier copy of the same
+/// attempt is running or has run. `wanted` is the version for which the request
+/// was placed, or empty for any version.
 EnterResult Enter(GateState& gate,
                   const Attempt& attempt,
                   uint64_t incarnation,
                   const Digest& wanted,
                   TimePoint now);
 
-/// The attempt has ended; its slot is free again.
+/// Records that the attempt has ended and frees its slot.
 void Leave(GateState& gate, const Attempt& attempt, TimePoint now);
 
-/// Opens the gate for what the engine has confirmed. Answers under way pass on
-/// only if it is what was in force before.
+/// Opens the gate for the version that the engine has confirmed. Answers in
+/// progress continue only if that version was already in force.
 void Open(GateState& gate, const Digest& digest);
 
-/// Shuts the gate for new attempts; running ones go on.
+/// Shuts the gate for new attempts. Running attempts continue.
 void Shut(GateState& gate);
 
-/// Shuts the gate until the engine has been asked again what it serves. Answers
-/// under way go on: an engine that is merely slow to say so still runs them.
+/// Shuts the gate until the engine has reported again which version it serves.
+/// Answers in progress continue: an engine that is slow to report its status
+/// still runs them.
 void AskAgain(GateState& gate);
 
-/// The engine has been ordered, or serves what it should not: shuts the gate
-/// until it has been asked, and lets no answer pass that began before.
+/// Shuts the gate until the engine has reported again which version it serves,
+/// and withholds all answers that began before. Called after a load order, or
+/// if the engine serves another version than the one in force.
 void Doubt(GateState& gate);
 
-/// True if an answer begun under `generation` with `reported` may be passed on.
-/// An answer that names another version than the one in force shuts the gate
-/// at once: the engine has restarted, or obeyed somebody else. An answer that
-/// names none isn't passed on but proves nothing, as an engine may leave the
-/// name out of an error; were it to shut the gate, one malformed request sent
-/// round could shut every gate of the pool.
+/// Returns true if an answer that began under `generation` and reports version
+/// `reported` may be forwarded. An answer that names another version than the
+/// one in force shuts the gate at once: the engine has restarted or was given
+/// an order by another process. An answer that names no version isn't forwarded
+/// but leaves the gate as it is, because an engine may omit the version from an
+/// error. Otherwise one malformed request, retried at each target, could shut
+/// every gate of the pool.
 bool MayPass(GateState& gate, uint64_t generation, const Digest& reported);
 
 enum class VoidResult {
-  kNeverStarted,  ///< It did not start, and now never will.
-  kStarted,       ///< It is running or has run.
+  kNeverStarted,  ///< The attempt did not start and never will.
+  kStarted,       ///< The attempt is running or has run.
 };
 
-/// Makes an attempt void unless it has started. The entry asks this over a new
-/// connection when the one that carried the attempt has gone silent.
+/// Makes an attempt void unless it has started. The entry requests this over a
+/// new connection when the connection that carried the attempt stops
+/// responding.
 VoidResult VoidAttempt(GateState& gate, const Attempt& attempt, TimePoint now);
 
-/// Forgets ended and void attempts older than kRemember.
+/// Erases the records of attempts that ended or became void more than kRemember
+/// ago. Running attempts are kept.
 void Forget(GateState& gate, TimePoint now);
 
-/// How long a void or ended attempt is remembered. A message that comes later
-/// than this would have to have been under way for as long; connections are
-/// given up after seconds of silence, so minutes are ample.
+/// Retention period of a void or ended attempt. A message that arrives later
+/// would have been in transit for this long. Connections are closed after
+/// seconds of silence, so a period of minutes is sufficient.
 constexpr Duration kRemember = std::chrono::minutes(10);
 
 }  // namespace verbenalead::decide
--- a/src/libverbenalead/decide/gate_test.cc
+++ b/src/libverbenalead/decide/gate_test.cc
@@ -20,15 +20,15 @@
 
 class GateTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(GateTest);
-  CPPUNIT_TEST(RefusesWhatItMustNotRun);
-  CPPUNIT_TEST(VoidBeatsALateMessage);
-  CPPUNIT_TEST(StartedCannotBeMadeVoid);
-  CPPUNIT_TEST(AnswerAcrossALoadIsNotPassed);
-  CPPUNIT_TEST(ForgetsOnlyWhatHasEnded);
+  CPPUNIT_TEST(RefusesAttemptsThatMustNotRun);
+  CPPUNIT_TEST(VoidAttemptRefusesLateMessage);
+  CPPUNIT_TEST(StartedAttemptCannotBeMadeVoid);
+  CPPUNIT_TEST(WithholdsAnswerAcrossLoad);
+  CPPUNIT_TEST(ErasesOnlyInactiveAttempts);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void RefusesWhatItMustNotRun() {
+  void RefusesAttemptsThatMustNotRun() {
     GateState gate = OpenGate(kOld);
     CPPUNIT_ASSERT(Enter(gate, {"a", 1}, 6, kOld, kStart) ==
                    EnterResult::kWrongIncarnation);
@@ -48,11 +48,11 @@
                    EnterResult::kLeaving);
   }
 
-  // The caller is told "not run" and calls again elsewhere.
-  // The connection that carried the attempt goes silent; the entry makes the
-  // attempt void over a new one; then the first message comes after all.
-  // Were it run now, the work would run twice.
-  void VoidBeatsALateMessage() {
+  // Guards against running a call twice. The connection that carried the
+  // attempt stops responding, the entry makes the attempt void over a new
+  // connection, and the caller receives "not run" and calls again. Then the
+  // first message arrives late and has to be refused.
+  void VoidAttemptRefusesLateMessage() {
     GateState gate = OpenGate(kOld);
     CPPUNIT_ASSERT(VoidAttempt(gate, {"a", 1}, kStart) ==
                    VoidResult::kNeverStarted);
@@ -61,7 +61,7 @@
     CPPUNIT_ASSERT_EQUAL(uint32_t{0}, gate.m_running);
   }
 
-  void StartedCannotBeMadeVoid() {
+  void StartedAttemptCannotBeMadeVoid() {
     GateState gate = OpenGate(kOld);
     Enter(gate, {"a", 1}, kIncarnation, kOld, kStart);
     CPPUNIT_ASSERT(VoidAttempt(gate, {"a", 1}, kStart) == VoidResult::kStarted);
@@ -69,10 +69,10 @@
     CPPUNIT_ASSERT(VoidAttempt(gate, {"a", 1}, kStart) == VoidResult::kStarted);
   }
 
-  // The caller gets no answer from mixed weights.
-  // An answer begins under the old version; the gate opens for the new one;
-  // the engine goes on sending. Its pieces belong to neither version whole.
-  void AnswerAcrossALoadIsNotPassed() {
+  // Guards against forwarding an answer computed with mixed weights. An answer
+  // begins under the old version, the gate opens for the new one, and the
+  // engine continues to send. The complete answer belongs to neither version.
+  void WithholdsAnswerAcrossLoad() {
     GateState gate = OpenGate(kOld);
     const uint64_t generation = gate.m_generation;
     CPPUNIT_ASSERT(MayPass(gate, generation, kOld));
@@ -83,7 +83,7 @@
     CPPUNIT_ASSERT(!MayPass(gate, generation, kNew));
   }
 
-  void ForgetsOnlyWhatHasEnded() {
+  void ErasesOnlyInactiveAttempts() {
     GateState gate = OpenGate(kOld);
     Enter(gate, {"running", 1}, kIncarnation, kOld, kStart);
     VoidAttempt(gate, {"void", 1}, kStart);
