--- a/src/libverbenalead/decide/claim_action.h
+++ b/src/libverbenalead/decide/claim_action.h
@@ -12,18 +12,20 @@
 
 /// How one ClaimWork ended.
 enum class ClaimEnd {
-  kDone,         ///< It took effect: a claim is ours.
-  kAnswered,     ///< A claim: the key's call has ended; its outcome is there.
-  kHeld,         ///< A claim: another call holds the key.
-  kUnavailable,  ///< The table can't say. A claim: not run, will not be.
+  kDone,      ///< The write took effect; for a claim, the writer holds the key.
+  kAnswered,  ///< Claim only: the key's call has ended with a recorded outcome.
+  kHeld,      ///< Claim only: another call holds the key.
+  /// The table did not confirm the write. The call of a claim was not run and
+  /// will not be.
+  kUnavailable,
 };
 
-/// What the batch tells its daemon to do.
+/// One action that the claim batch requests from the daemon that runs it.
 struct ClaimAction {
   enum class Kind {
     kTransact,  ///< Write m_puts as group m_id, then call GroupEnded().
-    kRead,      ///< Read m_key for work m_id, then call ReadEnded().
-    kSettle,    ///< Work m_id has ended as m_end.
+    kRead,      ///< Read m_key for operation m_id, then call ReadEnded().
+    kSettle,    ///< Report to the submitter that operation m_id ended as m_end.
     kWake,      ///< Call Tick() at m_at.
   };
   Kind m_kind = Kind::kWake;
@@ -31,7 +33,8 @@
   std::vector<ClaimPut> m_puts;
   std::string m_key;
   ClaimEnd m_end = ClaimEnd::kDone;
-  /// kSettle: the outcome (kAnswered) or the request that holds the key.
+  /// For kSettle: the recorded outcome if m_end is kAnswered, or the request
+  /// that holds the key if m_end is kHeld.
   std::string m_value;
   TimePoint m_at{};
 };
--- a/src/libverbenalead/decide/claim_batch.cc
+++ b/src/libverbenalead/decide/claim_batch.cc
@@ -10,7 +10,7 @@
 using Actions = std::vector<ClaimAction>;
 using Kind = ClaimWork::Kind;
 
-ClaimStage TargetStage(Kind kind) {
+ClaimStage ResultStage(Kind kind) {
   switch (kind) {
     case Kind::kClaim:
       return ClaimStage::kClaimed;
@@ -22,12 +22,14 @@
   return ClaimStage::kClaimed;
 }
 
-uint64_t TargetRevision(const ClaimWork& work) {
-  return ClaimRevision(work.m_writer, TargetStage(work.m_kind));
+uint64_t ResultRevision(const ClaimWork& operation) {
+  return ClaimRevision(operation.m_writer, ResultStage(operation.m_kind));
 }
 
-ClaimPut PutOf(const ClaimWork& work) {
-  return {work.m_key, {TargetRevision(work), work.m_value}, work.m_expected};
+ClaimPut PutOf(const ClaimWork& operation) {
+  return {operation.m_key,
+          {ResultRevision(operation), operation.m_value},
+          operation.m_expected};
 }
 
 void Settle(ClaimBatchState& state,
@@ -35,8 +37,8 @@
             ClaimEnd end,
             std::string value,
             Actions& actions) {
-  auto work = state.m_works.extract(id);
-  if (work.mapped().m_silent)
+  auto operation = state.m_works.extract(id);
+  if (operation.mapped().m_silent)
     return;
   ClaimAction action;
   action.m_kind = ClaimAction::Kind::kSettle;
@@ -46,38 +48,40 @@
   actions.push_back(std::move(action));
 }
 
-/// A claim that nobody waits for any longer may still take effect, and would
-/// then hold the key for good: its caller, told "not run", could never run it.
-/// So a released item is put where the claim would go. Whichever of the two
-/// comes first, the other's condition fails; the claim, if it won, is released.
-void Fence(ClaimBatchState& state, ClaimWork work, TimePoint now) {
-  work.m_kind = Kind::kRelease;
-  work.m_value.clear();
-  work.m_silent = true;
-  work.m_deadline = now + kFenceFor;
-  Submit(state, std::move(work));
+/// Prevents a claim whose caller has been answered from taking effect later.
+/// Such a claim would hold the key for good, and the caller, who received "not
+/// run", could never run the call. A released item is therefore written with
+/// the same condition as the claim. If this write comes first, the claim's
+/// condition fails; if the claim comes first, it is read back and released.
+void FenceOffClaim(ClaimBatchState& state, ClaimWork operation, TimePoint now) {
+  operation.m_kind = Kind::kRelease;
+  operation.m_value.clear();
+  operation.m_silent = true;
+  operation.m_deadline = now + kFenceFor;
+  Submit(state, std::move(operation));
 }
 
 void GiveUp(ClaimBatchState& state,
             uint64_t id,
             TimePoint now,
             Actions& actions) {
-  const ClaimWork work = state.m_works.at(id);
+  const ClaimWork operation = state.m_works.at(id);
   Settle(state, id, ClaimEnd::kUnavailable, "", actions);
-  if (work.m_kind == Kind::kClaim && work.m_in_doubt)
-    Fence(state, work, now);
+  if (operation.m_kind == Kind::kClaim && operation.m_in_doubt)
+    FenceOffClaim(state, operation, now);
 }
 
-/// Settles waiting works whose time is over, and, while the table is down, new
-/// claims: their callers hear "not run" now, and can go where the table works.
-void DropOverdue(ClaimBatchState& state, TimePoint now, Actions& actions) {
-  const bool down = now < state.m_down_until;
+/// Settles queued operations whose deadline has passed and, while the table is
+/// treated as unavailable, new claims. Their callers receive "not run" without
+/// delay and can retry where the table is available.
+void SettleOverdue(ClaimBatchState& state, TimePoint now, Actions& actions) {
+  const bool table_down = now < state.m_down_until;
   const auto waiting = std::exchange(state.m_waiting, {});
   for (uint64_t id : waiting) {
-    const ClaimWork& work = state.m_works.at(id);
-    const bool hopeless =
-        down && work.m_kind == Kind::kClaim && !work.m_in_doubt;
-    if (now >= work.m_deadline || hopeless)
+    const ClaimWork& operation = state.m_works.at(id);
+    const bool refused_claim =
+        table_down && operation.m_kind == Kind::kClaim && !operation.m_in_doubt;
+    if (now >= operation.m_deadline || refused_claim)
       GiveUp(state, id, now, actions);
     else
       state.m_waiting.push_back(id);
@@ -90,26 +94,27 @@
   });
 }
 
-/// Moves what fits from the queue into a group. A transaction may name an item
-/// only once, so a second work on the same key stays for the next group.
+/// Moves as many operations as fit from the queue into a group. A transaction
+/// may contain an item only once, so a second operation on the same key remains
+/// queued for a later group.
 std::vector<uint64_t> TakeGroup(ClaimBatchState& state) {
   std::vector<uint64_t> group;
-  std::deque<uint64_t> left;
+  std::deque<uint64_t> remaining;
   std::set<std::string> keys;
   size_t bytes = 0;
   for (uint64_t id : state.m_waiting) {
-    const ClaimWork& work = state.m_works.at(id);
+    const ClaimWork& operation = state.m_works.at(id);
     const bool full =
         group.size() == kMaxGroupItems ||
-        (!group.empty() && bytes + work.m_value.size() > kMaxGroupBytes);
-    if (full || !keys.insert(work.m_key).second) {
-      left.push_back(id);
+        (!group.empty() && bytes + operation.m_value.size() > kMaxGroupBytes);
+    if (full || !keys.insert(operation.m_key).second) {
+      remaining.push_back(id);
       continue;
     }
-    bytes += work.m_value.size();
+    bytes += operation.m_value.size();
     group.push_back(id);
   }
-  state.m_waiting = std::move(left);
+  state.m_waiting = std::move(remaining);
   return group;
 }
 
@@ -142,7 +147,9 @@
   }
 }
 
-void AskToWake(const ClaimBatchState& state, TimePoint now, Actions& actions) {
+void ScheduleTick(const ClaimBatchState& state,
+                  TimePoint now,
+                  Actions& actions) {
   ClaimAction action;
   action.m_at = TimePoint::max();
   if (!state.m_waiting.empty())
@@ -158,7 +165,9 @@
   actions.push_back(std::move(action));
 }
 
-void CountFailure(ClaimBatchState& state, GroupResult result, TimePoint now) {
+void UpdateTableHealth(ClaimBatchState& state,
+                       GroupResult result,
+                       TimePoint now) {
   const bool answered =
       result == GroupResult::kCommitted || result == GroupResult::kConflict;
   state.m_failures = answered ? 0 : state.m_failures + 1;
@@ -168,7 +177,7 @@
     state.m_down_until = now + kDownFor;
 }
 
-void Then(ClaimBatchState& state, TimePoint now, Actions& actions) {
+void AppendTick(ClaimBatchState& state, TimePoint now, Actions& actions) {
   for (ClaimAction& action : Tick(state, now))
     actions.push_back(std::move(action));
 }
@@ -179,21 +188,21 @@
   return std::max<size_t>(entries, 1) * Duration(1s) / kGroupsPerSecond;
 }
 
-uint64_t Submit(ClaimBatchState& state, ClaimWork work) {
+uint64_t Submit(ClaimBatchState& state, ClaimWork operation) {
   const uint64_t id = ++state.m_last_id;
-  state.m_works[id] = std::move(work);
+  state.m_works[id] = std::move(operation);
   state.m_waiting.push_back(id);
   return id;
 }
 
 std::vector<ClaimAction> Tick(ClaimBatchState& state, TimePoint now) {
   Actions actions;
-  DropOverdue(state, now, actions);
+  SettleOverdue(state, now, actions);
   StartReads(state, now, actions);
   if (!state.m_waiting.empty() && now >= state.m_next_group &&
       state.m_groups.size() < kMaxGroupsInFlight)
     StartGroup(state, now, actions);
-  AskToWake(state, now, actions);
+  ScheduleTick(state, now, actions);
   return actions;
 }
 
@@ -205,21 +214,23 @@
   auto ended = state.m_groups.extract(group);
   if (ended.empty())
     return actions;
-  CountFailure(state, result, now);
+  UpdateTableHealth(state, result, now);
   for (uint64_t id : ended.mapped()) {
     if (result == GroupResult::kCommitted) {
       Settle(state, id, ClaimEnd::kDone, "", actions);
     } else if (result == GroupResult::kNotSent) {
       state.m_waiting.push_back(id);
     } else {
-      // Of a conflict the service says only that one condition failed; of a
-      // lost answer nothing is known. Reading back by writer settles each work
-      // by itself, so that one repeated call can't fail its group.
+      // For a conflict, the table service reports only that some condition
+      // failed; for a lost answer, the result is unknown. Each operation's key
+      // is therefore read back and the writer compared, so that one claim of a
+      // key that is already held doesn't fail the other operations of its
+      // group.
       state.m_works.at(id).m_in_doubt |= result == GroupResult::kLost;
       state.m_reads.emplace(now, id);
     }
   }
-  Then(state, now, actions);
+  AppendTick(state, now, actions);
   return actions;
 }
 
@@ -231,34 +242,36 @@
   auto found = state.m_works.find(id);
   if (found == state.m_works.end())
     return actions;
-  ClaimWork& work = found->second;
+  ClaimWork& operation = found->second;
   const uint64_t revision = item ? item->m_revision : 0;
-  const uint64_t claimed = ClaimRevision(work.m_writer, ClaimStage::kClaimed);
-  const bool is_claim = work.m_kind == Kind::kClaim;
-  if (revision == TargetRevision(work)) {
+  const uint64_t claimed =
+      ClaimRevision(operation.m_writer, ClaimStage::kClaimed);
+  const bool is_claim = operation.m_kind == Kind::kClaim;
+  if (revision == ResultRevision(operation)) {
     Settle(state, id, ClaimEnd::kDone, "", actions);
-  } else if (revision == work.m_expected ||
+  } else if (revision == operation.m_expected ||
              (!is_claim && revision == claimed)) {
-    work.m_expected = revision;
+    operation.m_expected = revision;
     state.m_waiting.push_back(id);
   } else if (!is_claim) {
-    // A release whose key has gone on to another writer has done its work. A
-    // record can't come here: nobody else ends our claim.
-    const bool released = work.m_kind == Kind::kRelease;
+    // If the key has passed to another writer, the release has taken effect. A
+    // record doesn't reach this branch, because no other writer ends this
+    // entry's claim.
+    const bool released = operation.m_kind == Kind::kRelease;
     Settle(state, id, released ? ClaimEnd::kDone : ClaimEnd::kUnavailable, "",
            actions);
   } else if (StageOf(revision) == ClaimStage::kReleased) {
-    // The revision that an earlier write of ours waited for is gone for good,
-    // so that write can't take effect any more.
-    work.m_expected = revision;
-    work.m_in_doubt = false;
+    // A revision is never reused, so an earlier write of this operation, which
+    // was conditional on the previous revision, can't take effect any more.
+    operation.m_expected = revision;
+    operation.m_in_doubt = false;
     state.m_waiting.push_back(id);
   } else {
     const bool answered = StageOf(revision) == ClaimStage::kAnswered;
     Settle(state, id, answered ? ClaimEnd::kAnswered : ClaimEnd::kHeld,
            item->m_value, actions);
   }
-  Then(state, now, actions);
+  AppendTick(state, now, actions);
   return actions;
 }
 
@@ -273,7 +286,7 @@
     GiveUp(state, id, now, actions);
   else
     state.m_reads.emplace(now + kReadAgainAfter, id);
-  Then(state, now, actions);
+  AppendTick(state, now, actions);
   return actions;
 }
 
--- a/src/libverbenalead/decide/claim_batch.h
+++ b/src/libverbenalead/decide/claim_batch.h
@@ -11,82 +11,94 @@
 
 namespace verbenalead::decide {
 
-/// Limit of the table service on one transaction.
+/// Limit of the table service on the items of one transaction.
 constexpr size_t kMaxGroupItems = 100;
-/// The service takes 4 MB in one transaction; recorded outcomes are up to
-/// 64 KB, so a hundred would not fit. A quarter leaves room for encoding.
+/// The table service accepts 4 MB in one transaction. Recorded outcomes have up
+/// to 64 KB each, so a hundred of them would exceed that. A quarter of the
+/// limit leaves room for the encoding.
 constexpr size_t kMaxGroupBytes = size_t{1} << 20;
-/// Groups under way at once: enough that one slow answer doesn't hold up
-/// everybody, few enough that a dead table isn't flooded.
+/// Limit on concurrent transactions. With fewer, one slow answer would delay
+/// all other claims; with more, an unresponsive table would be overloaded.
 constexpr size_t kMaxGroupsInFlight = 4;
-/// Transactions a second that all entries together may start. The table takes
-/// several hundred writes a second, and configuration needs its part.
+/// Limit on transactions started per second by all entries together. The table
+/// sustains several hundred writes per second, and configuration updates need
+/// some of these.
 constexpr uint32_t kGroupsPerSecond = 300;
-/// Reads started for each interval between groups: 1,500 a second over all
-/// entries, of the two thousand that the table takes. An outage leaves hundreds
-/// of works in doubt at each entry; read all at once, they would hold the table
-/// down when it comes back.
+/// Reads started per interval between groups. Over all entries these are 1,500
+/// reads per second, of the two thousand that the table sustains. An outage
+/// leaves hundreds of operations in doubt at each entry; if all were read at
+/// once, they would overload the table as soon as it recovers.
 constexpr size_t kReadsPerInterval = 5;
-/// A read that failed is tried again after this.
+/// Delay before a failed read is retried.
 constexpr Duration kReadAgainAfter = 100ms;
-/// The least time until the next Tick() while something waits.
+/// Minimum delay until the next Tick() while operations are pending.
 constexpr Duration kLeastWake = 5ms;
-/// After this many groups in a row without an answer the table counts as down:
-/// new claims are refused at once instead of waiting for their timeouts.
+/// After this many consecutive groups that were not sent or not answered, the
+/// table is treated as unavailable: new claims are refused at once instead of
+/// waiting for their timeouts.
 constexpr uint32_t kFailuresUntilDown = 3;
+/// How long the table is treated as unavailable after the last failed group.
 constexpr Duration kDownFor = 1s;
-/// For how long a claim that was given up is fenced off in the background.
+/// How long the batch tries to prevent or release a claim that it reported as
+/// unavailable but whose write may still take effect.
 constexpr Duration kFenceFor = std::chrono::seconds(60);
 
-/// Groups the writes about idempotency keys of one entry into transactions.
+/// Groups one entry's writes of idempotency keys into transactions.
 ///
-/// Made for 19,000 calls a second of which any share may be non-idempotent,
-/// against a table that takes several hundred writes a second: one transaction
-/// for each would refuse nearly all of them. The promise that it keeps: of all
-/// claims of a key, over all entries, at most one holds at a time, and one that
-/// was not released holds for good.
+/// A deployment serves 19,000 calls per second, any share of which may be
+/// non-idempotent, while the table sustains several hundred writes per second.
+/// With one transaction per call, nearly all of these calls would be refused.
+/// Invariant: of all claims of a key, over all entries, at most one is in force
+/// at a time, and a claim that is not released stays in force for good.
 struct ClaimBatchState {
-  /// Least time between the starts of two groups: see GroupInterval().
+  /// Minimum time between the starts of two groups; see GroupInterval().
   Duration m_interval = 25ms;
+  /// Operations that wait for a group.
   std::deque<uint64_t> m_waiting;
   std::map<uint64_t, ClaimWork> m_works;
-  /// Group -> its works.
+  /// Transactions in flight: group to its operations.
   std::map<uint64_t, std::vector<uint64_t>> m_groups;
-  /// Works to be read back, and from when.
+  /// Operations whose key has to be read back, by the earliest time of the
+  /// read.
   std::multimap<TimePoint, uint64_t> m_reads;
   TimePoint m_next_group{};
   TimePoint m_next_reads{};
   uint64_t m_last_id = 0;
+  /// Consecutive groups that were not sent or not answered.
   uint32_t m_failures = 0;
   TimePoint m_down_until{};
 };
 
 enum class GroupResult {
   kCommitted,
-  kConflict,  ///< A condition did not hold: nothing was written.
-  kNotSent,   ///< Nothing was written, and nothing will be.
-  kLost,      ///< No answer: it may have been written, or may yet be.
+  kConflict,  ///< A condition did not hold; nothing was written.
+  kNotSent,   ///< Nothing was or will be written.
+  kLost,      ///< No answer; the group may have been or may yet be written.
 };
 
-/// The share of kGroupsPerSecond for one of `entries` entries, as an interval.
+/// Returns the interval between groups with which each of `entries` entries
+/// uses an equal share of kGroupsPerSecond.
 Duration GroupInterval(size_t entries);
 
-/// Takes `work` in; returns its id. Tick() has to follow.
-uint64_t Submit(ClaimBatchState& state, ClaimWork work);
-/// What is due now.
+/// Queues `operation` and returns its id. The caller has to call Tick()
+/// afterwards.
+uint64_t Submit(ClaimBatchState& state, ClaimWork operation);
+/// Returns the actions due at `now`.
 std::vector<ClaimAction> Tick(ClaimBatchState& state, TimePoint now);
+/// Reports the result of transaction `group`; returns the next actions.
 std::vector<ClaimAction> GroupEnded(ClaimBatchState& state,
                                     uint64_t group,
                                     GroupResult result,
                                     TimePoint now);
-/// `work`'s key was read: the item, or nullopt if there is none.
+/// Reports the item read for the key of `operation`, or nullopt if the table
+/// has none; returns the next actions.
 std::vector<ClaimAction> ReadEnded(ClaimBatchState& state,
-                                   uint64_t work,
+                                   uint64_t operation,
                                    const std::optional<ClaimItem>& item,
                                    TimePoint now);
-/// The read that ReadEnded() would have answered came to nothing.
+/// Reports that the read for `operation` failed; returns the next actions.
 std::vector<ClaimAction> ReadFailed(ClaimBatchState& state,
-                                    uint64_t work,
+                                    uint64_t operation,
                                     TimePoint now);
 
 }  // namespace verbenalead::decide
--- a/src/libverbenalead/decide/claim_batch_test.cc
+++ b/src/libverbenalead/decide/claim_batch_test.cc
@@ -11,18 +11,19 @@
 constexpr size_t kEntries = 3;
 constexpr size_t kKeys = 4;
 constexpr Duration kPatience = 2s;
-/// Events in one run of the property; RapidCheck makes 100 of them.
+/// Number of events in one run of the property. RapidCheck makes 100 runs.
 constexpr size_t kEvents = 250;
 
 using Kind = ClaimWork::Kind;
 using Table = std::map<std::string, ClaimItem>;
 
-/// All conditions hold, or nothing is written.
+/// Writes all of `puts` and returns true if all their conditions hold;
+/// otherwise writes nothing.
 bool Write(Table& table, const std::vector<ClaimPut>& puts) {
   for (const ClaimPut& put : puts) {
     auto found = table.find(put.m_key);
-    const uint64_t there = found == table.end() ? 0 : found->second.m_revision;
-    if (there != put.m_expected)
+    const uint64_t stored = found == table.end() ? 0 : found->second.m_revision;
+    if (stored != put.m_expected)
       return false;
   }
   for (const ClaimPut& put : puts)
@@ -36,7 +37,7 @@
                               : std::optional<ClaimItem>(found->second);
 }
 
-/// A call as its entry sees it.
+/// A call in the view of its entry.
 struct TestCall {
   std::string m_key;
   uint64_t m_writer = 0;
@@ -45,58 +46,60 @@
   bool m_settled = false;
 };
 
-/// One entry's batch, what it has sent, and its calls by work.
+/// One simulated entry: its batch, unanswered messages, and calls by operation.
 struct TestEntry {
   ClaimBatchState m_batch;
   std::vector<ClaimAction> m_sent;
   std::map<uint64_t, TestCall> m_calls;
-  /// Calls whose claim is ours and that have not ended.
+  /// Calls whose claim this entry holds and that have not ended.
   std::vector<TestCall> m_claimed;
 };
 
-/// What may happen; each takes its choices from one number.
+/// Simulated events. The random choices of each event come from one number.
 enum class Event {
   kCall,
-  kAnswer,      ///< The oldest message is carried out and answered.
-  kLoseAfter,   ///< It is carried out; the answer is lost.
-  kLoseBefore,  ///< It is lost on its way.
-  kDelay,       ///< It counts as lost, and is carried out later.
-  kArrive,      ///< A delayed write arrives.
+  kAnswer,          ///< A sent message is executed and answered.
+  kLoseAfter,       ///< A sent message is executed; its answer is lost.
+  kLoseBefore,      ///< A sent message is lost before execution.
+  kDelay,           ///< A sent message appears lost and is executed later.
+  kDeliverDelayed,  ///< A delayed write is executed.
   kNotSent,
   kRun,
-  kCancel,  ///< A claimed call is not run after all.
-  kPass,    ///< Time passes.
-  kDie,
+  kCancel,  ///< A claimed call is released without being run.
+  kAdvanceTime,
+  kCrash,
   kCount,
 };
 
-/// Several entries, one table, and the oracle: how often each key ran.
-class World {
+/// Simulates several entries and one table, and counts the runs of each key
+/// independently of the code under test.
+class Simulation {
  public:
   void Step(uint32_t number) {
     const auto event =
         static_cast<Event>(number % static_cast<uint32_t>(Event::kCount));
     const uint32_t choice = number / static_cast<uint32_t>(Event::kCount);
     TestEntry& entry = m_entries[choice % kEntries];
-    Happen(event, entry, choice / kEntries);
+    HandleEvent(event, entry, choice / kEntries);
     Apply(entry, Tick(entry.m_batch, m_now));
   }
 
-  /// The table works again and nobody dies: all that is under way ends.
-  void Calm() {
+  /// Runs without faults until all pending operations have ended.
+  void RunWithoutFaults() {
     for (int round = 0; round < 2000; ++round) {
       for (TestEntry& entry : m_entries) {
-        Happen(Event::kAnswer, entry, 0);
+        HandleEvent(Event::kAnswer, entry, 0);
         Apply(entry, Tick(entry.m_batch, m_now));
       }
       while (!m_delayed.empty())
-        Happen(Event::kArrive, m_entries[0], 0);
+        HandleEvent(Event::kDeliverDelayed, m_entries[0], 0);
       m_now += 10ms;
     }
   }
 
-  /// After Calm(): a key that no living or dead entry may have run is free.
-  void CheckFree() {
+  /// After RunWithoutFaults(): checks that a key is free unless its call was
+  /// run, a live entry claims it, or a crashed entry may have claimed it.
+  void CheckUnusedKeysAreFree() {
     for (size_t k = 0; k < kKeys; ++k) {
       const std::string key = KeyOf(k);
       if (m_runs[key] > 0 || m_orphaned.contains(key) || IsClaimed(key))
@@ -123,7 +126,7 @@
     return false;
   }
 
-  void Happen(Event event, TestEntry& entry, uint32_t choice) {
+  void HandleEvent(Event event, TestEntry& entry, uint32_t choice) {
     ++m_steps;
     switch (event) {
       case Event::kCall:
@@ -133,8 +136,8 @@
       case Event::kLoseBefore:
       case Event::kDelay:
       case Event::kNotSent:
-        return Carry(event, entry, choice);
-      case Event::kArrive:
+        return DeliverMessage(event, entry, choice);
+      case Event::kDeliverDelayed:
         if (!m_delayed.empty()) {
           Write(m_table, m_delayed.back());
           m_delayed.pop_back();
@@ -144,12 +147,12 @@
         return End(entry, true);
       case Event::kCancel:
         return End(entry, false);
-      case Event::kPass:
+      case Event::kAdvanceTime:
         m_now += std::chrono::milliseconds(choice % 600);
         return;
-      case Event::kDie:
+      case Event::kCrash:
         if (choice % 8 == 0)
-          Die(entry);
+          CrashEntry(entry);
         return;
       case Event::kCount:
         return;
@@ -158,13 +161,14 @@
 
   void Call(TestEntry& entry, std::string key) {
     const uint64_t writer = ++m_writers;
-    // Callers repeat their request id: it must not matter.
+    // All claims use the same request id, because callers may reuse theirs. The
+    // writer alone has to identify a claim.
     const uint64_t id = Submit(
         entry.m_batch, MakeClaim(key, writer, "same-id", m_now + kPatience));
     entry.m_calls[id] = {key, writer};
   }
 
-  void Carry(Event event, TestEntry& entry, uint32_t choice) {
+  void DeliverMessage(Event event, TestEntry& entry, uint32_t choice) {
     if (entry.m_sent.empty())
       return;
     const size_t at = choice % entry.m_sent.size();
@@ -232,16 +236,17 @@
     entry.m_calls[id] = call;
   }
 
-  /// All that the entry knew is gone; what it has sent may still arrive.
-  void Die(TestEntry& entry) {
+  /// Discards the state of `entry`. Writes that it has sent may still be
+  /// executed.
+  void CrashEntry(TestEntry& entry) {
     for (const ClaimAction& sent : entry.m_sent) {
       if (sent.m_kind == ClaimAction::Kind::kTransact)
         m_delayed.push_back(sent.m_puts);
     }
     for (const TestCall& call : entry.m_claimed)
       m_orphaned.insert(call.m_key);
-    for (const auto& [id, work] : entry.m_batch.m_works)
-      m_orphaned.insert(work.m_key);
+    for (const auto& [id, operation] : entry.m_batch.m_works)
+      m_orphaned.insert(operation.m_key);
     entry = TestEntry();
   }
 
@@ -251,7 +256,7 @@
   std::vector<std::vector<ClaimPut>> m_delayed;
   std::map<std::string, int> m_runs;
   std::map<std::string, std::string> m_outcomes;
-  /// Keys whose claim may have died with its entry.
+  /// Keys that a crashed entry may have claimed.
   std::set<std::string> m_orphaned;
   uint64_t m_writers = 0;
   uint64_t m_steps = 0;
@@ -263,34 +268,36 @@
   CPPUNIT_TEST(RepeatedCallDoesNotFailItsGroup);
   CPPUNIT_TEST(LostAnswerIsReadBack);
   CPPUNIT_TEST(LateReleaseDoesNotFreeTheNextClaim);
-  CPPUNIT_TEST(DeadTableRefusesAtOnce);
-  CPPUNIT_TEST(WritesStayFewAtAnyRate);
+  CPPUNIT_TEST(UnavailableTableRefusesAtOnce);
+  CPPUNIT_TEST(GroupRateStaysWithinLimit);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // No caller's payment is taken twice, and none that was refused is taken.
-  // Three entries claim four keys; calls repeat through other entries; writes
-  // and answers are lost, late and refused; entries die between claim, run and
-  // record. An oracle counts the runs of each key.
+  // Guards against running a key's call twice, and against a key that stays
+  // held although its call was refused: callers would pay twice or could never
+  // run the call. Three entries claim four keys and repeat each other's calls.
+  // Writes and answers are lost, delayed and refused; entries crash between
+  // claim, run and record.
   void NeverRunsTwice() {
     uint64_t steps = 0;
-    const bool good = rc::check("at most one run per key", [&steps] {
+    const bool passed = rc::check("at most one run per key", [&steps] {
       const auto numbers = *rc::gen::container<std::vector<uint32_t>>(
           kEvents, rc::gen::inRange<uint32_t>(0, 1u << 30));
-      World world;
+      Simulation simulation;
       for (uint32_t number : numbers)
-        world.Step(number);
-      steps += world.steps();
-      world.Calm();
-      world.CheckFree();
+        simulation.Step(number);
+      steps += simulation.steps();
+      simulation.RunWithoutFaults();
+      simulation.CheckUnusedKeysAreFree();
     });
-    CPPUNIT_ASSERT(good);
+    CPPUNIT_ASSERT(passed);
     CPPUNIT_ASSERT(steps >= 20000);
   }
 
-  // Four callers hear that their calls run; the fifth, who repeats a key that
-  // another entry holds, hears so. All five stand in one transaction, which
-  // the table cancels as a whole because of the fifth.
+  // Guards against failing a whole group for one claim. Five claims share a
+  // transaction, which the table rejects as a whole because another entry holds
+  // the fifth key. The first four have to succeed; the fifth has to be reported
+  // as held.
   void RepeatedCallDoesNotFailItsGroup() {
     ClaimBatchState batch;
     Table table;
@@ -303,9 +310,10 @@
     CPPUNIT_ASSERT(ends.at(5) == ClaimEnd::kHeld);
   }
 
-  // The caller's call runs, once. Its claim was written and the answer lost;
-  // reading it back finds this attempt's writer. A second call with the same
-  // request id has another writer, and hears that the key is held.
+  // Guards against refusing a claim that was written but whose answer was lost.
+  // Reading the key back finds the writer of the claim, so the claim succeeds.
+  // A second call with the same request id has another writer and has to be
+  // reported as held.
   void LostAnswerIsReadBack() {
     ClaimBatchState batch;
     Table table;
@@ -320,9 +328,11 @@
     CPPUNIT_ASSERT(RunAll(batch, table).at(again) == ClaimEnd::kHeld);
   }
 
-  // The second caller's call runs once. The first one's claim is released, but
-  // the answer is lost, the second caller claims, and the release arrives a
-  // second time. Were its condition only "claimed", it would free the key.
+  // Guards against a late release that frees the claim of the next caller,
+  // whose call would then run twice. The answer to the first caller's release
+  // is lost, the second caller claims the key, and the release arrives a second
+  // time. If its condition were only the stage "claimed", it would free the
+  // key.
   void LateReleaseDoesNotFreeTheNextClaim() {
     Table table;
     const uint64_t first = ClaimRevision(1, ClaimStage::kClaimed);
@@ -336,9 +346,10 @@
     CPPUNIT_ASSERT(!Write(table, release));
   }
 
-  // The caller hears "not run" without waiting for a timeout. Three groups got
-  // no answer, so the table counts as down and nothing is sent.
-  void DeadTableRefusesAtOnce() {
+  // Guards against callers that wait for a timeout while the table is
+  // unavailable. After three groups without an answer, a new claim is refused
+  // at once and nothing is sent.
+  void UnavailableTableRefusesAtOnce() {
     ClaimBatchState batch;
     TimePoint now = At(0s);
     for (uint32_t i = 0; i < kFailuresUntilDown; ++i) {
@@ -353,8 +364,9 @@
     CPPUNIT_ASSERT(actions.at(0).m_end == ClaimEnd::kUnavailable);
   }
 
-  // 2,000 claims a second at each of 8 entries fit into 300 transactions.
-  void WritesStayFewAtAnyRate() {
+  // Guards against overloading the table: 2,000 claims per second at each of 8
+  // entries have to fit into 300 transactions per second.
+  void GroupRateStaysWithinLimit() {
     ClaimBatchState batch;
     batch.m_interval = GroupInterval(8);
     Table table;
@@ -382,7 +394,7 @@
  private:
   static TimePoint At(Duration since) { return TimePoint(since); }
 
-  /// Carries out all that `batch` asks for; how each work ended.
+  /// Executes all actions of `batch` and returns how each operation ended.
   static std::map<uint64_t, ClaimEnd> RunAll(ClaimBatchState& batch,
                                              Table& table) {
     std::map<uint64_t, ClaimEnd> ends;
--- a/src/libverbenalead/decide/claim_item.h
+++ b/src/libverbenalead/decide/claim_item.h
@@ -7,11 +7,12 @@
 
 namespace verbenalead::decide {
 
-/// A claim as it stands in the table.
+/// The claim of an idempotency key, as stored in the table.
 struct ClaimItem {
   /// See ClaimRevision().
   uint64_t m_revision = 0;
-  /// kClaimed: the request that holds it. kAnswered: its outcome.
+  /// At stage kClaimed, the request that holds the key; at kAnswered, the
+  /// outcome of the call.
   std::string m_value;
 
   friend auto operator<=>(const ClaimItem&, const ClaimItem&) = default;
--- a/src/libverbenalead/decide/claim_put.h
+++ b/src/libverbenalead/decide/claim_put.h
@@ -9,11 +9,11 @@
 
 namespace verbenalead::decide {
 
-/// One conditional write of a group.
+/// One conditional write within a transaction.
 struct ClaimPut {
   std::string m_key;
   ClaimItem m_item;
-  /// The revision that must be there; 0: no item.
+  /// The revision that the stored item must have; 0 if none may exist.
   uint64_t m_expected = 0;
 
   friend auto operator<=>(const ClaimPut&, const ClaimPut&) = default;
--- a/src/libverbenalead/decide/claim_revision.h
+++ b/src/libverbenalead/decide/claim_revision.h
@@ -5,20 +5,20 @@
 
 namespace verbenalead::decide {
 
-/// How far the claim of an idempotency key has come.
+/// The stage of an idempotency key's claim.
 enum class ClaimStage : uint64_t {
-  kClaimed = 1,   ///< Its writer may run the call, and nobody else.
+  kClaimed = 1,   ///< Only the writer of the claim may run the call.
   kAnswered = 2,  ///< The call has ended; the item holds its outcome.
   kReleased = 3,  ///< The call was certainly not run; the key is free.
 };
 
-/// The revision of a claim's item: its writer and its stage in one number.
+/// Returns the revision of a claim's item, which combines writer and stage.
 ///
-/// Writers are unique to one attempt to claim, so a revision never returns. A
-/// write that was delayed on its way, and whose condition names a revision, can
-/// therefore never hit a later claim of the same key. With the bare stage as
-/// revision it did: a release that was sent again after its answer was lost
-/// freed the next caller's claim, and the key ran twice.
+/// A writer is unique to one attempt to claim, so no revision is ever reused.
+/// A delayed write is conditional on a revision and therefore can't affect a
+/// later claim of the same key. If the revision were the stage alone, a release
+/// that is retried after a lost answer could free the next caller's claim, and
+/// the call of that key would run twice.
 constexpr uint64_t ClaimRevision(uint64_t writer, ClaimStage stage) {
   return writer << 2 | static_cast<uint64_t>(stage);
 }
--- a/src/libverbenalead/decide/claim_work.h
+++ b/src/libverbenalead/decide/claim_work.h
@@ -9,33 +9,34 @@
 
 namespace verbenalead::decide {
 
-/// One thing to be written about one key, from its submission until it is known
+/// One operation on a key's claim, from its submission until it is known
 /// whether the write took effect.
 struct ClaimWork {
   enum class Kind {
-    kClaim,    ///< Take the key, if it is free.
-    kRecord,   ///< The claimed call has ended: keep m_value as its outcome.
-    kRelease,  ///< The claimed call was certainly not run: free the key.
+    kClaim,    ///< Claim the key if it is free.
+    kRecord,   ///< Store m_value as the outcome of the claimed call.
+    kRelease,  ///< Free the key; the claimed call was certainly not run.
   };
   Kind m_kind = Kind::kClaim;
   /// Organisation and idempotency key.
   std::string m_key;
-  /// Unique to this attempt to claim: 62 random bits, never 0.
+  /// Unique to one attempt to claim: 62 random bits, never 0.
   uint64_t m_writer = 0;
+  /// See ClaimItem::m_value.
   std::string m_value;
-  /// After it no further try is begun.
+  /// No further write or read is started after this time.
   TimePoint m_deadline{};
 
-  // What follows is kept by the batch.
-  /// The revision that the write will find.
+  // The batch maintains the fields below.
+  /// The revision on which the write is conditional; 0 if no item may exist.
   uint64_t m_expected = 0;
-  /// A write was sent, and it may still take effect.
+  /// A write was sent whose answer was lost; it may still take effect.
   bool m_in_doubt = false;
-  /// Nobody waits for it.
+  /// No caller waits for the result, so no kSettle action is issued.
   bool m_silent = false;
 };
 
-/// A claim of `key` by `writer`.
+/// Returns an operation that claims `key` for `writer`.
 inline ClaimWork MakeClaim(std::string key,
                            uint64_t writer,
                            std::string value,
@@ -44,7 +45,8 @@
           deadline};
 }
 
-/// What ends the claim that `writer` holds: kRecord or kRelease.
+/// Returns an operation that ends the claim held by `writer`: kRecord or
+/// kRelease.
 inline ClaimWork MakeEnd(ClaimWork::Kind kind,
                          std::string key,
                          uint64_t writer,
