--- a/src/libverbenalead/decide/permit.h
+++ b/src/libverbenalead/decide/permit.h
@@ -8,18 +8,21 @@
 
 namespace verbenalead::decide {
 
-/// The right of one serving host to shut its gate and load.
+/// Permission for one serving host to shut its gate and load a version. The
+/// permits of a pool limit how many of its hosts are unavailable at once.
 struct Permit {
+  /// The version to load or, with m_failed, the version whose load failed.
   Digest m_digest;
-  /// Revision of the pool's spec under which it was taken.
+  /// Revision of the pool's spec for which the permit was acquired.
   uint64_t m_plan = 0;
-  /// Incarnation of the process that took it.
+  /// Incarnation of the process that acquired the permit.
   uint64_t m_owner = 0;
-  /// Rises with each renewal.
+  /// Increases with each renewal.
   uint64_t m_number = 0;
   /// The load failed. Stops the rollout until the host has recovered or the
-  /// pool is declared anew.
+  /// pool's spec has a new revision.
   bool m_failed = false;
+  /// With m_failed: why the load failed.
   std::string m_reason;
 
   friend bool operator==(const Permit&, const Permit&) = default;
--- a/src/libverbenalead/decide/permit_board.h
+++ b/src/libverbenalead/decide/permit_board.h
@@ -11,18 +11,19 @@
 
 namespace verbenalead::decide {
 
-/// The permits to load of one pool: one item of the platform's table. Each
-/// write is conditional on the revision that was read, so of two hosts that
-/// take the last free place one is refused by the table.
+/// The load permits of one pool, stored as one item of the platform's table.
+/// Each write is conditional on the revision that was read: if two hosts try to
+/// acquire the last free permit, the table rejects the second write.
 struct PermitBoard {
   uint64_t m_revision = 0;
-  /// By host.
+  /// Permits by host.
   std::map<std::string, Permit> m_permits;
 
   friend bool operator==(const PermitBoard&, const PermitBoard&) = default;
 };
 
-/// The board as the value of its table item, without its revision.
+/// Returns the permits encoded as the value of their table item. The revision
+/// isn't part of the value.
 std::string ToJson(const PermitBoard& board);
 Result<PermitBoard> ParsePermitBoard(std::string_view json, uint64_t revision);
 
--- a/src/libverbenalead/decide/permit_watch.cc
+++ b/src/libverbenalead/decide/permit_watch.cc
@@ -46,8 +46,9 @@
     return {PermitAnswer::kPaused, "paused"};
   uint32_t taken = 0;
   for (const auto& [holder, permit] : board.m_permits) {
-    // A version that breaks one engine is likely to break the next: going on
-    // would shut gate after gate. A failure never lapses by time.
+    // A version that fails on one engine is likely to fail on the next one. If
+    // the rollout continued, it would shut one gate after another. Unlike a
+    // permit, a failure doesn't lapse.
     if (StopsPlan(permit, plan)) {
       return {PermitAnswer::kStopped,
               "stopped: " + holder + ": " + permit.m_reason};
@@ -56,10 +57,11 @@
       ++taken;
   }
   auto own = board.m_permits.find(host);
-  // Whoever takes a place erases what has lapsed, so a permit that still stands
-  // there has not been given to another host.
-  // Two processes of one host: a paused one that wakes must not act on the
-  // permit of the one that took its place.
+  // A host that acquires a permit erases the lapsed ones. A permit that is
+  // still stored has therefore not been replaced by another host's. A host may
+  // have two processes, an older one that was paused and the newer one that
+  // replaced it. When the older one resumes, it must not act on the permit of
+  // the newer one.
   if (own != board.m_permits.end() && own->second.m_owner > owner &&
       !HasLapsed(watch, host, own->second, now))
     return {PermitAnswer::kFull, "a newer process of this host has a permit"};
--- a/src/libverbenalead/decide/permit_watch.h
+++ b/src/libverbenalead/decide/permit_watch.h
@@ -10,29 +10,32 @@
 
 namespace verbenalead::decide {
 
-/// Since when one process has seen each permit unrenewed, by its own monotonic
-/// clock: no clocks of two hosts are ever compared.
+/// Records how long one process has observed each permit without a renewal.
+/// Times are from the process's own monotonic clock, so that the expiry of a
+/// permit never depends on comparing the clocks of two hosts.
 struct PermitWatch {
   struct Seen {
     uint64_t m_number = 0;
+    /// When m_number was first observed.
     TimePoint m_since{};
   };
   std::map<std::string, Seen> m_seen;
 };
 
-/// For so long after it was sent, a holder may act on a permit.
+/// How long the holder may act on a permit, counted from the time at which the
+/// holder sent the write of the permit or of its renewal.
 constexpr Duration kPermitHold = std::chrono::seconds(10);
-/// A permit seen unrenewed for so long has lapsed. Longer than kPermitHold by a
-/// third, so that a holder's own time is over first even if its clock runs
-/// slow by as much.
+/// A permit that a host observes without renewal for this long has lapsed.
+/// kPermitHold is shorter by a third, so that the holder stops acting on the
+/// permit first even if its clock runs slow by a third.
 constexpr Duration kPermitLease = std::chrono::seconds(15);
-/// Three tries before kPermitHold is over.
+/// Interval between renewals; allows three attempts within kPermitHold.
 constexpr Duration kPermitRenewal = std::chrono::seconds(3);
 
 enum class PermitAnswer {
   kGranted,
   kPaused,
-  kFull,     ///< As many hosts load as may.
+  kFull,     ///< The maximum number of hosts, or a newer process, is loading.
   kStopped,  ///< A load of this version failed.
 };
 
@@ -41,13 +44,15 @@
   std::string m_reason;
 };
 
-/// Takes note of `board` as read at `now`.
+/// Updates `watch` from `board`, which was read at `now`.
 void Observe(PermitWatch& watch, const PermitBoard& board, TimePoint now);
-/// The board could not be read: nobody could renew either, so time begins anew.
+/// Clears all observations. Called when the permits could not be read: holders
+/// could not renew during that time either, so the lease of each permit starts
+/// again at the next read.
 void Forget(PermitWatch& watch);
 
-/// Whether process `owner` of `host` may take a permit, or keep the one that it
-/// has.
+/// Decides whether process `owner` of `host` may acquire a permit or keep the
+/// permit that it holds.
 PermitDecision Decide(const PermitBoard& board,
                       const PermitWatch& watch,
                       const std::string& host,
@@ -55,7 +60,7 @@
                       const RolloutPlan& plan,
                       TimePoint now);
 
-/// Erases what has lapsed.
+/// Erases the lapsed permits from `board`.
 void EraseLapsed(PermitBoard& board, const PermitWatch& watch, TimePoint now);
 
 }  // namespace verbenalead::decide
--- a/src/libverbenalead/decide/rollout.cc
+++ b/src/libverbenalead/decide/rollout.cc
@@ -7,31 +7,35 @@
 
 using Kind = RolloutAction::Kind;
 
-constexpr Duration kAskRetry = 200ms;
-constexpr Duration kFetchRetry = 500ms;
-/// An engine that failed a load is given time before the next try: what failed
-/// once for want of memory or a driver seldom works a moment later.
-constexpr Duration kLoadRetry = 2s;
-constexpr Duration kTableRetry = 500ms;
-/// Entries ask each target how it is four times a second by default. Without a
-/// notice, a fast wave under steady load outran them: 44 of 1,633 requests were
-/// sent to three hosts in turn whose version had changed since their last
-/// report, and refused. Four times that interval leaves room for a late answer.
+constexpr Duration kStatusRetryDelay = 200ms;
+constexpr Duration kFetchRetryDelay = 500ms;
+/// Delay before a failed load is retried. A load that failed for lack of memory
+/// or because of a driver rarely succeeds immediately afterwards.
+constexpr Duration kLoadRetryDelay = 2s;
+constexpr Duration kTableRetryDelay = 500ms;
+/// How long a host reports its gate as shut before it shuts. Entries poll the
+/// status of each target four times per second by default. Without a notice, in
+/// a fast rollout under steady load, 44 of 1,633 requests were refused: each
+/// was sent to three hosts in turn whose version had changed since their last
+/// report. Four polling intervals leave room for a late status.
 constexpr Duration kShutNotice = 1s;
-/// All waiting hosts of a pool read its permits 200 times a second together,
-/// however many they are: a tenth of the reads that the table gives, and a free
-/// place is still found within milliseconds.
-constexpr Duration kReadShare = 5ms;
-constexpr Duration kLeastReadInterval = 100ms;
-
-/// An engine that calls an order done and serves another version has obeyed an
-/// order that was under way for long, of this process or one before. That is no
-/// fault of the version, so it is ordered again rather than the rollout
-/// stopped. Orders under way are few; an engine that does so time and again
-/// does not load what it is told to.
-constexpr uint32_t kMaxCrossed = 3;
-
-enum class Purpose { kTake, kFail, kRelease };
+/// A host that waits for a permit reads the permits at an interval of this
+/// value times the number of hosts, but of kMinReadInterval at least. All
+/// waiting hosts of a pool together then read them at most 200 times per
+/// second, a tenth of the reads that the table sustains. A free permit is still
+/// found within milliseconds.
+constexpr Duration kReadIntervalPerHost = 5ms;
+constexpr Duration kMinReadInterval = 100ms;
+
+/// If an engine reports an order as done but serves another version, it has
+/// executed a delayed order of this process or of an earlier one. The declared
+/// version isn't at fault, so the order is repeated instead of stopping the
+/// rollout. Only few orders can be delayed at a time; an engine that exceeds
+/// this limit doesn't load the version that it is ordered to load, and the load
+/// counts as failed.
+constexpr uint32_t kMaxStaleOrders = 3;
+
+enum class Purpose { kAcquire, kRecordFailure, kRelease };
 
 RolloutAction Do(Kind kind) {
   RolloutAction action;
@@ -58,21 +62,23 @@
   return {};
 }
 
-/// Writes this host's entry into `board`. False: there is nothing to write.
-bool Edit(RolloutState& state,
-          const RolloutPlan& plan,
-          Purpose purpose,
-          PermitBoard& board) {
+/// Changes this host's permit in `board`. Returns false if there is nothing to
+/// write.
+bool ChangeOwnPermit(RolloutState& state,
+                     const RolloutPlan& plan,
+                     Purpose purpose,
+                     PermitBoard& board) {
   auto own = board.m_permits.find(state.m_host);
   if (purpose == Purpose::kRelease) {
-    // One of an earlier run is ours to erase, one of a later run is not.
+    // A permit of an earlier run of this host is erased, too; one of a later
+    // run has to stay.
     state.m_posted =
         own != board.m_permits.end() && own->second.m_owner <= state.m_owner;
     if (state.m_posted)
       board.m_permits.erase(own);
     return state.m_posted;
   }
-  if (purpose == Purpose::kFail && own != board.m_permits.end() &&
+  if (purpose == Purpose::kRecordFailure && own != board.m_permits.end() &&
       own->second.m_owner > state.m_owner) {
     state.m_publish_failure = false;
     return false;
@@ -82,9 +88,9 @@
   permit.m_plan = plan.m_revision;
   permit.m_owner = state.m_owner;
   permit.m_number = board.m_revision;
-  if (purpose == Purpose::kFail) {
-    // What failed, not what is wanted by now: a new plan must not be stopped by
-    // the failure of the one that it replaces.
+  if (purpose == Purpose::kRecordFailure) {
+    // Record the version and plan that failed rather than the current ones. The
+    // failure of a plan must not stop the plan that replaces it.
     permit.m_digest = state.m_failed;
     permit.m_plan = state.m_failed_plan;
     permit.m_failed = true;
@@ -94,8 +100,9 @@
   return true;
 }
 
-/// Reads the board, then changes it for `purpose`. `denied` is set if a permit
-/// can't be had now.
+/// Returns the action that reads the permits or, once they have been read, the
+/// one that writes them with the change for `purpose`. Sets `denied` if no
+/// permit is available now.
 RolloutAction ChangePermits(RolloutState& state,
                             const RolloutPlan& plan,
                             Purpose purpose,
@@ -105,7 +112,7 @@
     return now < state.m_next_read ? RolloutAction() : Do(Kind::kReadPermits);
   PermitBoard next = *state.m_board;
   ++next.m_revision;
-  if (purpose == Purpose::kTake) {
+  if (purpose == Purpose::kAcquire) {
     const PermitDecision decision =
         Decide(next, state.m_watch, state.m_host, state.m_owner, plan, now);
     if (decision.m_answer != PermitAnswer::kGranted) {
@@ -113,19 +120,20 @@
       state.m_reason = decision.m_reason;
       state.m_board.reset();
       state.m_next_read =
-          now + std::max<Duration>(kLeastReadInterval,
-                                   kReadShare * int64_t{plan.m_hosts});
+          now + std::max<Duration>(kMinReadInterval, kReadIntervalPerHost *
+                                                         int64_t{plan.m_hosts});
       return {};
     }
     EraseLapsed(next, state.m_watch, now);
   }
-  if (!Edit(state, plan, purpose, next)) {
+  if (!ChangeOwnPermit(state, plan, purpose, next)) {
     state.m_permit = false;
     return {};
   }
-  // A permit that is given back is not ours from the moment that the write goes
-  // out: if its answer is lost, the place may already be another host's.
-  if (purpose != Purpose::kTake)
+  // A released permit must not be used from the moment at which the write is
+  // sent: if the answer is lost, another host may already have acquired a
+  // permit in its place.
+  if (purpose != Purpose::kAcquire)
     state.m_permit = false;
   state.m_writing = next;
   RolloutAction action = Do(Kind::kWritePermits);
@@ -138,9 +146,9 @@
          state.m_failed_plan == plan.m_revision;
 }
 
-RolloutAction Settle(RolloutState& state,
-                     const RolloutPlan& plan,
-                     TimePoint now) {
+RolloutAction FinishRollout(RolloutState& state,
+                            const RolloutPlan& plan,
+                            TimePoint now) {
   state.m_failed = {};
   state.m_crossed = 0;
   state.m_publish_failure = false;
@@ -152,7 +160,7 @@
   return ChangePermits(state, plan, Purpose::kRelease, now, denied);
 }
 
-/// All that can be done while the gate is open; shuts it last.
+/// Takes the steps that are possible while the gate is open, then shuts it.
 RolloutAction PrepareToShut(RolloutState& state,
                             GateState& gate,
                             const RolloutPlan& plan,
@@ -161,7 +169,7 @@
     Wait(state, RolloutStage::kWaiting, state.m_reason);
     bool denied = false;
     RolloutAction action =
-        ChangePermits(state, plan, Purpose::kTake, now, denied);
+        ChangePermits(state, plan, Purpose::kAcquire, now, denied);
     gate.m_closing = state.m_shut_at && !denied;
     return action;
   }
@@ -175,17 +183,19 @@
   if (now < *state.m_shut_at)
     return Wait(state, RolloutStage::kLoading, "");
   if (!state.m_rechecked) {
-    // During the notice a load may have failed elsewhere, or an operator
-    // paused: the board tells, while the gate is still open.
+    // During the notice, a load may have failed at another host, or an operator
+    // may have paused the rollout. The permits are read again while the gate
+    // is still open, so that the host continues to serve in these cases.
     state.m_rechecked = true;
     state.m_permit = false;
     state.m_board.reset();
     return {};
   }
   state.m_shut_at.reset();
-  // The permit was looked at in this very step. A process that is paused from
-  // here on is paused with its gate shut, which its callers see as a dead host;
-  // one that was paused before finds its time over above and asks anew.
+  // The permit was checked in this step. A process that is suspended after this
+  // point has its gate shut and appears to its callers as an unresponsive host.
+  // A process that was suspended earlier finds its permit expired in the check
+  // above and acquires it again.
   state.m_last_open = gate.m_digest;
   state.m_loading = plan.m_digest;
   state.m_shut_for_load = true;
@@ -194,7 +204,7 @@
   return Wait(state, RolloutStage::kLoading, "");
 }
 
-/// The gate is shut: orders once nothing runs any more.
+/// Orders the load once the gate is shut and no attempt is running.
 RolloutAction LoadWhenDrained(RolloutState& state,
                               GateState& gate,
                               const RolloutPlan& plan,
@@ -207,12 +217,12 @@
   const bool held =
       state.m_permit && state.m_confirmed && now < state.m_permit_until;
   if (state.m_shut_for_load && !held) {
-    // Requests may have run for long, or this process was paused: if its permit
-    // has lapsed meanwhile and another host has it, the engine is left alone
-    // and the gate opens for the old version again.
+    // Draining may have taken long, or this process may have been suspended. If
+    // its permit has lapsed and was acquired by another host, no order is sent
+    // and the gate opens for the previous version again.
     bool denied = false;
     RolloutAction action =
-        ChangePermits(state, plan, Purpose::kTake, now, denied);
+        ChangePermits(state, plan, Purpose::kAcquire, now, denied);
     if (!denied)
       return action;
     state.m_permit = false;
@@ -223,25 +233,27 @@
   RolloutAction order = Do(Kind::kOrder);
   order.m_digest = plan.m_digest;
   order.m_fence = state.m_fence;
-  // An order's number is never used twice, so that an order whose answer was
-  // lost can't be taken for the next one.
+  // A fencing number is never reused, so that an order whose answer was lost
+  // can't be mistaken for the next order.
   state.m_fence = 0;
   state.m_ordered = plan.m_digest;
   state.m_ordered_plan = plan.m_revision;
   return order;
 }
 
-void JudgeOrder(RolloutState& state, const RolloutPlan& plan, TimePoint now) {
+void EvaluateOrder(RolloutState& state,
+                   const RolloutPlan& plan,
+                   TimePoint now) {
   if (state.m_ordered.empty())
     return;
-  const bool other =
+  const bool serves_other =
       state.m_engine != state.m_ordered && state.m_ordered == plan.m_digest;
-  const bool crossed =
-      other && state.m_order_reason.empty() && ++state.m_crossed <= kMaxCrossed;
-  if (other && !crossed) {
+  const bool stale_order = serves_other && state.m_order_reason.empty() &&
+                           ++state.m_crossed <= kMaxStaleOrders;
+  if (serves_other && !stale_order) {
     state.m_failed = plan.m_digest;
     state.m_failed_plan = state.m_ordered_plan;
-    state.m_retry_at = now + kLoadRetry;
+    state.m_retry_at = now + kLoadRetryDelay;
     state.m_publish_failure |= state.m_permit;
     state.m_failure = state.m_order_reason.empty()
                           ? "the engine serves another version"
@@ -289,7 +301,7 @@
                        GateState& gate,
                        const RolloutPlan& plan,
                        TimePoint now) {
-  // Set anew below for as long as the load is on its way.
+  // PrepareToShut() sets m_closing again as long as a load is about to start.
   if (!gate.m_closing)
     state.m_shut_at.reset();
   gate.m_closing = false;
@@ -302,14 +314,15 @@
   if (plan.m_digest.empty())
     return Wait(state, RolloutStage::kIdle, "");
   if (gate.m_open && gate.m_digest == plan.m_digest)
-    return Settle(state, plan, now);
+    return FinishRollout(state, plan, now);
   if (state.m_publish_failure) {
     bool denied = false;
-    return ChangePermits(state, plan, Purpose::kFail, now, denied);
+    return ChangePermits(state, plan, Purpose::kRecordFailure, now, denied);
   }
   if (state.m_shut_for_load && state.m_loading != plan.m_digest) {
-    // Declared anew in mid-load: the old version may serve on while the other
-    // identity is fetched.
+    // Another version was declared after the gate was shut. The previous
+    // version may continue to be served while the newly declared one is
+    // fetched.
     state.m_loading = plan.m_digest;
     AskAgain(gate);
     return {};
@@ -336,7 +349,7 @@
 void FetchFailed(RolloutState& state,
                  const std::string& reason,
                  TimePoint now) {
-  state.m_next_fetch = now + kFetchRetry;
+  state.m_next_fetch = now + kFetchRetryDelay;
   Wait(state, RolloutStage::kFailed, reason);
 }
 
@@ -347,7 +360,7 @@
     Observe(state.m_watch, *board, now);
   } else {
     Forget(state.m_watch);
-    state.m_next_read = now + kTableRetry;
+    state.m_next_read = now + kTableRetryDelay;
     state.m_reason = "the table can't be read";
   }
   state.m_board = std::move(board);
@@ -359,12 +372,12 @@
                     TimePoint sent,
                     TimePoint now) {
   if (result != WriteResult::kCommitted) {
-    // Whether it took effect is seen on the board: a permit that was taken
-    // there is renewed by the next try.
+    // Reading the permits again shows whether the write took effect. If it did,
+    // the next attempt renews the acquired permit.
     state.m_board.reset();
     state.m_posted = true;
     if (result == WriteResult::kDoubt)
-      state.m_next_read = now + kTableRetry;
+      state.m_next_read = now + kTableRetryDelay;
     return;
   }
   state.m_board = std::move(state.m_writing);
@@ -382,7 +395,8 @@
 
 void Deposed(RolloutState& state, GateState& gate) {
   state.m_deposed = true;
-  // Not renewed any more, so that its place lapses and others go on.
+  // The permit is no longer renewed, so that it lapses and other hosts can
+  // continue the rollout.
   state.m_permit = false;
   Shut(gate);
 }
@@ -402,17 +416,18 @@
                     TimePoint now) {
   if (!serves) {
     AskAgain(gate);
-    state.m_next_ask = now + kAskRetry;
+    state.m_next_ask = now + kStatusRetryDelay;
     return;
   }
   state.m_engine = *serves;
   if (gate.m_open && gate.m_digest != state.m_engine)
     Doubt(gate);
-  // An answer that was under way when a doubt arose says nothing of it.
+  // A status requested before the last increment of m_doubt doesn't show the
+  // engine's state after the event that caused it.
   if (gate.m_doubt != doubt)
     return;
   state.m_settled = doubt;
-  JudgeOrder(state, plan, now);
+  EvaluateOrder(state, plan, now);
   if (gate.m_open || state.m_deposed)
     return;
   if (MayReopen(state, plan)) {
--- a/src/libverbenalead/decide/rollout.h
+++ b/src/libverbenalead/decide/rollout.h
@@ -13,64 +13,76 @@
 
 namespace verbenalead::decide {
 
-/// One target host's way to the declared version. All hosts may fetch at once;
-/// a host that serves takes a permit before it shuts its gate, and a host that
-/// serves nothing loads at once. Used as
+/// State of the rollout of the declared version at one target host. All hosts
+/// of a pool may fetch the version at once. A host that serves acquires a
+/// permit before it shuts its gate, so that enough hosts of the pool keep
+/// serving; a host that serves nothing loads without a permit. Used as
 ///
 ///     RolloutAction action = NextStep(state, gate, plan, now);
-///     // does it, then reports by one of the functions below
+///     // Execute the action, then report its result by one of the functions
+///     // below.
 ///
-/// State and gate are touched under the gate's lock.
+/// State and gate are accessed only under the gate's lock.
 struct RolloutState {
   std::string m_host;
-  /// This run of the process.
+  /// Identifies this run of the process.
   uint64_t m_owner = 0;
 
   RolloutStage m_stage = RolloutStage::kIdle;
-  /// Why it waits or failed.
+  /// Why the rollout waits or failed.
   std::string m_reason;
 
-  /// What the engine last said it serves.
+  /// The version that the engine last reported to serve.
   Digest m_engine;
-  /// The gate's doubt that the last answer of the engine settled.
+  /// The value of GateState::m_doubt that the last engine status resolved. If
+  /// the two differ, the engine has to be queried before any other step.
   uint64_t m_settled = 0;
   TimePoint m_next_ask{};
 
   Digest m_fetched;
   TimePoint m_next_fetch{};
 
-  /// The board as last read or written; nullopt: to be read.
+  /// The permits as last read or written; nullopt if they have to be read.
   std::optional<PermitBoard> m_board;
+  /// The permits as sent in the write in progress.
   std::optional<PermitBoard> m_writing;
   TimePoint m_next_read{};
   PermitWatch m_watch;
+  /// This process holds a permit, on which it may act until m_permit_until.
   bool m_permit = false;
   TimePoint m_permit_until{};
-  /// When the entries have learned that the gate is about to shut.
+  /// The end of the notice to entries that the gate is about to shut.
   std::optional<TimePoint> m_shut_at;
-  /// The permits were read anew after that.
+  /// After the end of that notice, the permits were discarded to be read again.
   bool m_rechecked = false;
-  /// The permit was renewed since the gate was shut and drained.
+  /// The permit was renewed after the gate was shut and drained.
   bool m_confirmed = false;
-  /// An entry of this host may stand on the board, also one of an earlier run.
+  /// The table may hold a permit of this host, possibly of an earlier run.
   bool m_posted = true;
+  /// A failed load has to be recorded in the pool's permits.
   bool m_publish_failure = false;
 
-  /// The rollout has shut the gate, for m_loading.
+  /// The rollout has shut the gate to load m_loading.
   bool m_shut_for_load = false;
   Digest m_loading;
+  /// The version in force before the gate was shut.
   Digest m_last_open;
+  /// The fencing number for the next order; 0 if it has to be minted.
   uint64_t m_fence = 0;
-  /// The order whose effect the engine has not confirmed yet.
+  /// The version of the last order, until the engine has reported which version
+  /// it serves after it.
   Digest m_ordered;
-  /// The pool's revision at the order: a failure is told of that one, so that
-  /// it can't stop a rollout that an operator has begun anew since.
+  /// Revision of the pool's spec at the time of the order. A failure is
+  /// recorded for this revision, so that it doesn't stop a rollout that an
+  /// operator has started since.
   uint64_t m_ordered_plan = 0;
+  /// Why the order failed; empty if the engine reported success.
   std::string m_order_reason;
 
-  /// Orders in a row that the engine called done while it serves another
-  /// version.
+  /// Number of consecutive orders that the engine reported as done while it
+  /// serves another version.
   uint32_t m_crossed = 0;
+  /// The version and spec revision of the last failed load.
   Digest m_failed;
   uint64_t m_failed_plan = 0;
   std::string m_failure;
@@ -80,7 +92,7 @@
 
 RolloutState StartRollout(const std::string& host, uint64_t owner);
 
-/// Decides what is next. Shuts the gate when a load is about to begin.
+/// Returns the next action. Shuts the gate when a load is about to start.
 RolloutAction NextStep(RolloutState& state,
                        GateState& gate,
                        const RolloutPlan& plan,
@@ -88,31 +100,36 @@
 
 void Fetched(RolloutState& state, const Digest& digest);
 void FetchFailed(RolloutState& state, const std::string& reason, TimePoint now);
-/// nullopt: the table could not be read.
+/// `board` is nullopt if the table could not be read.
 void PermitsRead(RolloutState& state,
                  std::optional<PermitBoard> board,
                  TimePoint now);
 enum class WriteResult {
   kCommitted,
-  kConflict,  ///< Somebody else's write came first.
-  kDoubt,     ///< No answer: it may have taken effect.
+  kConflict,  ///< The item changed since it was read; nothing was written.
+  kDoubt,     ///< No answer; the write may have taken effect.
 };
-/// `sent`: when the write was sent; a permit is held from then on.
+/// `sent` is the time at which the write was sent; the holding period of the
+/// permit starts then.
 void PermitsWritten(RolloutState& state,
                     const GateState& gate,
                     WriteResult result,
                     TimePoint sent,
                     TimePoint now);
 void FenceMinted(RolloutState& state, uint64_t fence);
-/// Another process has minted a fencing number for this host since: it gives
-/// the orders now, and this one must neither order nor serve again.
+/// Reports that another process has since minted a fencing number for this
+/// host. That process now controls the engine; this process must neither send
+/// orders nor serve again.
 void Deposed(RolloutState& state, GateState& gate);
-/// The order has ended; `reason` is empty if the engine said it has loaded.
-/// Either way the engine is asked before the gate opens.
+/// Reports the end of an order. `reason` is empty if the engine reported a
+/// successful load. In both cases the engine's status is queried before the
+/// gate opens.
 void OrderEnded(RolloutState& state,
                 GateState& gate,
                 const std::string& reason);
-/// `serves` is what the engine says; nullopt: it did not answer.
+/// Reports the engine's status for a kAskEngine action. `serves` is the version
+/// that the engine serves, or nullopt if it did not answer. `doubt` is the
+/// action's m_doubt.
 void EngineAnswered(RolloutState& state,
                     GateState& gate,
                     const RolloutPlan& plan,
@@ -120,18 +137,23 @@
                     uint64_t doubt,
                     TimePoint now);
 
-/// What the engine was seen to serve by a look beside the steps, for which
-/// nothing may be opened: shuts the gate where it doesn't agree.
+/// Reports an engine status from periodic polling, outside the steps of
+/// NextStep(). Shuts the gate if the engine did not answer or serves another
+/// version than the one in force. Never opens the gate, because the status
+/// isn't tied to a value of GateState::m_doubt and may be out of date.
 void EngineSeen(const RolloutState& state,
                 GateState& gate,
                 std::optional<Digest> serves);
 
-/// Whether the permit has to be renewed now, beside whatever step is under way.
+/// Returns true if the permit has to be renewed now. Renewals run in parallel
+/// with the action in progress.
 bool RenewalDue(const RolloutState& state, TimePoint now);
-/// The board with this host's permit renewed; nullopt if it has lapsed and was
-/// given to another host.
+/// Returns `board` with this host's permit renewed. Returns nullopt if another
+/// host erased the permit after it lapsed, or if another process of this host
+/// has acquired it.
 std::optional<PermitBoard> Renewed(RolloutState& state,
                                    const PermitBoard& board);
+/// Reports that the renewal sent at `sent` was written.
 void RenewalWritten(RolloutState& state, TimePoint sent);
 
 }  // namespace verbenalead::decide
--- a/src/libverbenalead/decide/rollout_action.h
+++ b/src/libverbenalead/decide/rollout_action.h
@@ -9,23 +9,24 @@
 
 namespace verbenalead::decide {
 
-/// The next thing that a host's rollout needs done. One at a time, so orders
-/// to the engine go out in series.
+/// The next action of a host's rollout. Actions are executed one at a time, so
+/// that orders to the engine are sent sequentially.
 struct RolloutAction {
   enum class Kind {
-    kNone,          ///< Nothing now; ask again soon.
-    kFetch,         ///< Bring m_digest into the store.
+    kNone,          ///< No action is due; call NextStep() again soon.
+    kFetch,         ///< Fetch m_digest into the store.
     kReadPermits,   ///< Read the pool's permits from the table.
     kWritePermits,  ///< Write m_board if its revision is one above the item's.
     kMintFence,     ///< Mint this host's next fencing number in the table.
-    kOrder,         ///< Order the engine to load m_digest under m_fence.
-    kAskEngine,     ///< Ask the engine what it serves.
+    kOrder,         ///< Order the engine to load m_digest with token m_fence.
+    kAskEngine,     ///< Query which version the engine serves.
   };
   Kind m_kind = Kind::kNone;
   Digest m_digest;
   uint64_t m_fence = 0;
   PermitBoard m_board;
-  /// For kAskEngine: hand it back to EngineAnswered.
+  /// For kAskEngine: the value of GateState::m_doubt at the time of the query,
+  /// to be passed to EngineAnswered().
   uint64_t m_doubt = 0;
 };
 
--- a/src/libverbenalead/decide/rollout_load_test.cc
+++ b/src/libverbenalead/decide/rollout_load_test.cc
@@ -16,34 +16,37 @@
 constexpr size_t kReplicas = 40;
 constexpr uint32_t kSlots = 8;
 constexpr double kPrefillRate = 20400;
-constexpr Duration kTurns = 4400ms;
+constexpr Duration kLoadSpread = 4400ms;
 constexpr Duration kClosingNotice = 1200ms;
 constexpr Duration kLoad = 300ms;
-/// Drains that let half of the streams end, and nearly all.
-constexpr Duration kShort = 550ms;
-constexpr Duration kLong = 1500ms;
-/// How often a call that waits looks for a place.
+/// Drain times in which half of the streams and nearly all streams end.
+constexpr Duration kShortDrain = 550ms;
+constexpr Duration kLongDrain = 1500ms;
+/// Interval at which a waiting call retries to acquire a slot, and a draining
+/// replica checks whether its streams have ended.
 constexpr Duration kLook = 20ms;
 
-/// What became of the streams of a rollout.
+/// Numbers of streams of a rollout by their result.
 struct Outcome {
   int m_asked = 0;
-  /// They ended, and how many of them were broken off once.
+  /// Streams that completed.
   int m_whole = 0;
-  int m_broken_off = 0;
-  /// They were broken off and didn't come to their end.
+  /// Interruptions after which the stream was placed again.
+  int m_interrupted = 0;
+  /// Streams that were interrupted and not completed.
   int m_lost = 0;
-  /// They found no place at first.
+  /// Streams that found no slot at their start.
   int m_refused = 0;
 };
 
-/// Streams on replicas that load new weights one after the other, in virtual
-/// time, placed by the pool's core. One that is broken off goes on elsewhere,
-/// at two replicas at most.
+/// Simulates, in virtual time, streams on replicas that load new weights one
+/// after another. The code under test places the streams. An interrupted stream
+/// continues at another replica; each stream uses two replicas at most.
 class Rollout {
  public:
-  /// `streams_per_second`: a replica does seven. `drain`: how long streams may
-  /// run on at a replica whose turn has come; nothing: as the core decides.
+  /// `streams_per_second` is the total rate of new streams; one replica
+  /// sustains seven per second. `drain` is how long streams may continue at a
+  /// replica that is about to load; nullopt uses DrainTime().
   Rollout(double streams_per_second,
           std::optional<Duration> drain,
           uint64_t seed)
@@ -55,10 +58,10 @@
       replicas[r].m_endpoint = Endpoint(std::to_string(r), 1);
       replicas[r].m_slots = kSlots;
       replicas[r].m_weights["m"] = 1;
-      const TimePoint turn =
+      const TimePoint load_start =
           m_now + 2s +
-          kTurns * static_cast<int>(r) / static_cast<int>(kReplicas - 1);
-      PlanLoad(std::to_string(r), turn);
+          kLoadSpread * static_cast<int>(r) / static_cast<int>(kReplicas - 1);
+      PlanLoad(std::to_string(r), load_start);
     }
     SetReplicas(m_pool, replicas, TimePoint(), m_now);
     std::exponential_distribution<double> gap(streams_per_second);
@@ -93,7 +96,7 @@
   struct Stream {
     PoolCall m_call;
     CallProgress m_progress;
-    Duration m_left{};
+    Duration m_remaining{};
     std::string m_replica;
     TimePoint m_placed_at{};
     uint64_t m_run = 0;
@@ -106,31 +109,31 @@
   Stream NewStream() {
     std::uniform_int_distribution<int> length(500, 1700);
     Stream stream;
-    stream.m_left = std::chrono::milliseconds(length(m_random));
+    stream.m_remaining = std::chrono::milliseconds(length(m_random));
     stream.m_call.m_ticket = m_streams.size();
     stream.m_call.m_prompt_tokens = 900;
-    stream.m_call.m_length = stream.m_left;
+    stream.m_call.m_length = stream.m_remaining;
     stream.m_progress.m_kind = model::CallKind::kStream;
     stream.m_progress.m_resumable = true;
     stream.m_progress.m_max_attempts = 2;
     return stream;
   }
 
-  void PlanLoad(const std::string& id, TimePoint turn) {
-    At(turn - kClosingNotice,
-       [this, id, turn] { State(id).m_closing_until = turn; });
-    At(turn, [this, id] {
+  void PlanLoad(const std::string& id, TimePoint load_start) {
+    At(load_start - kClosingNotice,
+       [this, id, load_start] { State(id).m_closing_until = load_start; });
+    At(load_start, [this, id] {
       State(id).m_loading_until = TimePoint::max();
-      Drain(id, m_now + m_drain.value_or(DrainTime(Fullness())));
+      Drain(id, m_now + m_drain.value_or(DrainTime(Utilisation())));
     });
   }
 
-  double Fullness() const {
+  double Utilisation() const {
     const PoolLoad load = LoadOf(m_pool, m_now);
     return static_cast<double>(load.m_taken) / load.m_places;
   }
 
-  /// Loads once all streams have ended, or at `end`.
+  /// Starts the load once all streams have ended, at the latest at `end`.
   void Drain(const std::string& id, TimePoint end) {
     if (State(id).m_in_flight > 0 && m_now < end) {
       At(m_now + kLook, [this, id, end] { Drain(id, end); });
@@ -169,7 +172,7 @@
     At(m_now + 150ms,
        [this, replica = *replica] { NoteBegun(m_pool, replica, 900); });
     const uint64_t run = ++stream.m_run;
-    At(m_now + 150ms + stream.m_left, [this, number, run] {
+    At(m_now + 150ms + stream.m_remaining, [this, number, run] {
       if (m_streams[number].m_run == run)
         End(number);
     });
@@ -193,9 +196,9 @@
         ++m_outcome.m_lost;
         continue;
       }
-      stream.m_left -=
-          std::min<Duration>(stream.m_left, m_now - stream.m_placed_at - 150ms);
-      ++m_outcome.m_broken_off;
+      stream.m_remaining -= std::min<Duration>(
+          stream.m_remaining, m_now - stream.m_placed_at - 150ms);
+      ++m_outcome.m_interrupted;
       PrepareRepeat(stream.m_call, kPrefillRate, m_now);
       Place(number, m_now + RepeatWait(stream.m_progress));
     }
@@ -218,49 +221,52 @@
     const Outcome one = Rollout(streams, drain, seed).Play();
     sum.m_asked += one.m_asked;
     sum.m_whole += one.m_whole;
-    sum.m_broken_off += one.m_broken_off;
+    sum.m_interrupted += one.m_interrupted;
     sum.m_lost += one.m_lost;
     sum.m_refused += one.m_refused;
   }
   std::cout << share_of_capacity << " of capacity, drained for "
             << (drain ? std::to_string(ToMilliseconds(*drain)) : "as many")
             << " ms: asked " << sum.m_asked << ", whole " << sum.m_whole
-            << ", broken off " << sum.m_broken_off << ", lost " << sum.m_lost
+            << ", broken off " << sum.m_interrupted << ", lost " << sum.m_lost
             << ", refused " << sum.m_refused << "\n";
   return sum;
 }
 
 class RolloutLoadTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RolloutLoadTest);
-  CPPUNIT_TEST(WithRoomElsewhereStreamsEnd);
-  CPPUNIT_TEST(AtCapacityReplicasAreNotKeptAway);
-  CPPUNIT_TEST(ABrokenCallFindsAFreePlace);
+  CPPUNIT_TEST(StreamsEndWithCapacityElsewhere);
+  CPPUNIT_TEST(LoadsSoonerNearCapacity);
+  CPPUNIT_TEST(InterruptedCallFindsFreeSlot);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // Streams pause, or end in the middle: the replica that runs them loads new
-  // weights, they go on elsewhere, and that one loads next. At half of what the
-  // pool can do no more than one in a hundred may be broken off, and none lost.
-  void WithRoomElsewhereStreamsEnd() {
-    const Outcome before = Play(0.5, kShort);
+  // Guards against streams that are interrupted or lost during a rollout. A
+  // replica loads new weights, its streams continue at another replica, and
+  // that one loads next. At half of the pool's capacity, at most one stream in
+  // a hundred may be interrupted and none may be lost.
+  void StreamsEndWithCapacityElsewhere() {
+    const Outcome before = Play(0.5, kShortDrain);
     const Outcome after = Play(0.5, std::nullopt);
-    CPPUNIT_ASSERT(after.m_broken_off < before.m_broken_off);
-    CPPUNIT_ASSERT(after.m_broken_off * 100 <= after.m_asked);
+    CPPUNIT_ASSERT(after.m_interrupted < before.m_interrupted);
+    CPPUNIT_ASSERT(after.m_interrupted * 100 <= after.m_asked);
     CPPUNIT_ASSERT_EQUAL(0, after.m_lost);
     CPPUNIT_ASSERT_EQUAL(0, after.m_refused);
   }
 
-  // Callers are refused while replicas wait for the end of a few streams: close
-  // to what the pool can do each is needed, so that it loads sooner.
-  void AtCapacityReplicasAreNotKeptAway() {
-    const Outcome lengthy = Play(0.9, kLong);
+  // Guards against refusing calls while replicas wait for a few streams to end.
+  // Close to the pool's capacity every replica is needed, so that a replica has
+  // to start its load sooner.
+  void LoadsSoonerNearCapacity() {
+    const Outcome long_drain = Play(0.9, kLongDrain);
     const Outcome after = Play(0.9, std::nullopt);
-    CPPUNIT_ASSERT(after.m_refused < lengthy.m_refused);
+    CPPUNIT_ASSERT(after.m_refused < long_drain.m_refused);
   }
 
-  // A call fails beside free places: it was broken off before its first event,
-  // and its prompt had to be read before a time that is over by then.
-  void ABrokenCallFindsAFreePlace() {
+  // Guards against failing an interrupted call although slots are free. The
+  // call was interrupted before its first event, and the time by which its
+  // prompt had to be read has passed when it is placed again.
+  void InterruptedCallFindsFreeSlot() {
     ReplicaPool pool;
     pool.m_prefill_rate = kPrefillRate;
     model::Replica replica;
@@ -277,7 +283,7 @@
     PrepareRepeat(call, kPrefillRate, now);
     CPPUNIT_ASSERT(!call.m_fresh);
     CPPUNIT_ASSERT(TakePlace(pool, call, now, random));
-    // One that can still be on time stays so.
+    // A call that can still be on time remains marked as on time.
     call.m_fresh = true;
     call.m_read_by = now + 100ms;
     PrepareRepeat(call, kPrefillRate, now);
--- a/src/libverbenalead/decide/rollout_plan.cc
+++ b/src/libverbenalead/decide/rollout_plan.cc
@@ -39,8 +39,8 @@
   if (found == state.m_resources.end())
     return plan;
   plan.m_revision = found->second.m_revision;
-  // The spec was checked before it was accepted; one that can't be read keeps
-  // the defaults.
+  // The spec was validated before it was accepted. If it can't be parsed all
+  // the same, the defaults apply.
   (void)CatchFailure([&] { return ReadRollout(found->second.m_spec, plan); });
   const auto version = VersionForPool(state, pool);
   if (!version)
--- a/src/libverbenalead/decide/rollout_plan.h
+++ b/src/libverbenalead/decide/rollout_plan.h
@@ -10,29 +10,34 @@
 
 namespace verbenalead::decide {
 
-/// What a pool's hosts are to bring into force, and how fast.
+/// The version that the hosts of a pool have to load and the limits of its
+/// rollout, derived from the configuration.
 struct RolloutPlan {
-  /// Empty: nothing is declared.
+  /// The declared version; empty if none is declared.
   Digest m_digest;
-  /// Revision of the pool's spec: a new one starts anew after a failure.
+  /// Revision of the pool's spec. A new revision restarts a rollout that a
+  /// failed load has stopped.
   uint64_t m_revision = 0;
   uint32_t m_max_unavailable_percent = 25;
   bool m_paused = false;
-  /// Hosts of the pool. From the host list, so a hint.
+  /// Number of hosts in the pool. Taken from the host list, so it may be out of
+  /// date.
   uint32_t m_hosts = 1;
-  /// All declared versions of the same model, and their names: what an engine
-  /// may be found serving.
+  /// All declared versions of the same model, with their names. An engine may
+  /// validly be serving any of these.
   std::map<Digest, std::string> m_declared;
 
   friend bool operator==(const RolloutPlan&, const RolloutPlan&) = default;
 };
 
+/// Returns the rollout plan of `pool`, which has `hosts` hosts.
 RolloutPlan PlanForPool(const ConfigState& state,
                         const std::string& pool,
                         uint32_t hosts);
 
-/// How many hosts may load at once. At least one, or a small pool would never
-/// move; rounded down, so that the share is a bound.
+/// Returns how many hosts may load at once. The configured share is rounded
+/// down, so that it is never exceeded, but at least one host may load;
+/// otherwise a small pool would never change its version.
 uint32_t MaxUnavailable(const RolloutPlan& plan);
 
 }  // namespace verbenalead::decide
--- a/src/libverbenalead/decide/rollout_stage.h
+++ b/src/libverbenalead/decide/rollout_stage.h
@@ -3,15 +3,15 @@
 
 namespace verbenalead::decide {
 
-/// Where a host stands on its way to the declared version.
+/// Progress of a host's rollout of the declared version.
 enum class RolloutStage {
   kIdle,
   kFetching,
-  kWaiting,  ///< For a permit to load.
+  kWaiting,  ///< Waiting for a permit to load.
   kLoading,
   kInForce,
   kFailed,
-  kDeposed,  ///< A newer process gives this engine its orders.
+  kDeposed,  ///< A newer process controls this engine.
 };
 
 const char* ToString(RolloutStage stage);
