--- a/src/libverbenalead/decide/change_source.h
+++ b/src/libverbenalead/decide/change_source.h
@@ -31,7 +31,10 @@
 /// over. Entries of the store's own region hear first and tell all hosts at
 /// once: where a near entry tells too, the rows come from that one, which hears
 /// 0.4 s later at most.
-bool TakeTold(ChangeWatch& watch, bool near, uint64_t revision, TimePoint now);
+bool TakeTold(ChangeWatch& watch,
+              bool same_data_center,
+              uint64_t revision,
+              TimePoint now);
 
 /// An entry lives but has yet to learn the rows itself: it has just started as
 /// well, or the operator has written nothing yet.
--- a/src/libverbenalead/decide/change_source_test.cc
+++ b/src/libverbenalead/decide/change_source_test.cc
@@ -17,20 +17,20 @@
 
 class ChangeSourceTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ChangeSourceTest);
-  CPPUNIT_TEST(HostsThatStartTogetherAskEntriesFirst);
-  CPPUNIT_TEST(EntriesThatKnowNothingYetAreGivenTime);
-  CPPUNIT_TEST(AHostThatNobodyTellsAsksSeldom);
-  CPPUNIT_TEST(LeavesItToNearEntriesToTell);
-  CPPUNIT_TEST(TakesOverFromFarEntriesWhereNoNearOneTells);
-  CPPUNIT_TEST(KnownChangesNeedNoQuestion);
-  CPPUNIT_TEST(AHostThatKnowsNothingTakesOverFromAny);
+  CPPUNIT_TEST(HostsStartingTogetherWaitForEntries);
+  CPPUNIT_TEST(WaitsLongerForEntriesWithoutRows);
+  CPPUNIT_TEST(ReadsStoreSeldomWithoutAnnouncements);
+  CPPUNIT_TEST(PrefersRowsFromLocalEntries);
+  CPPUNIT_TEST(FetchesFromRemoteEntriesWithoutLocalOnes);
+  CPPUNIT_TEST(KnownRevisionsCauseNoFetch);
+  CPPUNIT_TEST(FirstRowsAreFetchedFromAnyEntry);
   CPPUNIT_TEST_SUITE_END();
 
  public:
   // Callers get no answer for 20 s: all processes were killed, and 127 hosts
   // read 390 KB each over two links. While entries can tell them, none of them
   // asks the store; where all entries are dead, they ask one after the other.
-  void HostsThatStartTogetherAskEntriesFirst() {
+  void HostsStartingTogetherWaitForEntries() {
     ChangeWatch watch;
     watch.m_started = kStart;
     CPPUNIT_ASSERT(LeavesStoreAlone(watch, 0, kStart + 2s));
@@ -43,7 +43,7 @@
   // configuration yet, entries can't tell one, and all hosts ask for
   // themselves. They wait for the entries, but not for ever: those may have
   // lost the store.
-  void EntriesThatKnowNothingYetAreGivenTime() {
+  void WaitsLongerForEntriesWithoutRows() {
     ChangeWatch watch;
     watch.m_started = kStart;
     NoteAwaited(watch, kStart + 2s);
@@ -56,24 +56,24 @@
   // Callers are served by a configuration that is 3 s old: hosts that no entry
   // tells follow the store while it changes five times a second. As each read
   // every change, 100 KB over the link between regions, it was full for 5 s.
-  void AHostThatNobodyTellsAsksSeldom() {
+  void ReadsStoreSeldomWithoutAnnouncements() {
     const ChangeWatch watch = KnownWatch(1);
-    int questions = 0;
-    TimePoint next = kStart;
+    int reads = 0;
+    TimePoint next_read = kStart;
     for (TimePoint now = kStart; now < kStart + 6s; now += 200ms) {
-      if (now < next || LeavesStoreAlone(watch, 0, now))
+      if (now < next_read || LeavesStoreAlone(watch, 0, now))
         continue;
-      ++questions;
-      next = now + kUntoldInterval;
+      ++reads;
+      next_read = now + kUntoldInterval;
     }
-    CPPUNIT_ASSERT(questions <= 4);
-    CPPUNIT_ASSERT(questions >= 2);
+    CPPUNIT_ASSERT(reads <= 4);
+    CPPUNIT_ASSERT(reads >= 2);
   }
 
   // Configurations come late in a whole region: new weights are declared, and
   // entries of the store's region, which hear first, tell hosts everywhere. All
   // hosts of the other regions then asked far away, at the same moment.
-  void LeavesItToNearEntriesToTell() {
+  void PrefersRowsFromLocalEntries() {
     ChangeWatch watch = KnownWatch(1);
     CPPUNIT_ASSERT(!TakeTold(watch, true, 1, kStart));
     CPPUNIT_ASSERT(!TakeTold(watch, false, 7, kStart + 1s));
@@ -81,20 +81,20 @@
     CPPUNIT_ASSERT(LeavesStoreAlone(watch, 0, kStart + 6s));
   }
 
-  void TakesOverFromFarEntriesWhereNoNearOneTells() {
+  void FetchesFromRemoteEntriesWithoutLocalOnes() {
     ChangeWatch watch = KnownWatch(1);
     CPPUNIT_ASSERT(TakeTold(watch, false, 7, kStart));
     CPPUNIT_ASSERT(!TakeTold(watch, true, 1, kStart + 1s));
     CPPUNIT_ASSERT(TakeTold(watch, false, 7, kStart + 4s));
   }
 
-  void KnownChangesNeedNoQuestion() {
+  void KnownRevisionsCauseNoFetch() {
     ChangeWatch watch = KnownWatch(7);
     CPPUNIT_ASSERT(!TakeTold(watch, false, 7, kStart));
     CPPUNIT_ASSERT(!TakeTold(watch, true, 6, kStart));
   }
 
-  void AHostThatKnowsNothingTakesOverFromAny() {
+  void FirstRowsAreFetchedFromAnyEntry() {
     ChangeWatch watch;
     watch.m_started = kStart;
     CPPUNIT_ASSERT(TakeTold(watch, true, 0, kStart));
--- a/src/libverbenalead/decide/cold_start.h
+++ b/src/libverbenalead/decide/cold_start.h
@@ -38,11 +38,11 @@
 constexpr Duration kColdLongest = 1500ms;
 
 /// The others are known; `before` of the near ones come first.
-inline void NoteOthers(ColdStart& start, size_t before, TimePoint now) {
+inline void NoteOthers(ColdStart& start, size_t rank, TimePoint now) {
   if (start.m_known_at)
     return;
   start.m_known_at = now;
-  start.m_before = before;
+  start.m_before = rank;
 }
 
 inline bool MayRead(const ColdStart& start, TimePoint now) {
--- a/src/libverbenalead/decide/cold_start_test.cc
+++ b/src/libverbenalead/decide/cold_start_test.cc
@@ -9,26 +9,26 @@
 
 class ColdStartTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ColdStartTest);
-  CPPUNIT_TEST(OneReadsWhileTheOthersWait);
-  CPPUNIT_TEST(NobodyWaitsLongForTheDead);
-  CPPUNIT_TEST(WithoutTheOthersEachReads);
+  CPPUNIT_TEST(OneEntryReadsWhileOthersWait);
+  CPPUNIT_TEST(WaitForDeadEntriesIsBounded);
+  CPPUNIT_TEST(ReadsWhenOtherEntriesStayUnknown);
   CPPUNIT_TEST_SUITE_END();
 
  public:
   // Callers get no answer for 20 s: 15 entries of a data centre start at once
   // and each reads the tables over one link. While the first needs 0.25 s, none
   // of the others asks.
-  void OneReadsWhileTheOthersWait() {
+  void OneEntryReadsWhileOthersWait() {
     size_t readers = 0;
-    for (size_t before = 0; before < 15; ++before) {
+    for (size_t rank = 0; rank < 15; ++rank) {
       ColdStart entry{kStart, std::nullopt, 0};
-      NoteOthers(entry, before, kStart + 10ms);
+      NoteOthers(entry, rank, kStart + 10ms);
       readers += MayRead(entry, kStart + 260ms) ? 1 : 0;
     }
     CPPUNIT_ASSERT_EQUAL(size_t{1}, readers);
   }
 
-  void NobodyWaitsLongForTheDead() {
+  void WaitForDeadEntriesIsBounded() {
     ColdStart entry{kStart, std::nullopt, 0};
     NoteOthers(entry, 200, kStart);
     CPPUNIT_ASSERT(!MayRead(entry, kStart + 1s));
@@ -37,7 +37,7 @@
     CPPUNIT_ASSERT(MayRead(entry, kStart + kColdLongest));
   }
 
-  void WithoutTheOthersEachReads() {
+  void ReadsWhenOtherEntriesStayUnknown() {
     const ColdStart entry{kStart, std::nullopt, 0};
     CPPUNIT_ASSERT(!MayRead(entry, kStart + 100ms));
     CPPUNIT_ASSERT(MayRead(entry, kStart + kLearnOthers));
--- a/src/libverbenalead/decide/config.cc
+++ b/src/libverbenalead/decide/config.cc
@@ -94,8 +94,10 @@
     BOOST_LEAF_AUTO(revision, model::NumberField(resource, "revision"));
     BOOST_LEAF_AUTO(spec, model::TextField(resource, "spec"));
     BOOST_LEAF_AUTO(operation, model::TextFieldOr(resource, "operation", ""));
-    BOOST_LEAF_AUTO(who, model::TextFieldOr(resource, "operator", ""));
-    state.m_resources[{kind, name}] = {spec, revision, operation, who};
+    BOOST_LEAF_AUTO(operator_name,
+                    model::TextFieldOr(resource, "operator", ""));
+    state.m_resources[{kind, name}] = {spec, revision, operation,
+                                       operator_name};
   }
   return state;
 }
--- a/src/libverbenalead/decide/config_lease.h
+++ b/src/libverbenalead/decide/config_lease.h
@@ -25,8 +25,9 @@
   std::optional<Duration> m_proved_at;
 };
 
-inline void Prove(ConfigLease& lease, Duration at) {
-  lease.m_proved_at = std::max(lease.m_proved_at.value_or(at), at);
+inline void Prove(ConfigLease& lease, Duration proved_at) {
+  lease.m_proved_at =
+      std::max(lease.m_proved_at.value_or(proved_at), proved_at);
 }
 
 inline bool Holds(const ConfigLease& lease, Duration length, Duration now) {
--- a/src/libverbenalead/decide/config_lease_test.cc
+++ b/src/libverbenalead/decide/config_lease_test.cc
@@ -15,14 +15,14 @@
 
 class ConfigLeaseTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ConfigLeaseTest);
-  CPPUNIT_TEST(HoldsForItsLengthOnly);
-  CPPUNIT_TEST(AnOldAnswerDoesNotRenewIt);
-  CPPUNIT_TEST(TheStoresClockDatesALongWait);
-  CPPUNIT_TEST(NoRemovedKeyPassesAfterItsBound);
+  CPPUNIT_TEST(IsValidForItsLengthOnly);
+  CPPUNIT_TEST(OlderProofDoesNotExtendLease);
+  CPPUNIT_TEST(StoreClockDatesDelayedAnswer);
+  CPPUNIT_TEST(RemovedKeyIsRefusedAfterBound);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void HoldsForItsLengthOnly() {
+  void IsValidForItsLengthOnly() {
     ConfigLease lease;
     CPPUNIT_ASSERT(!Holds(lease, kLength, 0s));
     Prove(lease, 10s);
@@ -30,14 +30,14 @@
     CPPUNIT_ASSERT(!Holds(lease, kLength, 14500ms));
   }
 
-  void AnOldAnswerDoesNotRenewIt() {
+  void OlderProofDoesNotExtendLease() {
     ConfigLease lease;
     Prove(lease, 10s);
     Prove(lease, 8s);
     CPPUNIT_ASSERT(!Holds(lease, kLength, 14500ms));
   }
 
-  void TheStoresClockDatesALongWait() {
+  void StoreClockDatesDelayedAnswer() {
     StoreClock clock;
     // A quick exchange: asked at 100 s, the store's clock shows 7 s.
     CPPUNIT_ASSERT(AnsweredAt(clock, 100s, 7s) == Duration(100s));
@@ -49,7 +49,7 @@
   // and it is frozen for any time, between the check and the send too. No
   // request that its caller sends later than the bound after the removal
   // passes.
-  void NoRemovedKeyPassesAfterItsBound() {
+  void RemovedKeyIsRefusedAfterBound() {
     const bool held = rc::check("removed key", [] {
       const Duration removed =
           std::chrono::milliseconds(*rc::gen::inRange(0, 20000));
@@ -57,22 +57,22 @@
           std::chrono::milliseconds(*rc::gen::inRange(-5000, 5000));
       ConfigLease lease;
       StoreClock clock;
-      bool knows = false;
+      bool removal_known = false;
       Duration now{};
       const auto steps =
           *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 4000));
       for (int step : steps) {
         const Duration asked = now;
-        const Duration way = std::chrono::milliseconds(step % 97);
-        const Duration answered = asked + way;
+        const Duration latency = std::chrono::milliseconds(step % 97);
+        const Duration answered = asked + latency;
         now = answered + std::chrono::milliseconds(step);  // Or a freeze.
         if (step % 3 == 0) {
-          knows |= answered >= removed;
+          removal_known |= answered >= removed;
           Prove(lease, AnsweredAt(clock, asked, answered - offset));
         }
-        const Duration sent = now - way;
-        const bool passes = !knows && Holds(lease, kLength, now);
-        if (passes)
+        const Duration sent = now - latency;
+        const bool admitted = !removal_known && Holds(lease, kLength, now);
+        if (admitted)
           RC_ASSERT(sent <= removed + kBound);
       }
     });
--- a/src/libverbenalead/decide/config_references.cc
+++ b/src/libverbenalead/decide/config_references.cc
@@ -20,39 +20,40 @@
     {"service", "pool", "pool"},
 };
 
-Result<std::string> NameIn(const std::string& spec, const char* field) {
+Result<std::string> ReferencedName(const std::string& spec, const char* field) {
   BOOST_LEAF_AUTO(object, model::ParseObject(spec, "spec"));
   return model::TextFieldOr(object, field, "");
 }
 
-boost::leaf::error_id Refused(const model::ResourceKey& key,
-                              const std::string& reason) {
+boost::leaf::error_id InvalidWrite(const model::ResourceKey& key,
+                                   const std::string& reason) {
   return boost::leaf::new_error(
       Failure{FailureCode::kInvalid, "write " + ToString(key), "", reason});
 }
 
-Result<void> CheckNamed(const ConfigState& state,
-                        const model::ResourceWrite& write,
-                        const Reference& reference) {
-  BOOST_LEAF_AUTO(name, NameIn(write.m_spec, reference.m_field));
-  const model::ResourceKey named{reference.m_to, name};
-  if (name.empty() || state.m_resources.contains(named))
+Result<void> CheckReferenceIsDeclared(const ConfigState& state,
+                                      const model::ResourceWrite& write,
+                                      const Reference& reference) {
+  BOOST_LEAF_AUTO(name, ReferencedName(write.m_spec, reference.m_field));
+  const model::ResourceKey referenced{reference.m_to, name};
+  if (name.empty() || state.m_resources.contains(referenced))
     return {};
-  return Refused(write.m_key, std::string("spec.") + reference.m_field +
-                                  " names " + ToString(named) +
-                                  ", which is not declared");
+  return InvalidWrite(write.m_key, std::string("spec.") + reference.m_field +
+                                       " names " + ToString(referenced) +
+                                       ", which is not declared");
 }
 
-Result<void> CheckUnused(const ConfigState& state,
-                         const model::ResourceWrite& write,
-                         const Reference& reference) {
+Result<void> CheckIsUnreferenced(const ConfigState& state,
+                                 const model::ResourceWrite& write,
+                                 const Reference& reference) {
   for (const auto& [key, resource] : state.m_resources) {
     if (key.m_kind != reference.m_from)
       continue;
-    BOOST_LEAF_AUTO(name, NameIn(resource.m_spec, reference.m_field));
+    BOOST_LEAF_AUTO(name, ReferencedName(resource.m_spec, reference.m_field));
     if (name == write.m_key.m_name)
-      return Refused(write.m_key, "spec." + std::string(reference.m_field) +
-                                      " of " + ToString(key) + " names it");
+      return InvalidWrite(write.m_key,
+                          "spec." + std::string(reference.m_field) + " of " +
+                              ToString(key) + " names it");
   }
   return {};
 }
@@ -63,9 +64,9 @@
                              const model::ResourceWrite& write) {
   for (const Reference& reference : kReferences) {
     if (!write.m_deleted && write.m_key.m_kind == reference.m_from)
-      BOOST_LEAF_CHECK(CheckNamed(state, write, reference));
+      BOOST_LEAF_CHECK(CheckReferenceIsDeclared(state, write, reference));
     if (write.m_deleted && write.m_key.m_kind == reference.m_to)
-      BOOST_LEAF_CHECK(CheckUnused(state, write, reference));
+      BOOST_LEAF_CHECK(CheckIsUnreferenced(state, write, reference));
   }
   return {};
 }
--- a/src/libverbenalead/decide/config_tree.cc
+++ b/src/libverbenalead/decide/config_tree.cc
@@ -7,7 +7,7 @@
 namespace verbenalead::decide {
 namespace {
 
-constexpr Duration kLeastOrphanInterval = 1s;
+constexpr Duration kMinOrphanInterval = 1s;
 
 size_t RankOf(const std::vector<std::string>& ranked, const std::string& self) {
   const auto found = std::find(ranked.begin(), ranked.end(), self);
@@ -33,7 +33,7 @@
 
 std::string ParentOfEntry(const std::vector<std::string>& ranked,
                           const std::string& self,
-                          size_t slot,
+                          size_t stream,
                           uint64_t failures) {
   // An entry that the list does not show yet ranks last.
   const size_t rank = RankOf(ranked, self);
@@ -41,30 +41,30 @@
   if (rank < readers) {
     if (readers == 1)
       return "";
-    const size_t step = 1 + (slot + failures) % (readers - 1);
+    const size_t step = 1 + (stream + failures) % (readers - 1);
     return ranked[(rank + step) % readers];
   }
   if (ranked.empty())
     return "";
-  if (slot == 0 && failures == 0)
+  if (stream == 0 && failures == 0)
     return ranked[(rank - readers) / kConfigFanOut];
-  return ranked[MixHash(self, slot + kConfigSlots * failures) % rank];
+  return ranked[MixHash(self, stream + kConfigSlots * failures) % rank];
 }
 
 std::string ParentOfTarget(const std::vector<std::string>& ranked,
                            const std::string& self,
-                           size_t slot,
+                           size_t stream,
                            uint64_t failures) {
   if (ranked.empty())
     return "";
   const uint64_t start = MixHash(self, 0);
-  return ranked[(start + slot + kConfigSlots * failures) % ranked.size()];
+  return ranked[(start + stream + kConfigSlots * failures) % ranked.size()];
 }
 
 Duration OrphanInterval(size_t entries) {
   const Duration spread =
       Duration(1s) * static_cast<int64_t>(entries) / kOrphanReadsPerSecond;
-  return std::max(kLeastOrphanInterval, spread);
+  return std::max(kMinOrphanInterval, spread);
 }
 
 }  // namespace verbenalead::decide
--- a/src/libverbenalead/decide/config_tree.h
+++ b/src/libverbenalead/decide/config_tree.h
@@ -36,13 +36,13 @@
 /// if there is none.
 std::string ParentOfEntry(const std::vector<std::string>& ranked,
                           const std::string& self,
-                          size_t slot,
+                          size_t stream,
                           uint64_t failures);
 
 /// The entry from which target `self` hears; targets spread evenly over all.
 std::string ParentOfTarget(const std::vector<std::string>& ranked,
                            const std::string& self,
-                           size_t slot,
+                           size_t stream,
                            uint64_t failures);
 
 /// How long an entry that hears from nobody waits between two reads.
--- a/src/libverbenalead/decide/config_tree_test.cc
+++ b/src/libverbenalead/decide/config_tree_test.cc
@@ -19,8 +19,8 @@
 class ConfigTreeTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ConfigTreeTest);
   CPPUNIT_TEST(EveryChainEndsAtAReader);
-  CPPUNIT_TEST(NobodyFeedsTooMany);
-  CPPUNIT_TEST(TableReadsStayBounded);
+  CPPUNIT_TEST(ChildrenPerEntryAreBounded);
+  CPPUNIT_TEST(OrphanReadRateIsBounded);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -30,9 +30,9 @@
       const auto ranked = Names(count);
       for (size_t rank = kConfigReaders; rank < count; ++rank) {
         for (uint64_t failures = 0; failures < 5; ++failures) {
-          for (size_t slot = 0; slot < kConfigSlots; ++slot) {
+          for (size_t stream = 0; stream < kConfigSlots; ++stream) {
             const auto parent =
-                ParentOfEntry(ranked, ranked[rank], slot, failures);
+                ParentOfEntry(ranked, ranked[rank], stream, failures);
             const auto at = std::find(ranked.begin(), ranked.end(), parent);
             CPPUNIT_ASSERT(at - ranked.begin() < static_cast<long>(rank));
           }
@@ -41,18 +41,18 @@
     }
   }
 
-  void NobodyFeedsTooMany() {
+  void ChildrenPerEntryAreBounded() {
     const auto ranked = Names(630);
-    std::map<std::string, size_t> fed;
+    std::map<std::string, size_t> children;
     for (const std::string& self : ranked)
-      ++fed[ParentOfEntry(ranked, self, 0, 0)];
+      ++children[ParentOfEntry(ranked, self, 0, 0)];
     for (int i = 0; i < 1700; ++i)
-      ++fed[ParentOfTarget(ranked, "target-" + std::to_string(i), 0, 0)];
-    for (const auto& [name, count] : fed)
+      ++children[ParentOfTarget(ranked, "target-" + std::to_string(i), 0, 0)];
+    for (const auto& [name, count] : children)
       CPPUNIT_ASSERT(count <= kConfigFanOut + 1 + 16);
   }
 
-  void TableReadsStayBounded() {
+  void OrphanReadRateIsBounded() {
     for (const int64_t count : {1, 8, 630, 5000}) {
       const double orphans = static_cast<double>(count) /
                              std::chrono::duration<double>(
--- a/src/libverbenalead/decide/handout_pace.h
+++ b/src/libverbenalead/decide/handout_pace.h
@@ -35,11 +35,11 @@
 /// Whether a table of `bytes` is handed out now, to an entry that may be put
 /// off.
 inline bool TakeHandout(HandoutPace& pace, uint64_t bytes, TimePoint now) {
-  const Duration each = std::chrono::duration_cast<Duration>(
+  const Duration transfer_time = std::chrono::duration_cast<Duration>(
       std::chrono::microseconds(bytes * 1'000'000 / kHandoutRate));
-  if (pace.m_busy_until - now > kMostHandouts * each)
+  if (pace.m_busy_until - now > kMostHandouts * transfer_time)
     return false;
-  pace.m_busy_until = std::max(pace.m_busy_until, now) + each;
+  pace.m_busy_until = std::max(pace.m_busy_until, now) + transfer_time;
   return true;
 }
 
--- a/src/libverbenalead/decide/load_plan_test.cc
+++ b/src/libverbenalead/decide/load_plan_test.cc
@@ -17,24 +17,24 @@
 
 class LoadPlanTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(LoadPlanTest);
-  CPPUNIT_TEST(NothingToDo);
-  CPPUNIT_TEST(TurnsFillTheTimeBetweenTransferAndBound);
+  CPPUNIT_TEST(NoPlanWithoutNewerVersion);
+  CPPUNIT_TEST(LoadsFillTimeBetweenTransferAndBound);
   CPPUNIT_TEST(FewReplicasAreOutAtOnce);
-  CPPUNIT_TEST(NoVersionIsSkippedForAStampede);
-  CPPUNIT_TEST(AVersionIsSkippedIfTheNewerComesInTime);
-  CPPUNIT_TEST(AnOlderVersionIsLoadedWhileTheOriginIsDown);
-  CPPUNIT_TEST(AVersionThatIsBarredSoonIsSkipped);
-  CPPUNIT_TEST(AFullPoolDrainsForLess);
-  CPPUNIT_TEST(EachReplicaHasItsOwnTurnBeforeTheBound);
+  CPPUNIT_TEST(NoVersionIsSkippedForShortLoadWindow);
+  CPPUNIT_TEST(VersionIsSkippedIfNewerArrivesInTime);
+  CPPUNIT_TEST(OlderVersionIsLoadedWhileOriginIsDown);
+  CPPUNIT_TEST(SoonUnusableVersionIsSkipped);
+  CPPUNIT_TEST(FullPoolDrainsForLessTime);
+  CPPUNIT_TEST(ReplicasLoadAtDistinctTimesBeforeBound);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void NothingToDo() {
+  void NoPlanWithoutNewerVersion() {
     CPPUNIT_ASSERT(!PlanLoad(kTimes, {}, 1));
     CPPUNIT_ASSERT(!PlanLoad(kTimes, {{2, Declared(0s, 3s)}}, 2));
   }
 
-  void TurnsFillTheTimeBetweenTransferAndBound() {
+  void LoadsFillTimeBetweenTransferAndBound() {
     const auto plan = PlanLoad(kTimes, {{2, Declared(0s, 3s)}}, 1);
     CPPUNIT_ASSERT_EQUAL(uint64_t{2}, plan->m_version);
     CPPUNIT_ASSERT(plan->m_first == kStart + 3s);
@@ -51,13 +51,13 @@
     for (size_t i = 0; i < kReplicas; ++i)
       replicas.push_back("r" + std::to_string(i));
     const auto plan = PlanLoad(kTimes, {{2, Declared(0s, 3300ms)}}, 1);
-    std::vector<TimePoint> turns;
+    std::vector<TimePoint> load_times;
     for (const std::string& replica : replicas)
-      turns.push_back(LoadTurn(*plan, replica, replicas));
-    for (const TimePoint turn : turns) {
-      const auto out = static_cast<size_t>(
-          std::count_if(turns.begin(), turns.end(), [turn](TimePoint other) {
-            return other <= turn && turn < other + 1s;
+      load_times.push_back(LoadTurn(*plan, replica, replicas));
+    for (const TimePoint load_time : load_times) {
+      const auto out = static_cast<size_t>(std::count_if(
+          load_times.begin(), load_times.end(), [load_time](TimePoint other) {
+            return other <= load_time && load_time < other + 1s;
           }));
       CPPUNIT_ASSERT(out <= kMostOut);
     }
@@ -66,13 +66,13 @@
   // Half of the replicas would stop at once: an older version is skipped for a
   // newer one that comes whole just before the older one binds. It is loaded
   // as well where less than two seconds would be left for the newer one.
-  void NoVersionIsSkippedForAStampede() {
+  void NoVersionIsSkippedForShortLoadWindow() {
     const std::map<uint64_t, DeclaredVersion> declared = {
         {2, Declared(0s, 3s)}, {3, Declared(2800ms, 6200ms)}};
     CPPUNIT_ASSERT_EQUAL(uint64_t{2}, PlanLoad(kTimes, declared, 1)->m_version);
   }
 
-  void AVersionIsSkippedIfTheNewerComesInTime() {
+  void VersionIsSkippedIfNewerArrivesInTime() {
     const auto plan =
         PlanLoad(kTimes, {{2, Declared(0s, 3s)}, {3, Declared(1s, 4400ms)}}, 1);
     CPPUNIT_ASSERT_EQUAL(uint64_t{3}, plan->m_version);
@@ -83,7 +83,7 @@
   // Callers find no replica for seconds: two versions are named 2 s apart and
   // the origin dies in between. The newer one can't come before the older one
   // binds, so the older one has to be loaded meanwhile.
-  void AnOlderVersionIsLoadedWhileTheOriginIsDown() {
+  void OlderVersionIsLoadedWhileOriginIsDown() {
     const auto plan =
         PlanLoad(kTimes, {{2, Declared(0s, 3s)}, {3, Declared(2s, 11s)}}, 1);
     CPPUNIT_ASSERT_EQUAL(uint64_t{2}, plan->m_version);
@@ -93,7 +93,7 @@
   // of two versions was drawn, and returned when the newer one was about to bar
   // it. All replicas loaded the older one, used it for half a second, and
   // loaded again once the newer one had come, which had to wait.
-  void AVersionThatIsBarredSoonIsSkipped() {
+  void SoonUnusableVersionIsSkipped() {
     const std::map<uint64_t, DeclaredVersion> late = {{2, Declared(0s, 8s)},
                                                       {3, Declared(2s, 11s)}};
     CPPUNIT_ASSERT_EQUAL(uint64_t{3}, PlanLoad(kTimes, late, 1)->m_version);
@@ -105,7 +105,7 @@
         uint64_t{2}, PlanLoad(kTimes, {{2, Declared(0s, 99s)}}, 1)->m_version);
   }
 
-  void AFullPoolDrainsForLess() {
+  void FullPoolDrainsForLessTime() {
     CPPUNIT_ASSERT(DrainTime(0.5) == DrainTime(0.8));
     CPPUNIT_ASSERT(DrainTime(0.8) > DrainTime(0.9));
     CPPUNIT_ASSERT(DrainTime(0.9) > DrainTime(1));
@@ -115,18 +115,18 @@
 
   // Each host works out its turn alone. For any number of replicas no two turns
   // are the same, and all leave time for the load before the bound.
-  void EachReplicaHasItsOwnTurnBeforeTheBound() {
+  void ReplicasLoadAtDistinctTimesBeforeBound() {
     const bool held = rc::check("turns", [] {
       const size_t count = *rc::gen::inRange<size_t>(2, 60);
       std::vector<std::string> replicas;
       for (size_t i = 0; i < count; ++i)
         replicas.push_back("r" + std::to_string(i));
       const auto plan = PlanLoad(kTimes, {{2, Declared(0s, 3s)}}, 1);
-      std::map<TimePoint, int> turns;
+      std::map<TimePoint, int> load_times;
       for (const std::string& replica : replicas) {
-        const TimePoint turn = LoadTurn(*plan, replica, replicas);
-        RC_ASSERT(turn <= kStart + kTimes.m_bound);
-        RC_ASSERT(++turns[turn] == 1);
+        const TimePoint load_time = LoadTurn(*plan, replica, replicas);
+        RC_ASSERT(load_time <= kStart + kTimes.m_bound);
+        RC_ASSERT(++load_times[load_time] == 1);
       }
     });
     CPPUNIT_ASSERT(held);
--- a/src/libverbenalead/decide/members.cc
+++ b/src/libverbenalead/decide/members.cc
@@ -12,13 +12,13 @@
 }
 
 /// Whether fewer than kReporters entries rank above this one for `target`.
-bool ReportsHere(const std::string& self,
-                 const std::vector<std::string>& entries,
-                 const std::string& target) {
-  const uint64_t ours = PairHash(self, target);
+bool IsReporter(const std::string& self,
+                const std::vector<std::string>& entries,
+                const std::string& target) {
+  const uint64_t own_hash = PairHash(self, target);
   size_t above = 0;
   for (const std::string& entry : entries) {
-    if (entry != self && PairHash(entry, target) > ours &&
+    if (entry != self && PairHash(entry, target) > own_hash &&
         ++above == kReporters)
       return false;
   }
@@ -32,10 +32,10 @@
     hashes[target.m_host.name()] = PairHash(state.m_self, target.m_host.name());
   std::sort(targets.begin(), targets.end(),
             [&](const RankedTarget& a, const RankedTarget& b) {
-              const bool near_a = a.m_host.region() == state.m_region;
-              const bool near_b = b.m_host.region() == state.m_region;
-              return near_a != near_b
-                         ? near_a
+              const bool same_region_a = a.m_host.region() == state.m_region;
+              const bool same_region_b = b.m_host.region() == state.m_region;
+              return same_region_a != same_region_b
+                         ? same_region_a
                          : hashes[a.m_host.name()] > hashes[b.m_host.name()];
             });
 }
@@ -55,7 +55,7 @@
       continue;
     names.insert(host.name());
     state.m_pools[host.pool()].push_back(
-        {host, ReportsHere(state.m_self, entries, host.name())});
+        {host, IsReporter(state.m_self, entries, host.name())});
   }
   for (auto& [pool, targets] : state.m_pools)
     Rank(state, targets);
@@ -73,15 +73,15 @@
   std::vector<model::Host> watched;
   for (const auto& [pool, targets] : state.m_pools) {
     size_t alive = 0;
-    for (const auto& [target, reports_here] : targets) {
-      if (alive >= per_pool && !reports_here)
+    for (const auto& [target, is_reporter] : targets) {
+      if (alive >= per_pool && !is_reporter)
         continue;
       watched.push_back(target);
-      const TimePoint heard =
+      const TimePoint last_seen =
           state.m_heard.try_emplace(target.name(), now).first->second;
       // A silent or leaving one stays watched, in case it comes back, but
       // another takes its place in the count.
-      if (now - heard < kSilentAfter && !target.leaving())
+      if (now - last_seen < kSilentAfter && !target.leaving())
         ++alive;
     }
   }
--- a/src/libverbenalead/decide/members_test.cc
+++ b/src/libverbenalead/decide/members_test.cc
@@ -35,13 +35,13 @@
 
 class MembersTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(MembersTest);
-  CPPUNIT_TEST(SmallFleetIsKnownWhole);
-  CPPUNIT_TEST(EachIsKnownAlsoAfterLosses);
-  CPPUNIT_TEST(SilentOnesAreReplaced);
+  CPPUNIT_TEST(SmallFleetIsWatchedWhole);
+  CPPUNIT_TEST(TargetsStayWatchedAfterEntryLosses);
+  CPPUNIT_TEST(SilentTargetsAreReplaced);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void SmallFleetIsKnownWhole() {
+  void SmallFleetIsWatchedWhole() {
     const auto hosts = Fleet(8, 24);
     MembersState state = StateOf(hosts[0], hosts);
     CPPUNIT_ASSERT_EQUAL(size_t{24}, Watched(state, TimePoint()).size());
@@ -50,20 +50,20 @@
   // Callers see "no target" or an idle target if nobody watches it. Every tenth
   // entry is lost at once; each target must still be watched by another, and
   // each entry watch enough of each pool in its region, within its budget.
-  void EachIsKnownAlsoAfterLosses() {
+  void TargetsStayWatchedAfterEntryLosses() {
     const auto hosts = Fleet(630, 1700);
     std::map<std::string, size_t> watchers;
     for (size_t i = 0; i < 630; ++i) {
       MembersState state = StateOf(hosts[i], hosts);
       const auto watched = Watched(state, TimePoint());
       CPPUNIT_ASSERT(watched.size() <= kWatchedPerEntry + 32);
-      std::map<std::string, size_t> near;
+      std::map<std::string, size_t> same_region;
       for (const model::Host& target : watched) {
         watchers[target.name()] += i % 10 != 0;
-        near[target.pool()] += target.region() == hosts[i].region();
+        same_region[target.pool()] += target.region() == hosts[i].region();
       }
-      CPPUNIT_ASSERT_EQUAL(kPools, near.size());
-      for (const auto& [pool, count] : near)
+      CPPUNIT_ASSERT_EQUAL(kPools, same_region.size());
+      for (const auto& [pool, count] : same_region)
         CPPUNIT_ASSERT(count >= kLeastPerPool);
     }
     CPPUNIT_ASSERT_EQUAL(size_t{1700}, watchers.size());
@@ -73,7 +73,7 @@
 
   // Half of an entry's targets die in silence, as with a lost switch; the
   // list goes on naming them. After kSilentAfter as many others are watched.
-  void SilentOnesAreReplaced() {
+  void SilentTargetsAreReplaced() {
     const auto hosts = Fleet(630, 1700);
     MembersState state = StateOf(hosts[0], hosts);
     const TimePoint start{};
--- a/src/libverbenalead/decide/reading_turn.h
+++ b/src/libverbenalead/decide/reading_turn.h
@@ -36,7 +36,7 @@
 /// many near entries come before this one in the order of taking over.
 Reading NextReading(ReadingTurn& turn,
                     bool has_reader,
-                    size_t before,
+                    size_t rank,
                     TimePoint now);
 
 /// Least pause of a reading entry after a question that the store didn't
@@ -48,7 +48,7 @@
 /// on, and tell the others of its return; those ask seldom, in case that the
 /// store only turns the first ones away. `spread`, 0 to 1, keeps them from
 /// asking together.
-Duration PauseAfterFailure(size_t before, double spread);
+Duration PauseAfterFailure(size_t rank, double spread);
 
 }  // namespace verbenalead::decide
 
--- a/src/libverbenalead/decide/report_news.cc
+++ b/src/libverbenalead/decide/report_news.cc
@@ -5,11 +5,11 @@
 namespace verbenalead::decide {
 namespace {
 
-constexpr char kBetween = '.';
+constexpr char kSeparator = '.';
 constexpr uint64_t kProgressSteps = 10;
 
 /// What in `report` may not wait.
-model::TargetReport Urgent(model::TargetReport report) {
+model::TargetReport UrgentPart(model::TargetReport report) {
   report.m_running = 0;
   report.m_origin_bytes = 0;
   report.m_peer_bytes = 0;
@@ -27,15 +27,15 @@
 }  // namespace
 
 std::string MarkOf(const model::TargetReport& report) {
-  return HashOf(Urgent(report)) + kBetween + HashOf(report);
+  return HashOf(UrgentPart(report)) + kSeparator + HashOf(report);
 }
 
 ReportNews NewsOf(const std::string& mark, const std::string& seen) {
   if (mark == seen)
     return ReportNews::kNone;
-  const bool same = mark.substr(0, mark.find(kBetween)) ==
-                    seen.substr(0, seen.find(kBetween));
-  return same ? ReportNews::kLater : ReportNews::kUrgent;
+  const bool same_urgent_part = mark.substr(0, mark.find(kSeparator)) ==
+                                seen.substr(0, seen.find(kSeparator));
+  return same_urgent_part ? ReportNews::kLater : ReportNews::kUrgent;
 }
 
 }  // namespace verbenalead::decide
--- a/src/libverbenalead/decide/report_news_test.cc
+++ b/src/libverbenalead/decide/report_news_test.cc
@@ -15,15 +15,15 @@
 
 class ReportNewsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ReportNewsTest);
-  CPPUNIT_TEST(LoadMayWait);
-  CPPUNIT_TEST(WhatItTakesMayNotWait);
-  CPPUNIT_TEST(ProgressCountsByTenths);
+  CPPUNIT_TEST(LoadChangeIsNotUrgent);
+  CPPUNIT_TEST(AvailabilityChangeIsUrgent);
+  CPPUNIT_TEST(ProgressIsUrgentByTenths);
   CPPUNIT_TEST_SUITE_END();
 
  public:
   // Under load the count of running attempts changes all the time; a report for
   // each change would break the limit on control traffic.
-  void LoadMayWait() {
+  void LoadChangeIsNotUrgent() {
     const std::string seen = MarkOf(Report());
     CPPUNIT_ASSERT(NewsOf(MarkOf(Report()), seen) == ReportNews::kNone);
     model::TargetReport busy = Report();
@@ -32,18 +32,18 @@
     CPPUNIT_ASSERT(NewsOf(MarkOf(busy), seen) == ReportNews::kLater);
   }
 
-  void WhatItTakesMayNotWait() {
+  void AvailabilityChangeIsUrgent() {
     const std::string seen = MarkOf(Report());
     model::TargetReport leaving = Report();
     leaving.m_leaving = true;
-    model::TargetReport shut = Report();
-    shut.m_open = false;
-    for (const model::TargetReport& report : {leaving, shut})
+    model::TargetReport closed = Report();
+    closed.m_open = false;
+    for (const model::TargetReport& report : {leaving, closed})
       CPPUNIT_ASSERT(NewsOf(MarkOf(report), seen) == ReportNews::kUrgent);
     CPPUNIT_ASSERT(NewsOf(seen, "") == ReportNews::kUrgent);
   }
 
-  void ProgressCountsByTenths() {
+  void ProgressIsUrgentByTenths() {
     const std::string seen = MarkOf(Report());
     model::TargetReport report = Report();
     report.m_chunks_held = 9;
--- a/src/libverbenalead/decide/staging_area.h
+++ b/src/libverbenalead/decide/staging_area.h
@@ -29,9 +29,9 @@
 inline bool MayStage(const StagedVersion& present,
                      const StagedVersion& wanted,
                      uint64_t loaded) {
-  const bool needed =
+  const bool keep_present =
       present.m_version > loaded && present.m_share >= kShareToEnd;
-  return present.m_version == wanted.m_version || !needed ||
+  return present.m_version == wanted.m_version || !keep_present ||
          wanted.m_share >= 1;
 }
 
--- a/src/libverbenalead/decide/staging_area_test.cc
+++ b/src/libverbenalead/decide/staging_area_test.cc
@@ -7,13 +7,13 @@
 
 class StagingAreaTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(StagingAreaTest);
-  CPPUNIT_TEST(WhatIsLoadedMakesRoom);
-  CPPUNIT_TEST(AVersionThatWaitsForItsTurnIsKept);
-  CPPUNIT_TEST(LittleOfAVersionMakesRoom);
+  CPPUNIT_TEST(LoadedVersionIsOverwritten);
+  CPPUNIT_TEST(VersionAwaitingLoadIsKept);
+  CPPUNIT_TEST(SmallPartOfVersionIsOverwritten);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void WhatIsLoadedMakesRoom() {
+  void LoadedVersionIsOverwritten() {
     CPPUNIT_ASSERT(MayStage({1, 1}, {2, 0}, 1));
     CPPUNIT_ASSERT(MayStage({0, 0}, {1, 0}, 0));
   }
@@ -21,14 +21,14 @@
   // Callers find no replica: version 2 is whole and waits for its turn, the
   // first chunks of version 3 take its places, and then the origin dies. Only a
   // version that is whole may take them.
-  void AVersionThatWaitsForItsTurnIsKept() {
+  void VersionAwaitingLoadIsKept() {
     CPPUNIT_ASSERT(!MayStage({2, 1}, {3, 0.9}, 1));
     CPPUNIT_ASSERT(!MayStage({2, 0.5}, {3, 0.9}, 1));
     CPPUNIT_ASSERT(MayStage({2, 1}, {3, 1}, 1));
     CPPUNIT_ASSERT(MayStage({2, 1}, {2, 1}, 1));
   }
 
-  void LittleOfAVersionMakesRoom() {
+  void SmallPartOfVersionIsOverwritten() {
     CPPUNIT_ASSERT(MayStage({2, 0.1}, {3, 0}, 1));
   }
 };
--- a/src/libverbenalead/decide/summary_route.cc
+++ b/src/libverbenalead/decide/summary_route.cc
@@ -8,7 +8,7 @@
 
 /// Recipients in each data centre. With one, and a third of the entries dead,
 /// entries are left without news until they take all far ones for gone.
-constexpr size_t kRecipients = 3;
+constexpr size_t kRecipientsPerDataCenter = 3;
 
 }  // namespace
 
@@ -33,16 +33,17 @@
   for (const SummaryPeer& peer : peers) {
     if (peer.m_data_center == data_center)
       continue;
-    Candidates& there = by_data_center[peer.m_data_center];
-    there.m_listed.push_back(&peer.m_host);
+    Candidates& candidates = by_data_center[peer.m_data_center];
+    candidates.m_listed.push_back(&peer.m_host);
     if (peer.m_heard && peer.m_ready)
-      there.m_ready.push_back(&peer.m_host);
+      candidates.m_ready.push_back(&peer.m_host);
   }
   std::vector<std::string> recipients;
-  for (auto& [name, there] : by_data_center) {
-    auto& hosts = there.m_ready.empty() ? there.m_listed : there.m_ready;
+  for (auto& [name, candidates] : by_data_center) {
+    auto& hosts =
+        candidates.m_ready.empty() ? candidates.m_listed : candidates.m_ready;
     std::shuffle(hosts.begin(), hosts.end(), random);
-    hosts.resize(std::min(hosts.size(), kRecipients));
+    hosts.resize(std::min(hosts.size(), kRecipientsPerDataCenter));
     for (const std::string* host : hosts)
       recipients.push_back(*host);
   }
--- a/src/libverbenalead/decide/summary_route_test.cc
+++ b/src/libverbenalead/decide/summary_route_test.cc
@@ -13,8 +13,8 @@
 constexpr Duration kTick = 100ms;
 /// An entry that isn't heard of for so long is taken for gone by near ones, and
 /// by far ones.
-constexpr Duration kNearSilence = 1300ms;
-constexpr Duration kFarSilence = 8s;
+constexpr Duration kLocalPeerTimeout = 1300ms;
+constexpr Duration kRemotePeerTimeout = 8s;
 
 /// Entries of some data centres that tell summaries to each other by datagrams
 /// that get lost. Near entries hear of each other all the time.
@@ -41,33 +41,33 @@
 
   /// Ends a share of all entries, but for one of each data centre.
   void Kill(int percent) {
-    std::set<std::string> spared;
+    std::set<std::string> centers_with_survivor;
     for (auto& [host, entry] : m_entries) {
-      if (spared.insert(entry.m_data_center).second)
+      if (centers_with_survivor.insert(entry.m_data_center).second)
         continue;
       entry.m_dead = Chance(percent);
     }
     // The one that is spared is the sender; let it die where others live.
     for (auto& [host, entry] : m_entries) {
-      if (spared.erase(entry.m_data_center) > 0)
-        entry.m_dead = Living(entry.m_data_center) > 1;
+      if (centers_with_survivor.erase(entry.m_data_center) > 0)
+        entry.m_dead = CountAlive(entry.m_data_center) > 1;
     }
   }
 
   void Run(Duration time) {
     for (const TimePoint end = m_now + time; m_now < end; m_now += kTick) {
-      HearNear();
+      ExchangeLocalHeartbeats();
       for (auto& [host, entry] : m_entries) {
         if (!entry.m_dead)
           Tell(host, entry);
       }
-      NoteBlindness();
+      RecordSummaryAges();
     }
   }
 
   /// The longest time for which a living entry heard nothing of another data
   /// centre.
-  Duration longest_blind() const { return m_longest_blind; }
+  Duration max_summary_age() const { return m_max_summary_age; }
   uint64_t sent() const { return m_sent; }
 
  private:
@@ -84,7 +84,7 @@
     return static_cast<int>(m_random() % 100) < percent;
   }
 
-  int Living(const std::string& data_center) const {
+  int CountAlive(const std::string& data_center) const {
     return static_cast<int>(std::count_if(
         m_entries.begin(), m_entries.end(), [&](const auto& each) {
           return !each.second.m_dead &&
@@ -92,28 +92,30 @@
         }));
   }
 
-  void HearNear() {
+  void ExchangeLocalHeartbeats() {
     for (auto& [host, entry] : m_entries) {
-      for (const auto& [other, told] : m_entries) {
-        if (!told.m_dead && told.m_data_center == entry.m_data_center)
+      for (const auto& [other, other_entry] : m_entries) {
+        if (!other_entry.m_dead &&
+            other_entry.m_data_center == entry.m_data_center)
           entry.m_heard_at[other] = m_now;
       }
     }
   }
 
   bool IsHeard(const Entry& entry, const std::string& other) const {
-    const bool near = m_entries.at(other).m_data_center == entry.m_data_center;
+    const bool same_data_center =
+        m_entries.at(other).m_data_center == entry.m_data_center;
     return m_now - entry.m_heard_at.at(other) <
-           (near ? kNearSilence : kFarSilence);
+           (same_data_center ? kLocalPeerTimeout : kRemotePeerTimeout);
   }
 
   std::vector<SummaryPeer> PeersOf(const std::string& host,
                                    const Entry& entry) const {
     std::vector<SummaryPeer> peers;
-    for (const auto& [other, told] : m_entries) {
+    for (const auto& [other, other_entry] : m_entries) {
       if (other != host) {
-        peers.push_back({other, told.m_data_center, IsHeard(entry, other),
-                         entry.m_ready.at(other)});
+        peers.push_back({other, other_entry.m_data_center,
+                         IsHeard(entry, other), entry.m_ready.at(other)});
       }
     }
     return peers;
@@ -141,14 +143,15 @@
   void Relay(const std::string& recipient,
              const std::string& data_center,
              const std::set<std::string>& listed) {
-    const std::string& there = m_entries.at(recipient).m_data_center;
+    const std::string& recipient_data_center =
+        m_entries.at(recipient).m_data_center;
     for (auto& [host, entry] : m_entries) {
-      if (entry.m_data_center != there ||
+      if (entry.m_data_center != recipient_data_center ||
           (host != recipient && Chance(m_lost_percent)))
         continue;
       entry.m_summary_at[data_center] = m_now;
-      for (const auto& [other, told] : m_entries) {
-        if (told.m_data_center == data_center)
+      for (const auto& [other, other_entry] : m_entries) {
+        if (other_entry.m_data_center == data_center)
           entry.m_ready[other] = listed.contains(other);
       }
       for (const std::string& other : listed)
@@ -156,13 +159,13 @@
     }
   }
 
-  void NoteBlindness() {
+  void RecordSummaryAges() {
     for (const auto& [host, entry] : m_entries) {
       if (entry.m_dead)
         continue;
       for (const auto& [data_center, at] : entry.m_summary_at) {
         if (data_center != entry.m_data_center)
-          m_longest_blind = std::max<Duration>(m_longest_blind, m_now - at);
+          m_max_summary_age = std::max<Duration>(m_max_summary_age, m_now - at);
       }
     }
   }
@@ -171,21 +174,21 @@
   const int m_lost_percent;
   std::map<std::string, Entry> m_entries;
   TimePoint m_now{std::chrono::hours(1)};
-  Duration m_longest_blind{};
+  Duration m_max_summary_age{};
   uint64_t m_sent = 0;
 };
 
 class SummaryRouteTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(SummaryRouteTest);
-  CPPUNIT_TEST(TheFirstThatTakesCallsSends);
-  CPPUNIT_TEST(SomeOfEachOtherDataCenterGetIt);
-  CPPUNIT_TEST(ChangesOfLoadsAreToldSooner);
-  CPPUNIT_TEST(NobodyStaysBlindWhenEntriesDie);
+  CPPUNIT_TEST(FirstReadyEntrySends);
+  CPPUNIT_TEST(EachOtherDataCenterHasRecipients);
+  CPPUNIT_TEST(LoadChangesAreSentSooner);
+  CPPUNIT_TEST(SummariesArriveWhenEntriesDie);
   CPPUNIT_TEST(MessagesGrowWithDataCentersOnly);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void TheFirstThatTakesCallsSends() {
+  void FirstReadyEntrySends() {
     std::vector<SummaryPeer> peers = {{"a1", "a", true, true},
                                       {"b1", "b", true, true}};
     CPPUNIT_ASSERT(!SendsSummary("a2", "a", peers));
@@ -195,7 +198,7 @@
     CPPUNIT_ASSERT(SendsSummary("a2", "a", peers));
   }
 
-  void SomeOfEachOtherDataCenterGetIt() {
+  void EachOtherDataCenterHasRecipients() {
     const std::vector<SummaryPeer> peers = {{"a2", "a", true, true},
                                             {"b1", "b", false, true},
                                             {"b2", "b", true, false},
@@ -206,7 +209,7 @@
                    std::vector<std::string>({"b3", "c1"}));
   }
 
-  void ChangesOfLoadsAreToldSooner() {
+  void LoadChangesAreSentSooner() {
     const TimePoint sent = TimePoint() + 5s;
     CPPUNIT_ASSERT(!IsSummaryDue(sent, true, sent + 200ms));
     CPPUNIT_ASSERT(IsSummaryDue(sent, true, sent + 250ms));
@@ -219,14 +222,14 @@
   // entries end without a word, the senders among them, and one datagram in
   // twenty is lost at each step. Those that live go on to hear of each data
   // centre within the time after which they would take it for gone.
-  void NobodyStaysBlindWhenEntriesDie() {
+  void SummariesArriveWhenEntriesDie() {
     const bool held = rc::check("nobody stays blind", [] {
       SummaryFleet fleet(*rc::gen::arbitrary<uint64_t>(),
                          *rc::gen::inRange(2, 6), *rc::gen::inRange(4, 20), 5);
       fleet.Run(5s);
       fleet.Kill(33);
       fleet.Run(10s);
-      RC_ASSERT(fleet.longest_blind() < kFarSilence);
+      RC_ASSERT(fleet.max_summary_age() < kRemotePeerTimeout);
     });
     CPPUNIT_ASSERT(held);
   }
