--- a/src/libverbenalead/decide/change_source.cc
+++ b/src/libverbenalead/decide/change_source.cc
@@ -5,17 +5,21 @@
 namespace verbenalead::decide {
 namespace {
 
-/// Entries tell once a second, far ones every other second. After this time
-/// without a word none of them is there.
+/// Entries of the same data centre announce their revision once a second,
+/// remote entries every two seconds. After this time without any announcement,
+/// no entry is assumed to be available.
 constexpr Duration kAnnouncementTimeout = 5s;
-/// A near entry that told so lately, three times, will tell of this change too.
+/// An entry of the same data centre that has announced within this time, three
+/// of its intervals, is expected to announce the current change as well.
 constexpr Duration kLocalAnnouncementTimeout = 3s;
-/// After a start the entries are asked first. They know the tables after 0.3 s,
-/// after 1.5 s where all of them have started too.
+/// The store is read only after entries have had a time between these bounds to
+/// serve the rows. Entries know the tables 0.3 s after their start, or 1.5 s
+/// after it if all of them have started too.
 constexpr Duration kMinReadDelay = 2500ms;
 constexpr Duration kMaxReadDelay = 5s;
-/// Entries that still know nothing so long after this host's start may have
-/// lost the store, which this host may reach.
+/// If entries have no rows this long after the start of this host, they may
+/// have lost the store while this host can reach it. Their answers then no
+/// longer delay the read.
 constexpr Duration kMaxAwaitTime = 10s;
 
 bool IsRecent(TimePoint at, Duration age, TimePoint now) {
--- a/src/libverbenalead/decide/change_source.h
+++ b/src/libverbenalead/decide/change_source.h
@@ -7,48 +7,58 @@
 
 namespace verbenalead::decide {
 
-/// What a target process knows of the operator's changes, and of who tells it.
+/// Tracks which of the operator's changes a target process knows and which
+/// entries have announced theirs, and decides whether the process fetches rows
+/// from an entry or reads the store.
 ///
-/// Load: 127 target processes, a configuration of 390 KB, links of 32 Mbit/s to
-/// the store. Harm: where each read the store, at its start or when weights
-/// were declared, the links were full for seconds and nobody heard of anything.
-/// Entries tell targets what has changed and hand it on, 3 KB of it; the store
-/// is asked only where no entry can tell.
+/// Load: 127 target processes, a configuration of 390 KB, and links of
+/// 32 Mbit/s to the store. Harm: when each process read the store at its start
+/// or after a declaration of weights, the links were saturated for seconds and
+/// no process received any change. Instead, entries announce changes to targets
+/// and serve the changed rows, 3 KB; a process reads the store only if no entry
+/// can serve them.
 struct ChangeWatch {
   TimePoint m_started{};
-  /// The rows are known; else any entry that tells has something new.
+  /// Whether the operator's rows are known. Until they are, every announcement
+  /// counts as new.
   bool m_known = false;
-  /// The newest change of declared weights that is known here.
+  /// Revision of the newest change of declared weights that is known here.
   uint64_t m_weights_revision = 0;
-  /// When an entry last told of its own, and when one of this data centre did.
+  /// When an entry last announced its revision; m_told_near_at is the same for
+  /// entries of this data centre only.
   TimePoint m_told_at{};
-  /// When an entry last said that it knows nothing yet.
+  /// When an entry last answered that it has no rows yet.
   TimePoint m_awaited_at{};
   TimePoint m_told_near_at{};
 };
 
-/// An entry tells that it knows `revision`; true: its rows are to be taken
-/// over. Entries of the store's own region hear first and tell all hosts at
-/// once: where a near entry tells too, the rows come from that one, which hears
-/// 0.4 s later at most.
+/// Records that an entry announced `revision` as the newest one it knows.
+/// Returns whether to fetch the rows from that entry.
+///
+/// Entries in the store's region receive a change first and announce it to all
+/// hosts at once. While entries of this data centre announce too, only their
+/// announcements cause a fetch: they receive the change at most 0.4 s later.
+/// Otherwise all hosts of the other regions would fetch the rows from a remote
+/// entry at the same moment.
 bool TakeTold(ChangeWatch& watch,
               bool same_data_center,
               uint64_t revision,
               TimePoint now);
 
-/// An entry lives but has yet to learn the rows itself: it has just started as
-/// well, or the operator has written nothing yet.
+/// Records that an entry answered but has no rows yet: it has just started as
+/// well, or the operator has not written a configuration.
 inline void NoteAwaited(ChangeWatch& watch, TimePoint now) {
   watch.m_awaited_at = now;
 }
 
-/// Whether the store is to be left alone for now. `spread`, 0 to 1, is drawn by
-/// each host for itself, so that those that start together don't ask together.
+/// Whether the store must not be read for now, because entries are expected to
+/// serve the rows. Each host draws `spread`, 0 to 1, at random, so that hosts
+/// that start together do not read the store at the same moment.
 bool LeavesStoreAlone(const ChangeWatch& watch, double spread, TimePoint now);
 
-/// Least time between two questions to the store that nobody asked for: 24
-/// hosts that read each of 25 quick changes filled the links between regions
-/// for 5 s, and entries heard of changes 3 s late.
+/// Minimum time between two reads of the store by a host that receives no
+/// announcements. When 24 hosts read each of 25 quick changes, they saturated
+/// the links between regions for 5 s, and entries received changes 3 s late.
 constexpr Duration kUntoldInterval = 1500ms;
 
 }  // namespace verbenalead::decide
--- a/src/libverbenalead/decide/change_source_test.cc
+++ b/src/libverbenalead/decide/change_source_test.cc
@@ -27,9 +27,10 @@
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // Callers get no answer for 20 s: all processes were killed, and 127 hosts
-  // read 390 KB each over two links. While entries can tell them, none of them
-  // asks the store; where all entries are dead, they ask one after the other.
+  // Guards against callers getting no answer for 20 s: after all processes were
+  // killed, 127 hosts read 390 KB each over two links. While entries can serve
+  // the rows, no host may read the store; if all entries are dead, the hosts
+  // read it at different times.
   void HostsStartingTogetherWaitForEntries() {
     ChangeWatch watch;
     watch.m_started = kStart;
@@ -39,10 +40,10 @@
     CPPUNIT_ASSERT(!LeavesStoreAlone(watch, 1, kStart + 5s));
   }
 
-  // The store gets 200 questions that nobody needs: the operator has written no
-  // configuration yet, entries can't tell one, and all hosts ask for
-  // themselves. They wait for the entries, but not for ever: those may have
-  // lost the store.
+  // Guards against 200 needless requests to the store: the operator has not
+  // written a configuration yet, entries cannot serve one, and all hosts read
+  // the store. Hosts have to wait for the entries, but only for a limited time,
+  // as the entries may have lost the store.
   void WaitsLongerForEntriesWithoutRows() {
     ChangeWatch watch;
     watch.m_started = kStart;
@@ -53,9 +54,10 @@
     CPPUNIT_ASSERT(!LeavesStoreAlone(watch, 1, kStart + 30s));
   }
 
-  // Callers are served by a configuration that is 3 s old: hosts that no entry
-  // tells follow the store while it changes five times a second. As each read
-  // every change, 100 KB over the link between regions, it was full for 5 s.
+  // Guards against calls being served by a configuration that is 3 s old: hosts
+  // that receive no announcements poll the store while it changes five times a
+  // second. When each host read every change, 100 KB over the link between
+  // regions, the link was saturated for 5 s.
   void ReadsStoreSeldomWithoutAnnouncements() {
     const ChangeWatch watch = KnownWatch(1);
     int reads = 0;
@@ -70,9 +72,10 @@
     CPPUNIT_ASSERT(reads >= 2);
   }
 
-  // Configurations come late in a whole region: new weights are declared, and
-  // entries of the store's region, which hear first, tell hosts everywhere. All
-  // hosts of the other regions then asked far away, at the same moment.
+  // Guards against late configurations in a whole region: new weights are
+  // declared, and entries of the store's region, which receive them first,
+  // announce them to hosts everywhere. All hosts of the other regions then
+  // fetched from remote entries at the same moment.
   void PrefersRowsFromLocalEntries() {
     ChangeWatch watch = KnownWatch(1);
     CPPUNIT_ASSERT(!TakeTold(watch, true, 1, kStart));
--- a/src/libverbenalead/decide/cold_start.h
+++ b/src/libverbenalead/decide/cold_start.h
@@ -9,35 +9,40 @@
 
 namespace verbenalead::decide {
 
-/// When an entry that has just started reads the store's tables by itself.
+/// Decides when an entry that has just started reads the store's tables itself.
 ///
-/// Load: all processes of three data centres start at once, 45 entries and 127
-/// targets, with a configuration of 390 KB and links of 32 Mbit/s to the store.
-/// Harm: when each read for itself, the links were full, connections timed out
-/// and were tried again, and after 18 s one process in three still knew no
-/// configuration; 2 of 100 calls were served.
+/// Load: all processes of three data centres start at once: 45 entries and 127
+/// targets, a configuration of 390 KB, and links of 32 Mbit/s to the store.
+/// Harm: when each process read the store, the links were saturated,
+/// connections timed out and were retried, and after 18 s one process in three
+/// still had no configuration; 2 of 100 calls were served.
 ///
-/// The rows that entries have left in the store tell each of them who is near
-/// and comes first. The first reads; the others take over from whoever has the
-/// tables, and read in their turn if nobody has.
+/// From the rows that entries have written to the store, each entry learns the
+/// other entries of its data centre and its own rank among them. The entry of
+/// rank 0 reads the tables, and the others fetch them from any entry that has
+/// them. If none has them, the entries read the store one after the other, by
+/// rank.
 struct ColdStart {
   TimePoint m_started{};
-  /// Since when the others are known, and how many near ones come before.
+  /// When the other entries became known, and how many of the same data centre
+  /// rank before this one.
   std::optional<TimePoint> m_known_at;
   size_t m_before = 0;
 };
 
-/// Time to learn of the others: one small answer of the store. Who hasn't
-/// learned of them by then doesn't wait for them either.
+/// Time to learn of the other entries, which takes one small response of the
+/// store. An entry that does not know them by then reads without waiting for
+/// them.
 constexpr Duration kLearnOthers = 600ms;
-/// Time for one that comes first to read 390 KB and to tell of it: 0.1 s over
-/// an idle link, and 0.1 s until its next news.
+/// Delay per entry that ranks before this one: the time to read 390 KB, 0.1 s
+/// over an idle link, and to announce it with the next update, another 0.1 s.
 constexpr Duration kColdStep = 300ms;
-/// Those that come first may all be gone for good; nobody waits longer for
-/// them.
+/// Longest delay, since all entries that rank before this one may have been
+/// removed for good.
 constexpr Duration kColdLongest = 1500ms;
 
-/// The others are known; `before` of the near ones come first.
+/// Records that the other entries are known and that `rank` of those in this
+/// data centre rank before this one. Only the first call has an effect.
 inline void NoteOthers(ColdStart& start, size_t rank, TimePoint now) {
   if (start.m_known_at)
     return;
--- a/src/libverbenalead/decide/cold_start_test.cc
+++ b/src/libverbenalead/decide/cold_start_test.cc
@@ -15,9 +15,9 @@
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // Callers get no answer for 20 s: 15 entries of a data centre start at once
-  // and each reads the tables over one link. While the first needs 0.25 s, none
-  // of the others asks.
+  // Guards against callers getting no answer for 20 s: 15 entries of a data
+  // centre start at once, and each reads the tables over the same link. During
+  // the 0.25 s that the first entry needs, no other entry may read.
   void OneEntryReadsWhileOthersWait() {
     size_t readers = 0;
     for (size_t rank = 0; rank < 15; ++rank) {
--- a/src/libverbenalead/decide/config.h
+++ b/src/libverbenalead/decide/config.h
@@ -11,12 +11,13 @@
 
 namespace verbenalead::decide {
 
-/// A resource as it is in force here.
+/// A resource of the configuration that is in force in this process.
 struct ResourceInForce {
   std::string m_spec;
   /// The revision of the change that set it.
   uint64_t m_revision = 0;
-  /// Who set it, so that whoever loses a race is told who won.
+  /// Operation and operator that set it, so that a write that loses against a
+  /// concurrent one can be refused with the name of the winner.
   std::string m_operation;
   std::string m_operator;
 
@@ -39,23 +40,25 @@
   kGap,  ///< A change before it is missing; nothing was changed.
 };
 
-/// Puts `change` into force if it is the next one. A process that wakes with
-/// old news, or hears it twice, changes nothing: the revision only ever rises.
+/// Applies `change` if it is the next revision. A process that resumes with
+/// outdated changes, or receives a change twice, changes nothing: the revision
+/// never decreases.
 ApplyResult Apply(ConfigState& state, const model::Change& change);
 
-/// The pool that answers for `model_name`, by its route; nullopt if no route
-/// names it.
+/// The pool to which the route of `model_name` leads; nullopt if there is no
+/// such route.
 std::optional<std::string> PoolForModel(const ConfigState& state,
                                         const std::string& model_name);
-/// The pool that answers for the plain service `service_name`.
+/// The pool of the plain service `service_name`; nullopt if there is no such
+/// service.
 std::optional<std::string> PoolForService(const ConfigState& state,
                                           const std::string& service_name);
-/// The version that `pool` is to serve; nullopt for a plain service's pool or
-/// where the version is not declared.
+/// The version that `pool` has to serve; nullopt if the pool belongs to a plain
+/// service or the version is not declared.
 std::optional<model::VersionSpec> VersionForPool(const ConfigState& state,
                                                  const std::string& pool);
 
-/// The whole state as JSON, for a process that starts with nothing.
+/// The whole state as JSON, for a process that starts without a configuration.
 std::string ToJson(const ConfigState& state);
 Result<ConfigState> ParseConfigState(std::string_view json);
 
--- a/src/libverbenalead/decide/config_lease.h
+++ b/src/libverbenalead/decide/config_lease.h
@@ -8,20 +8,24 @@
 
 namespace verbenalead::decide {
 
-/// How long an entry may let calls with a key through on the configuration that
-/// it has.
+/// Limits how long an entry may admit calls with an API key on the
+/// configuration that it has.
 ///
-/// Failure: an entry that is cut off from the store, or was suspended, doesn't
-/// hear that a key was taken away. Symptom: calls run for somebody who lost the
-/// right long ago. The lease ends before the bound within which a removal must
-/// be in force, counted from a moment at which the store itself said that the
-/// configuration was the newest. It is asked after a call has been read: a
-/// removal that bars the call was acknowledged the whole bound before the call
-/// was sent, so before the lease's proof, and would be in the configuration.
-/// However long the process stands still between the question and the send, the
-/// call was sent before; so that is enough.
+/// Failure: an entry that is cut off from the store, or was suspended, does not
+/// learn that a key was removed. Symptom: calls run for a caller who lost the
+/// right long ago.
+///
+/// A removal must be in force within a fixed bound. The lease is shorter than
+/// this bound and starts at a moment at which the store itself confirmed that
+/// the configuration was the newest. It is checked after a call has been read.
+/// If a removal bars the call, it was acknowledged at least the whole bound
+/// before the call was sent, so before the start of the lease, and the
+/// configuration contains it. A pause of the process between the check and the
+/// forwarding of the call is harmless, since the call was sent before the
+/// pause.
 struct ConfigLease {
-  /// Of a clock that counts suspension.
+  /// Time of the newest proof, on a clock that keeps counting while the host is
+  /// suspended.
   std::optional<Duration> m_proved_at;
 };
 
--- a/src/libverbenalead/decide/config_lease_test.cc
+++ b/src/libverbenalead/decide/config_lease_test.cc
@@ -39,16 +39,17 @@
 
   void StoreClockDatesDelayedAnswer() {
     StoreClock clock;
-    // A quick exchange: asked at 100 s, the store's clock shows 7 s.
+    // A quick exchange: sent at 100 s, the store's clock shows 7 s.
     CPPUNIT_ASSERT(AnsweredAt(clock, 100s, 7s) == Duration(100s));
-    // Asked at 101 s, held for a second, answered when it shows 9 s.
+    // Sent at 101 s, held by the store for a second, answered when its clock
+    // shows 9 s.
     CPPUNIT_ASSERT(AnsweredAt(clock, 101s, 9s) == Duration(102s));
   }
 
-  // A key is taken away while the entry is cut off, its answers are held up,
-  // and it is frozen for any time, between the check and the send too. No
-  // request that its caller sends later than the bound after the removal
-  // passes.
+  // A key is removed while the entry is cut off, responses of the store are
+  // delayed, and the process is paused for any time, also between the check and
+  // the forwarding of a call. A request that the caller sends after the removal
+  // and its bound must not be admitted.
   void RemovedKeyIsRefusedAfterBound() {
     const bool held = rc::check("removed key", [] {
       const Duration removed =
@@ -65,7 +66,7 @@
         const Duration asked = now;
         const Duration latency = std::chrono::milliseconds(step % 97);
         const Duration answered = asked + latency;
-        now = answered + std::chrono::milliseconds(step);  // Or a freeze.
+        now = answered + std::chrono::milliseconds(step);  // Or a pause.
         if (step % 3 == 0) {
           removal_known |= answered >= removed;
           Prove(lease, AnsweredAt(clock, asked, answered - offset));
--- a/src/libverbenalead/decide/config_references.h
+++ b/src/libverbenalead/decide/config_references.h
@@ -6,12 +6,13 @@
 
 namespace verbenalead::decide {
 
-/// Checks that `write` leaves no resource that names an absent one: what a new
-/// spec names must be declared, and what others name can't be deleted. Fails
-/// with kInvalid and names the field and both resources.
+/// Checks that `write` leaves no reference to an absent resource: a resource
+/// that a new spec names must be declared, and a resource that others name
+/// can't be deleted. Fails with kInvalid and names the field and both
+/// resources.
 ///
-/// A pool names its plain service and the service its pool; only the latter is
-/// checked, or neither could be declared first.
+/// A pool and its plain service name each other. Only the service's reference
+/// to the pool is checked; otherwise neither could be declared first.
 Result<void> CheckReferences(const ConfigState& state,
                              const model::ResourceWrite& write);
 
--- a/src/libverbenalead/decide/config_tree.cc
+++ b/src/libverbenalead/decide/config_tree.cc
@@ -35,7 +35,7 @@
                           const std::string& self,
                           size_t stream,
                           uint64_t failures) {
-  // An entry that the list does not show yet ranks last.
+  // An entry that is not listed yet ranks last.
   const size_t rank = RankOf(ranked, self);
   const size_t readers = std::min(kConfigReaders, ranked.size());
   if (rank < readers) {
--- a/src/libverbenalead/decide/config_tree.h
+++ b/src/libverbenalead/decide/config_tree.h
@@ -10,42 +10,49 @@
 
 namespace verbenalead::decide {
 
-/// Entries that read the table in turn. With two reads a second each they cost
-/// the table six of its two thousand reads a second, whatever the fleet's size;
-/// three, so that the loss of one host leaves two.
+/// Number of entries that read the configuration table regularly. At two reads
+/// a second each, they use six of the table's two thousand reads a second,
+/// whatever the size of the fleet. Three, so that the loss of one host leaves
+/// two.
 constexpr size_t kConfigReaders = 3;
-/// Entries that hear from one entry. 630 entries make a tree of four levels.
+/// Number of entries that receive changes from the same entry. With eight, 630
+/// entries make a tree of four levels.
 constexpr size_t kConfigFanOut = 8;
-/// Streams by which each process hears of changes. Two, so that one silent or
-/// paused sender delays nothing.
+/// Number of streams over which each process receives changes. Two, so that one
+/// unresponsive or paused sender delays nothing.
 constexpr size_t kConfigSlots = 2;
-/// Reads a second that all entries together take on while none of them hears
-/// from another; with the readers' own they stay under 50.
+/// Limit for the reads per second of all entries together while no entry
+/// receives changes from another. With the regular reads of the readers, the
+/// total stays under 50.
 constexpr int64_t kOrphanReadsPerSecond = 30;
 
-/// `entries` in the order in which all processes rank them, whoever asks.
+/// Sorts `entries` into the order that every process computes from the same
+/// list.
 std::vector<std::string> RankEntries(std::vector<std::string> entries);
 
-/// Whether entry `self` reads the table in turn. `ranked` is from RankEntries.
+/// Whether entry `self` is one of the kConfigReaders. `ranked` is from
+/// RankEntries.
 bool ReadsTable(const std::vector<std::string>& ranked,
                 const std::string& self);
 
-/// The entry from which entry `self` hears in `slot` after `failures` others
-/// did not answer. It always ranks above `self`, so that the streams make no
-/// circle and each chain ends at a reader; readers hear from one another. ""
-/// if there is none.
+/// The entry from which entry `self` receives changes over `stream` after
+/// `failures` other entries did not answer; "" if there is none. It always
+/// ranks above `self`, so that the streams form no cycle and each chain ends at
+/// a reader. Readers receive changes from one another.
 std::string ParentOfEntry(const std::vector<std::string>& ranked,
                           const std::string& self,
                           size_t stream,
                           uint64_t failures);
 
-/// The entry from which target `self` hears; targets spread evenly over all.
+/// The entry from which target `self` receives changes. Targets are spread
+/// evenly over all entries.
 std::string ParentOfTarget(const std::vector<std::string>& ranked,
                            const std::string& self,
                            size_t stream,
                            uint64_t failures);
 
-/// How long an entry that hears from nobody waits between two reads.
+/// Pause between two reads of the table by an entry that receives changes from
+/// no other entry.
 Duration OrphanInterval(size_t entries);
 
 }  // namespace verbenalead::decide
--- a/src/libverbenalead/decide/config_tree_test.cc
+++ b/src/libverbenalead/decide/config_tree_test.cc
@@ -24,7 +24,8 @@
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // A circle of streams would keep old news alive without the table.
+  // A cycle of streams would keep circulating outdated changes without the
+  // table.
   void EveryChainEndsAtAReader() {
     for (const size_t count : {1, 2, 3, 4, 8, 128, 630}) {
       const auto ranked = Names(count);
--- a/src/libverbenalead/decide/handout_pace.h
+++ b/src/libverbenalead/decide/handout_pace.h
@@ -10,30 +10,34 @@
 
 namespace verbenalead::decide {
 
-/// How fast an entry hands tables to near ones.
+/// Limits the rate at which an entry sends whole tables to other entries of its
+/// data centre.
 ///
 /// Load: all processes start at once, with 100 entries in a data centre, and
-/// one of them has tables of 150 KB that the others lack. Harm: it handed them
-/// to all others at the same time, its link was full, and nobody had them
-/// before its end; answers were given up as too late, and all turned to the
-/// store. Few get them at once now, the others are put off,
-/// and find more entries that have them a moment later.
+/// one of them has tables of 150 KB that the others lack. Harm: it sent them to
+/// all others at the same time, which saturated its link, and no entry had them
+/// before the last transfers ended; requests timed out, and all entries turned
+/// to the store. With the limit, a few entries get the tables at once. The
+/// others are deferred, and a moment later they find more entries that have the
+/// tables.
 struct HandoutPace {
-  /// Until when the link has something to do with what was handed out.
+  /// Until when the link is busy with the transfers admitted so far, at
+  /// kHandoutRate.
   TimePoint m_busy_until{};
 };
 
-/// A part of the narrowest links of entries, in bytes a second.
+/// Assumed rate of the transfers in bytes a second, a part of the narrowest
+/// links of entries.
 constexpr uint64_t kHandoutRate = 2'000'000;
-/// Tables that may be on their way beside a new one.
+/// Number of transfers that may be in progress when another one is admitted.
 constexpr int kMostHandouts = 3;
-/// The least and longest pause before one that was put off asks again: a
-/// hundred that ask take a few hundredths of a core.
+/// Shortest and longest pause before a deferred entry retries. At this rate, a
+/// hundred entries that retry use a few hundredths of a core.
 constexpr Duration kLeastPutOff = 100ms;
 constexpr Duration kMostPutOff = 300ms;
 
-/// Whether a table of `bytes` is handed out now, to an entry that may be put
-/// off.
+/// Whether a table of `bytes` may be sent now to an entry that can be deferred.
+/// If so, counts the transfer.
 inline bool TakeHandout(HandoutPace& pace, uint64_t bytes, TimePoint now) {
   const Duration transfer_time = std::chrono::duration_cast<Duration>(
       std::chrono::microseconds(bytes * 1'000'000 / kHandoutRate));
@@ -43,8 +47,8 @@
   return true;
 }
 
-/// How long to wait after having been put off; those that were put off together
-/// come back apart.
+/// Random pause of a deferred entry, so that entries that were deferred
+/// together don't retry together.
 inline Duration PutOffFor(std::mt19937_64& random) {
   return Duration(std::uniform_int_distribution<Duration::rep>(
       kLeastPutOff.count(), kMostPutOff.count())(random));
--- a/src/libverbenalead/decide/handout_pace_test.cc
+++ b/src/libverbenalead/decide/handout_pace_test.cc
@@ -7,22 +7,23 @@
 namespace verbenalead::decide {
 namespace {
 
-/// Entries of a data centre: 630 daemons in six.
+/// Entries of a data centre: 630 hosts run entries, in six data centres.
 constexpr size_t kEntries = 105;
-/// The narrowest link of an entry, and a table of 3,000 replicas with a large
-/// configuration, compressed.
+/// The narrowest link of an entry, and the compressed size of a table of 3,000
+/// replicas with a large configuration.
 constexpr double kLinkBytesPerS = 5e6;
 constexpr uint64_t kTableBytes = 160'000;
 constexpr Duration kTick = 5ms;
-/// Others learn so late that an entry has the table.
+/// Time until the other entries learn that an entry has the table.
 constexpr Duration kAnnouncementDelay = 105ms;
-/// All are to have it within a second and a half after the first: with the time
-/// that this one takes to read it from the store, all serve after 2.5 s.
+/// All entries must have the table within 1.5 s after the first one. Including
+/// the time in which the first entry reads it from the store, all entries then
+/// serve after 2.5 s.
 constexpr Duration kMaxDistributionTime = 1500ms;
 constexpr Duration kSimulationLimit = 20s;
 
-/// Near entries that hand one table on, each over its own link, in virtual
-/// time. The first one has it at the start.
+/// Simulates, in virtual time, entries of one data centre that send a table to
+/// each other, each over its own link. The first entry has it at the start.
 class DistributionSimulation {
  public:
   explicit DistributionSimulation(uint64_t seed)
@@ -30,7 +31,7 @@
     m_entries[0].m_complete_at = TimePoint();
   }
 
-  /// When the last entry has the table.
+  /// Time until the last entry has the table.
   Duration Play() {
     size_t holders = 1;
     while (holders < kEntries && m_now - TimePoint() < kSimulationLimit) {
@@ -74,7 +75,8 @@
     source.m_transfers.emplace_back(index, double{kTableBytes});
   }
 
-  /// Each link is shared by what goes over it. Returns how many came in.
+  /// Advances all transfers by one tick. Transfers over the same link share its
+  /// bandwidth. Returns the number of completed transfers.
   size_t Send() {
     size_t completed = 0;
     const double seconds = std::chrono::duration<double>(kTick).count();
@@ -105,17 +107,17 @@
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // Calls are refused for seconds after a start of everything: one entry hands
-  // its tables to a hundred others at once, and none has them before its link
-  // has carried all.
+  // Guards against calls being refused for seconds after all processes have
+  // started at once: one entry sends its tables to a hundred others at the same
+  // time, and no entry has them before the link has carried all transfers.
   void SimultaneousStartSaturatesNoLink() {
     for (const uint64_t seed : {1, 2, 3, 4, 20261202})
       CPPUNIT_ASSERT(DistributionSimulation(seed).Play() <=
                      kMaxDistributionTime);
   }
 
-  // A change is known late in a small data centre: its few entries wait for
-  // each other.
+  // Guards against late changes in a small data centre, where its few entries
+  // would wait for each other.
   void FewRequestsAreNotDeferred() {
     HandoutPace pace;
     for (int other = 0; other <= kMostHandouts; ++other)
--- a/src/libverbenalead/decide/load_plan.cc
+++ b/src/libverbenalead/decide/load_plan.cc
@@ -5,24 +5,26 @@
 namespace verbenalead::decide {
 namespace {
 
-/// A version is skipped for a newer one only if all replicas can load that
-/// within no less than this: each is out of service for a second, so that in
-/// less than two more than half of them would be. For the same reason one that
-/// would serve for less than this isn't loaded at all.
+/// A version is skipped for a newer one only if all replicas can load the newer
+/// one within a window of at least this length. Each replica is out of service
+/// for a second, so that within less than two seconds more than half of them
+/// would be out at once. For the same reason, a version that would serve for
+/// less than this is not loaded at all.
 constexpr Duration kMinLoadWindow = 2s;
-/// The first hosts have a version whole after this part of the time that it
-/// takes to all.
+/// Share of the transfer time to all hosts after which the first hosts have the
+/// complete version.
 constexpr double kFirstCompleteShare = 0.85;
 
-/// Nearly all streams end within the longest drain, half within the shortest.
+/// Nearly all streams end within the longest drain time, half of them within
+/// the shortest.
 constexpr Duration kMaxDrainTime = 1500ms;
 constexpr Duration kMinDrainTime = 550ms;
-/// With so many places taken, those that are left take the calls that replicas
-/// turn away while they drain.
+/// Share of occupied slots up to which the free ones can take the calls that
+/// draining replicas turn away.
 constexpr double kMaxFullnessForFullDrain = 0.8;
 
-/// Whether the version at `candidate` would come so late that a newer one bars
-/// it soon after.
+/// Whether the version at `candidate` would arrive too late to be loaded: a
+/// newer one becomes binding within kMinLoadWindow after its arrival.
 bool IsUnusableSoon(
     const LoadTimes& times,
     const std::map<uint64_t, DeclaredVersion>& declared,
--- a/src/libverbenalead/decide/load_plan.h
+++ b/src/libverbenalead/decide/load_plan.h
@@ -11,51 +11,56 @@
 
 namespace verbenalead::decide {
 
-/// What is known of the times that new weights take.
+/// Expected times of the rollout of a weights version.
 struct LoadTimes {
   /// Time from a declaration until the last replica must begin to load.
   Duration m_bound{};
-  /// Time that the chunks take to all hosts.
+  /// Time that the transfer of the chunks to all hosts takes.
   Duration m_transfer{};
 
   friend bool operator==(const LoadTimes&, const LoadTimes&) = default;
 };
 
-/// Which version a replica loads next, and when the replicas of its service do.
+/// The version that a replica loads next, and the time window in which the
+/// replicas of its service begin to load.
 struct LoadPlan {
   uint64_t m_version = 0;
-  /// The first and the last turn to begin a load.
+  /// When the first and the last replica begin to load.
   TimePoint m_first{};
   TimePoint m_last{};
 
   friend bool operator==(const LoadPlan&, const LoadPlan&) = default;
 };
 
-/// A version that was declared.
+/// A declared weights version, as seen by one host.
 struct DeclaredVersion {
-  /// When it was seen to be.
+  /// Time of its declaration, as known to this host.
   TimePoint m_declared{};
-  /// When its chunks came here, or will as far as can be foreseen.
+  /// When its chunks became complete on this host, or an estimate of when they
+  /// will.
   TimePoint m_here{};
 
   friend bool operator==(const DeclaredVersion&,
                          const DeclaredVersion&) = default;
 };
 
-/// The plan of a replica that has `loaded`; nothing if that is the newest.
+/// The plan of a replica that has loaded version `loaded`; nullopt if that is
+/// the newest one.
 ///
-/// Versions may come faster than they can be loaded. A replica then skips one
-/// where the newer one can be everywhere before the older one binds, for each
-/// load takes it out of service; else it takes them one after the other, for
-/// between the two bounds a replica with neither takes no calls. One that
-/// comes so late that the newer one bars it soon after is skipped as well: it
-/// would cost a second load, and the newer one would come later for it.
+/// Once a version is binding, replicas with an older version take no calls.
+/// Versions may be declared faster than they can be loaded, and each load takes
+/// the replica out of service. An older version is skipped if the newer one can
+/// be on all hosts before the older one becomes binding. Otherwise both are
+/// loaded, one after the other, since between the two bounds a replica with
+/// neither takes no calls. A version that arrives so late that a newer one
+/// becomes binding soon after is skipped as well: loading it would cost a
+/// second load and delay the newer version.
 ///
-/// The turns fill all the time that there is. Load: 27 replicas that each are
-/// out of service for a second, at three quarters of what they can do. With
-/// turns in half of the time ten were out at once, streams that were broken off
-/// found no room, and 50 of 100 calls were late; with all of it five to six
-/// are.
+/// The loads are spread over the whole available time. Load: 27 replicas, each
+/// out of service for a second, at three quarters of their capacity. Harm: with
+/// the loads in half of the time, ten replicas were out of service at once,
+/// interrupted streams found no free slot, and 50 of 100 calls were late. With
+/// the whole time, five to six replicas are out of service at once.
 std::optional<LoadPlan> PlanLoad(
     const LoadTimes& times,
     const std::map<uint64_t, DeclaredVersion>& declared,
@@ -63,22 +68,25 @@
 
 /// When `replica`, one of `replicas`, stops taking calls and loads.
 ///
-/// Made for a new version at the peak: replicas that load all at once leave
-/// callers without any. The turns are spread evenly, in an order that each host
-/// works out alone from the same list, so that nobody has to be asked and
-/// nobody's death holds up the others.
+/// If all replicas loaded a new version at once at peak load, callers would
+/// find no replica. The load times are spread evenly over the window of `plan`,
+/// in an order that each host computes from the same list. The hosts need not
+/// coordinate, and a host that fails does not delay the others.
 TimePoint LoadTurn(const LoadPlan& plan,
                    const std::string& replica,
                    std::vector<std::string> replicas);
 
-/// How long calls may run on at a replica that stops taking them to load.
+/// How long running calls may continue at a replica that stops taking calls in
+/// order to load.
 ///
-/// Load: a rollout beside live streams of a second and more. Harm: each one
-/// that is broken off is read anew elsewhere, pauses there, and is lost if that
-/// replica loads next or the repeats are used up. With room elsewhere all may
-/// end. Where the pool is full the replica itself is needed, and half of them
-/// may. `fullness`: the part of the places at usable replicas that is taken; as
-/// replicas that drain for long fill the others, it settles in between.
+/// Load: a rollout while streams of a second and more are running. Harm: an
+/// interrupted stream is prefilled again at another replica, pauses meanwhile,
+/// and is lost if that replica loads next or the retries are used up. If other
+/// replicas have free slots, nearly all streams may finish. If the pool is
+/// full, the replica itself is needed, and only half of its streams may finish.
+/// `fullness` is the share of occupied slots at usable replicas. Since long
+/// drains fill the other replicas, the drain time settles at a value in
+/// between.
 Duration DrainTime(double fullness);
 
 }  // namespace verbenalead::decide
--- a/src/libverbenalead/decide/load_plan_test.cc
+++ b/src/libverbenalead/decide/load_plan_test.cc
@@ -42,8 +42,9 @@
   }
 
   // 27 replicas load one after the other, each out of service for a second, at
-  // three quarters of what the pool can do. With turns over 2.8 s ten were out
-  // at once and half of the calls late; no more than seven may be.
+  // three quarters of the capacity of the pool. When the loads began within
+  // 2.8 s, ten replicas were out of service at once and half of the calls were
+  // late. No more than seven may be out at once.
   void FewReplicasAreOutAtOnce() {
     constexpr size_t kReplicas = 27;
     constexpr size_t kMostOut = kReplicas / 4 + 1;
@@ -63,9 +64,10 @@
     }
   }
 
-  // Half of the replicas would stop at once: an older version is skipped for a
-  // newer one that comes whole just before the older one binds. It is loaded
-  // as well where less than two seconds would be left for the newer one.
+  // Guards against half of the replicas being out of service at once: an older
+  // version is skipped for a newer one that is complete only just before the
+  // older one becomes binding. The older one must also be loaded if less than
+  // two seconds would be left for the newer one.
   void NoVersionIsSkippedForShortLoadWindow() {
     const std::map<uint64_t, DeclaredVersion> declared = {
         {2, Declared(0s, 3s)}, {3, Declared(2800ms, 6200ms)}};
@@ -76,23 +78,25 @@
     const auto plan =
         PlanLoad(kTimes, {{2, Declared(0s, 3s)}, {3, Declared(1s, 4400ms)}}, 1);
     CPPUNIT_ASSERT_EQUAL(uint64_t{3}, plan->m_version);
-    // The older one's bound still holds.
+    // The bound of the older version still applies.
     CPPUNIT_ASSERT(plan->m_last == kStart + 7300ms);
   }
 
-  // Callers find no replica for seconds: two versions are named 2 s apart and
-  // the origin dies in between. The newer one can't come before the older one
-  // binds, so the older one has to be loaded meanwhile.
+  // Guards against callers finding no replica for seconds: two versions are
+  // declared 2 s apart, and the origin becomes unavailable in between. The
+  // newer version can't arrive before the older one becomes binding, so the
+  // older one has to be loaded in the meantime.
   void OlderVersionIsLoadedWhileOriginIsDown() {
     const auto plan =
         PlanLoad(kTimes, {{2, Declared(0s, 3s)}, {3, Declared(2s, 11s)}}, 1);
     CPPUNIT_ASSERT_EQUAL(uint64_t{2}, plan->m_version);
   }
 
-  // Callers find no replica for seven seconds: the origin died while the older
-  // of two versions was drawn, and returned when the newer one was about to bar
-  // it. All replicas loaded the older one, used it for half a second, and
-  // loaded again once the newer one had come, which had to wait.
+  // Guards against callers finding no replica for seven seconds: the origin was
+  // unavailable during the transfer of the older of two versions, and returned
+  // when the newer one was about to become binding. All replicas loaded the
+  // older version, used it for half a second, and had to load again once the
+  // newer one had arrived late.
   void SoonUnusableVersionIsSkipped() {
     const std::map<uint64_t, DeclaredVersion> late = {{2, Declared(0s, 8s)},
                                                       {3, Declared(2s, 11s)}};
@@ -100,7 +104,7 @@
     const std::map<uint64_t, DeclaredVersion> in_time = {
         {2, Declared(0s, 7200ms)}, {3, Declared(2s, 11s)}};
     CPPUNIT_ASSERT_EQUAL(uint64_t{2}, PlanLoad(kTimes, in_time, 1)->m_version);
-    // The newest is loaded however late it comes.
+    // The newest version is loaded however late it arrives.
     CPPUNIT_ASSERT_EQUAL(
         uint64_t{2}, PlanLoad(kTimes, {{2, Declared(0s, 99s)}}, 1)->m_version);
   }
@@ -113,8 +117,8 @@
     CPPUNIT_ASSERT(DrainTime(1) > Duration());
   }
 
-  // Each host works out its turn alone. For any number of replicas no two turns
-  // are the same, and all leave time for the load before the bound.
+  // Each host computes its load time from the same list. For any number of
+  // replicas, all load times must differ and must not be later than the bound.
   void ReplicasLoadAtDistinctTimesBeforeBound() {
     const bool held = rc::check("turns", [] {
       const size_t count = *rc::gen::inRange<size_t>(2, 60);
--- a/src/libverbenalead/decide/members.cc
+++ b/src/libverbenalead/decide/members.cc
@@ -25,7 +25,7 @@
   return true;
 }
 
-/// Near ones first, then by hash.
+/// Sorts targets of the own region first, then by hash.
 void Rank(const MembersState& state, std::vector<RankedTarget>& targets) {
   std::map<std::string, uint64_t> hashes;
   for (const RankedTarget& target : targets)
@@ -79,8 +79,8 @@
       watched.push_back(target);
       const TimePoint last_seen =
           state.m_heard.try_emplace(target.name(), now).first->second;
-      // A silent or leaving one stays watched, in case it comes back, but
-      // another takes its place in the count.
+      // A silent or leaving target stays watched, in case it returns, but does
+      // not count, so that another one is watched in addition.
       if (now - last_seen < kSilentAfter && !target.leaving())
         ++alive;
     }
--- a/src/libverbenalead/decide/members.h
+++ b/src/libverbenalead/decide/members.h
@@ -11,48 +11,52 @@
 
 namespace verbenalead::decide {
 
-/// Targets that one entry watches, in all pools together. Each costs about 130
-/// bytes a second while idle, so 48 stay below the 8 KB a second that a daemon
-/// may spend on control; today's pools of 12 are known whole.
+/// Number of targets that one entry watches, in all pools together. Each idle
+/// target costs about 130 bytes a second, so that 48 targets stay below the
+/// 8 KB a second that a daemon may spend on control traffic. Pools of 12
+/// targets are watched completely.
 constexpr size_t kWatchedPerEntry = 48;
-/// Targets of one pool that an entry knows at the least: with fewer, one slow
-/// and one lost target would leave no choice.
+/// Minimum number of targets that an entry watches in each pool. With fewer,
+/// one slow and one lost target would leave no choice.
 constexpr size_t kLeastPerPool = 4;
-/// Entries that watch a target whatever its pool: three, so that a target is
-/// still known after two of them are lost together.
+/// Number of entries that watch a target whatever its pool. Three, so that the
+/// target is still watched after two of them are lost together.
 constexpr size_t kReporters = 3;
-/// A watched target that says nothing for so long is dead or cut off, and the
-/// next one by rank is watched besides.
+/// A watched target that has not answered for this time is considered dead or
+/// cut off, and the next target by rank is watched in addition.
 constexpr Duration kSilentAfter = 3s;
 
-/// A target in the order in which this entry prefers the targets of its pool.
+/// A target in the ranking of its pool by this entry.
 struct RankedTarget {
   model::Host m_host;
-  /// Whether this entry is among the target's reporters.
+  /// Whether this entry is one of the target's kReporters.
   bool m_reports_here = false;
 };
 
-/// What an entry knows of who is there. Hosts come from the platform's list,
-/// which lags and is only a hint; who is alive is learned from the hosts.
+/// The targets that an entry knows of. Hosts come from the platform's host
+/// list, which lags behind and is only a hint; whether a host is alive is
+/// learned from the host itself.
 struct MembersState {
   std::string m_self;
   std::string m_region;
-  /// By pool, best first. Ranked when the list changes, not at each look: at
-  /// 630 entries and 1,700 targets that takes two milliseconds.
+  /// Targets by pool, in order of preference. Ranked when the host list changes
+  /// and not at each use, as ranking takes two milliseconds with 630 entries
+  /// and 1,700 targets.
   std::map<std::string, std::vector<RankedTarget>> m_pools;
-  /// When a target last answered, or was first watched.
+  /// When each target last answered, or was first watched.
   std::map<std::string, TimePoint> m_heard;
 };
 
-/// Takes in the list. Targets that it no longer shows are forgotten.
+/// Replaces the host list. Targets that are no longer listed are removed.
 void SetHosts(MembersState& state, const std::vector<model::Host>& hosts);
 
-/// Target `name` has answered.
+/// Records that target `name` has answered.
 void Heard(MembersState& state, const std::string& name, TimePoint now);
 
-/// The targets that this entry is to watch now: those whose rendezvous hash
-/// with it ranks highest in each pool, of its own region first, and those that
-/// rank it among their kReporters. When one goes, only its own place moves.
+/// The targets that this entry has to watch now: in each pool, those that rank
+/// highest by rendezvous hash with this entry, with targets of its own region
+/// first, and all targets for which it is one of the kReporters. When a target
+/// goes, only its own position in the selection changes.
 std::vector<model::Host> Watched(MembersState& state, TimePoint now);
 
 }  // namespace verbenalead::decide
--- a/src/libverbenalead/decide/members_test.cc
+++ b/src/libverbenalead/decide/members_test.cc
@@ -47,9 +47,10 @@
     CPPUNIT_ASSERT_EQUAL(size_t{24}, Watched(state, TimePoint()).size());
   }
 
-  // Callers see "no target" or an idle target if nobody watches it. Every tenth
-  // entry is lost at once; each target must still be watched by another, and
-  // each entry watch enough of each pool in its region, within its budget.
+  // Guards against calls refused with "no target", and against idle targets,
+  // when no entry watches a target. Every tenth entry is lost at once. Each
+  // target must still be watched by another entry, and each entry must watch
+  // enough targets of each pool in its region, within its budget.
   void TargetsStayWatchedAfterEntryLosses() {
     const auto hosts = Fleet(630, 1700);
     std::map<std::string, size_t> watchers;
@@ -71,8 +72,9 @@
       CPPUNIT_ASSERT(count >= 1);
   }
 
-  // Half of an entry's targets die in silence, as with a lost switch; the
-  // list goes on naming them. After kSilentAfter as many others are watched.
+  // Half of the targets of an entry die without notice, as with a lost switch,
+  // and stay in the host list. After kSilentAfter, as many others must be
+  // watched.
   void SilentTargetsAreReplaced() {
     const auto hosts = Fleet(630, 1700);
     MembersState state = StateOf(hosts[0], hosts);
--- a/src/libverbenalead/decide/reading_turn.cc
+++ b/src/libverbenalead/decide/reading_turn.cc
@@ -3,20 +3,24 @@
 namespace verbenalead::decide {
 namespace {
 
-/// The lost reader, as long as it is heard of, and the first to take over.
+/// Up to the first rank, entries take over without delay: the next entry, and
+/// the lost reader itself, which counts in the ranks until it is considered
+/// lost. Up to the second rank, they take over after kShortTakeoverDelay.
 constexpr size_t kLastImmediateRank = 1;
 constexpr size_t kLastShortDelayRank = 3;
-/// Time for one that comes first to ask the store, 10 ms, and to tell the
-/// others, 100 ms.
+/// Time for an entry that takes over without delay to query the store, 10 ms,
+/// and to announce the result to the others, 100 ms.
 constexpr Duration kShortTakeoverDelay = 200ms;
-/// A reader is missed 1.5 s after its last answer, and what changed must be in
-/// force after 2 s; so none waits longer than this.
+/// A reader is considered lost 1.5 s after its last answer, and a change must
+/// be in force within 2 s, so that no entry may wait longer than this.
 constexpr Duration kMaxTakeoverDelay = 350ms;
 
-/// Entries of a data centre that go on asking. One may be cut off by itself.
+/// Entries of a data centre that continue to poll at the usual rate. Two, since
+/// one may be cut off by itself.
 constexpr size_t kConstantPollers = 2;
-/// The pause of the others: what changed must be in force after 2 s, and they
-/// hear of it from a neighbour long before, if any is answered.
+/// Pause of the other entries. It is below the 2 s within which a change must
+/// be in force. If the store answers any entry, the others receive the change
+/// from it long before.
 constexpr Duration kMinRetryPause = 1200ms;
 constexpr Duration kMaxRetryPause = 1800ms;
 
--- a/src/libverbenalead/decide/reading_turn.h
+++ b/src/libverbenalead/decide/reading_turn.h
@@ -7,47 +7,52 @@
 
 namespace verbenalead::decide {
 
-/// How an entry learns what the store holds.
+/// From where an entry gets the tables of the store.
 enum class Reading {
-  /// From a near entry that reads it.
+  /// From another entry of its data centre that reads the store.
   kFromPeer,
-  /// Not just now: one that comes first may be taking over.
+  /// From nowhere for now: an entry that ranks before this one may be taking
+  /// over.
   kWaiting,
-  /// By itself.
+  /// From the store.
   kOwn,
 };
 
-/// Which of the entries of a data centre reads the store when the one that did
-/// can't any more.
+/// Decides which entry of a data centre reads the store after the reading entry
+/// has failed or has lost the store.
 ///
-/// Load: 15 entries near each other, a configuration of 100 KB that changes
+/// Load: 15 entries in one data centre, a configuration of 100 KB that changes
 /// five times a second, and a link of 29 Mbit/s to the store that is half used.
-/// Harm: when the answers for the reading entry came too late, all others
-/// turned to the store at once; their 1.5 MB for each change kept the link full
-/// and all answers late, so that they went on. Configurations and departures of
-/// replicas were heard of 3 to 11 s late, in place of 2 s.
+/// Harm: when the responses to the reading entry came too late, all others
+/// turned to the store at once. Their 1.5 MB for each change kept the link
+/// saturated and all responses late, so that all entries continued to read.
+/// Configurations and departures of replicas arrived after 3 to 11 s instead of
+/// 2 s.
 struct ReadingTurn {
   bool m_had_reader = false;
-  /// When it is this entry's turn, once nobody reads for it any more.
+  /// From when this entry reads the store itself, if no other entry reads it by
+  /// then. Set when the reader is lost.
   TimePoint m_own_from{};
 };
 
-/// What to do now. `has_reader`: a near entry reads for this one; `before`: how
-/// many near entries come before this one in the order of taking over.
+/// From where to get the tables now. `has_reader`: another entry of the data
+/// centre reads the store on behalf of this one. `rank`: how many entries of
+/// the data centre come before this one in the order of takeover.
 Reading NextReading(ReadingTurn& turn,
                     bool has_reader,
                     size_t rank,
                     TimePoint now);
 
-/// Least pause of a reading entry after a question that the store didn't
+/// Minimum pause of a reading entry after a request that the store did not
 /// answer.
 ///
-/// Load: the store is away for 5 s, and 45 entries have all taken over reading.
-/// Harm: asked four times a second by each of them, for two tables, it got
-/// 1,800 questions that the users pay for. The first of each data centre ask
-/// on, and tell the others of its return; those ask seldom, in case that the
-/// store only turns the first ones away. `spread`, 0 to 1, keeps them from
-/// asking together.
+/// Load: the store is unavailable for 5 s, and all of 45 entries have taken
+/// over reading. Harm: each entry polled two tables four times a second, in
+/// total 1,800 requests that the users pay for. With the pause, only the first
+/// entries of each data centre continue to poll at the usual rate, and they
+/// announce the return of the store. The others poll seldom, in case the store
+/// refuses only the first ones. `spread`, 0 to 1, keeps them from polling at
+/// the same moment.
 Duration PauseAfterFailure(size_t rank, double spread);
 
 }  // namespace verbenalead::decide
--- a/src/libverbenalead/decide/reading_turn_test.cc
+++ b/src/libverbenalead/decide/reading_turn_test.cc
@@ -9,7 +9,8 @@
 namespace {
 
 constexpr TimePoint kStart{std::chrono::hours(1)};
-/// From the question to the store until the others hear of its answer.
+/// Time from the request to the store until the other entries learn of its
+/// response.
 constexpr Duration kTakeoverLatency = 120ms;
 constexpr Duration kTick = 50ms;
 
@@ -23,9 +24,10 @@
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // Users pay for 1,800 questions to a store that is away for 5 s: 15 entries
-  // of each data centre ask four times a second. Two of them find its return;
-  // the others ask less than once a second, each at another time.
+  // Guards against 1,800 paid requests to a store that is unavailable for 5 s:
+  // 15 entries of each data centre poll it four times a second. Two entries
+  // have to poll at the usual rate to detect its return; the others poll less
+  // than once a second, each at another time.
   void FewEntriesPollUnavailableStore() {
     size_t without_pause = 0;
     for (size_t rank = 0; rank < 15; ++rank) {
@@ -38,15 +40,17 @@
     CPPUNIT_ASSERT(PauseAfterFailure(9, 0.1) < PauseAfterFailure(9, 0.9));
   }
 
-  // Callers are served by a configuration that is many seconds old: the entry
-  // that reads the store for its 14 neighbours loses it. All 14 turned to the
-  // store at once, filled the link to it, and none was answered in time.
+  // Guards against calls being served by a configuration that is many seconds
+  // old: the entry that reads the store for 14 other entries loses it. All 14
+  // turned to the store at once and saturated the link to it, and none got a
+  // response in time.
   void OneEntryTakesOverFromLostReader() {
     CPPUNIT_ASSERT_EQUAL(size_t{1}, CountReaders(true));
   }
 
-  // Changes would stay unknown: no neighbour gets an answer. Within 0.35 s each
-  // entry asks for itself.
+  // Guards against changes that stay unknown because no entry of the data
+  // centre gets a response. Each entry must read the store itself within
+  // 0.35 s.
   void AllReadWithoutAnnouncements() {
     CPPUNIT_ASSERT_EQUAL(size_t{14}, CountReaders(false));
   }
@@ -68,8 +72,9 @@
   }
 
  private:
-  /// Entries that asked the store within a second after the reader was lost;
-  /// `heard`: the others hear of the first that took over.
+  /// Number of entries that read the store within a second after the loss of
+  /// the reader. `announced`: the others learn of the first entry that takes
+  /// over.
   size_t CountReaders(bool announced) {
     std::vector<ReadingTurn> failovers(14);
     std::vector<bool> has_read(14);
--- a/src/libverbenalead/decide/report_news.cc
+++ b/src/libverbenalead/decide/report_news.cc
@@ -8,7 +8,7 @@
 constexpr char kSeparator = '.';
 constexpr uint64_t kProgressSteps = 10;
 
-/// What in `report` may not wait.
+/// `report` without the fields whose changes may wait.
 model::TargetReport UrgentPart(model::TargetReport report) {
   report.m_running = 0;
   report.m_origin_bytes = 0;
--- a/src/libverbenalead/decide/report_news.h
+++ b/src/libverbenalead/decide/report_news.h
@@ -7,25 +7,28 @@
 
 namespace verbenalead::decide {
 
-/// Whether a target's report is news to an entry.
+/// How urgently an entry needs a target's report, given the report that it has
+/// seen.
 enum class ReportNews {
-  kNone,    ///< It is what the entry has seen.
-  kLater,   ///< Load or bytes have moved: may wait until the question ends.
-  kUrgent,  ///< What the target takes, serves or loads has changed.
+  kNone,    ///< The entry has seen this report.
+  kLater,   ///< Load or byte counts changed: may wait until the poll ends.
+  kUrgent,  ///< What the target accepts, serves or loads has changed.
 };
 
-/// Names the content of `report` for the next question. Progress counts as
-/// urgent by tenths of a version.
+/// Mark that identifies the content of `report`; the entry sends it with its
+/// next poll. Transfer progress counts as urgent in steps of a tenth of a
+/// version.
 std::string MarkOf(const model::TargetReport& report);
 
-/// What a report with `mark` is to an entry that has seen one with `seen`.
+/// How urgent a report with `mark` is for an entry that has seen one with
+/// `seen`.
 ///
-/// Made for targets under load, whose count of running attempts is another one
-/// each time. Were that urgent, each would report with every poll, four times a
-/// second; an entry that watches 45 targets would take in 100 KB a second,
-/// where 8 KB are allowed for control. The entry knows its own attempts at once
-/// and the others' from the answers that pass through it, so the report's count
-/// may be late.
+/// Under load, the count of running attempts differs at each poll. If it were
+/// urgent, each target would report at every poll, four times a second, and an
+/// entry that watches 45 targets would receive 100 KB a second, where 8 KB are
+/// allowed for control traffic. The count may be late: an entry knows its own
+/// attempts at once, and those of other entries from the responses that pass
+/// through it.
 ReportNews NewsOf(const std::string& mark, const std::string& seen);
 
 }  // namespace verbenalead::decide
--- a/src/libverbenalead/decide/report_news_test.cc
+++ b/src/libverbenalead/decide/report_news_test.cc
@@ -21,8 +21,8 @@
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // Under load the count of running attempts changes all the time; a report for
-  // each change would break the limit on control traffic.
+  // Under load, the count of running attempts changes all the time. A report
+  // for each change would exceed the limit for control traffic.
   void LoadChangeIsNotUrgent() {
     const std::string seen = MarkOf(Report());
     CPPUNIT_ASSERT(NewsOf(MarkOf(Report()), seen) == ReportNews::kNone);
--- a/src/libverbenalead/decide/staging_area.h
+++ b/src/libverbenalead/decide/staging_area.h
@@ -5,27 +5,32 @@
 
 namespace verbenalead::decide {
 
-/// A version whose chunks lie in an engine's staging area, or are to.
+/// A version whose chunks are in the staging area of an engine, or are to be
+/// staged.
 struct StagedVersion {
   uint64_t m_version = 0;
-  /// Part of its chunks that this host has, 0 to 1.
+  /// Share of its chunks that this host has, 0 to 1.
   double m_share = 0;
 
   friend bool operator==(const StagedVersion&, const StagedVersion&) = default;
 };
 
-/// A version that has come so far is worth ending: its rest comes from other
-/// hosts, whatever becomes of the origin.
+/// From this share on, the transfer of a version is completed before a newer
+/// one replaces it: the other chunks come from other hosts, even if the origin
+/// is unavailable.
 constexpr double kShareToEnd = 0.4;
 
-/// Whether chunks of `wanted` may be staged over those of `present`, in an
-/// engine that has `loaded`. The area has one place for each chunk number.
+/// Whether chunks of `wanted` may overwrite those of `present` in the staging
+/// area of an engine that has `loaded`. The area holds one chunk for each chunk
+/// number.
 ///
-/// Failure: two versions in quick succession; the newer one's first chunks take
-/// the places of the older one, then the origin dies. Symptom: neither is whole
-/// on any host, and no replica may be used once the older one binds. A version
-/// that isn't loaded yet is only given up for one that is whole, or while
-/// little of it is here; until then the newer chunks wait in memory.
+/// Failure: two versions are declared in quick succession, the first chunks of
+/// the newer one overwrite those of the older one, and then the origin becomes
+/// unavailable. Symptom: neither version is complete on any host, and no
+/// replica may be used once the older one becomes binding. Therefore a version
+/// that is not loaded yet is only overwritten by a complete one, or while less
+/// than kShareToEnd of it is present. Until then the chunks of the newer
+/// version wait in memory.
 inline bool MayStage(const StagedVersion& present,
                      const StagedVersion& wanted,
                      uint64_t loaded) {
--- a/src/libverbenalead/decide/staging_area_test.cc
+++ b/src/libverbenalead/decide/staging_area_test.cc
@@ -18,9 +18,9 @@
     CPPUNIT_ASSERT(MayStage({0, 0}, {1, 0}, 0));
   }
 
-  // Callers find no replica: version 2 is whole and waits for its turn, the
-  // first chunks of version 3 take its places, and then the origin dies. Only a
-  // version that is whole may take them.
+  // Guards against callers finding no replica: version 2 is complete and waits
+  // to be loaded, the first chunks of version 3 overwrite it, and then the
+  // origin becomes unavailable. Only a complete version may overwrite it.
   void VersionAwaitingLoadIsKept() {
     CPPUNIT_ASSERT(!MayStage({2, 1}, {3, 0.9}, 1));
     CPPUNIT_ASSERT(!MayStage({2, 0.5}, {3, 0.9}, 1));
--- a/src/libverbenalead/decide/summary_route.cc
+++ b/src/libverbenalead/decide/summary_route.cc
@@ -7,7 +7,8 @@
 namespace {
 
 /// Recipients in each data centre. With one, and a third of the entries dead,
-/// entries are left without news until they take all far ones for gone.
+/// entries receive no summaries for so long that they consider all remote
+/// entries lost.
 constexpr size_t kRecipientsPerDataCenter = 3;
 
 }  // namespace
--- a/src/libverbenalead/decide/summary_route.h
+++ b/src/libverbenalead/decide/summary_route.h
@@ -9,50 +9,55 @@
 
 namespace verbenalead::decide {
 
-/// Another entry, as far as summaries are concerned.
+/// Another entry, with the fields that decide who sends and receives summaries.
 struct SummaryPeer {
   std::string m_host;
   std::string m_data_center;
-  /// Something was heard of it not long ago.
+  /// Whether an update about it was received recently.
   bool m_heard = false;
-  /// It takes calls.
+  /// Whether it takes calls.
   bool m_ready = false;
 
   friend bool operator==(const SummaryPeer&, const SummaryPeer&) = default;
 };
 
-/// Whether the entry `host` sums up its data centre for the others.
+/// Whether the entry `host` sends the summary of its data centre to the others.
 ///
 /// Load: hundreds of entries and replicas in several data centres. Harm: when
-/// each target told each far entry of its replica, and each entry each far one
-/// of itself, these messages grew with the square of the fleet and took more of
-/// the links between regions than the calls did. One entry of a data centre
-/// sums it up, three of each other data centre get the sum and hand it on to
-/// their neighbours; so they grow with the hosts times the data centres.
+/// each target sent the state of its replica to each remote entry, and each
+/// entry its own state to each remote entry, these messages grew with the
+/// square of the fleet and took more of the links between regions than the
+/// calls did. Instead, one entry of a data centre sends a summary of it to
+/// three entries of each other data centre, which relay it to their neighbours.
+/// The messages then grow with the number of hosts times the number of data
+/// centres.
 ///
-/// It is the entry whose name is least among those that take calls and are
-/// heard of. Two that don't hear each other both send, which does no harm; if
-/// the sender dies the next one takes over once it isn't heard of any more.
+/// The sender is the entry with the least name among those that take calls and
+/// sent updates recently. Two entries that do not receive each other's updates
+/// both send, which does no harm. If the sender dies, the next entry takes over
+/// once the updates of the sender have stopped for long enough.
 bool SendsSummary(const std::string& host,
                   const std::string& data_center,
                   const std::vector<SummaryPeer>& peers);
 
-/// Who gets the summary of `data_center`: three entries of each other one,
-/// drawn anew each time, so that nobody has to find out which of them is dead
-/// or cut off.
+/// The recipients of the summary of `data_center`: three entries of each other
+/// data centre, drawn at random each time, so that no entry has to detect which
+/// of them are dead or cut off.
 std::vector<std::string> SummaryRecipients(
     const std::string& data_center,
     const std::vector<SummaryPeer>& peers,
     std::mt19937_64& random);
 
-/// Far replicas are chosen by these news, which are at most so old.
+/// Interval between summaries, and so the greatest age of the state by which
+/// remote replicas are chosen.
 constexpr Duration kSummaryInterval = 1s;
-/// Replicas that begin or end loads are told of sooner. While 30 of them load
-/// within four seconds, all changes of this time go together.
+/// Shorter interval, used when replicas have begun or finished a load. While 30
+/// replicas load within four seconds, all changes of one interval are sent
+/// together.
 constexpr Duration kChangedSummaryInterval = 250ms;
 
-/// Whether a summary is to be sent now. `changed`: a replica has begun or ended
-/// a load since the last one was sent.
+/// Whether a summary is due. `changed`: a replica has begun or finished a load
+/// since the last one was sent.
 inline bool IsSummaryDue(TimePoint sent_at, bool changed, TimePoint now) {
   return now - sent_at >=
          (changed ? kChangedSummaryInterval : kSummaryInterval);
--- a/src/libverbenalead/decide/summary_route_test.cc
+++ b/src/libverbenalead/decide/summary_route_test.cc
@@ -11,13 +11,14 @@
 namespace {
 
 constexpr Duration kTick = 100ms;
-/// An entry that isn't heard of for so long is taken for gone by near ones, and
-/// by far ones.
+/// Time without updates after which an entry is considered lost by entries of
+/// its own data centre, and by remote entries.
 constexpr Duration kLocalPeerTimeout = 1300ms;
 constexpr Duration kRemotePeerTimeout = 8s;
 
-/// Entries of some data centres that tell summaries to each other by datagrams
-/// that get lost. Near entries hear of each other all the time.
+/// Simulates entries of several data centres that send summaries to each other
+/// by datagrams, some of which are lost. Entries of one data centre receive
+/// each other's updates at every tick.
 class SummaryFleet {
  public:
   SummaryFleet(uint64_t seed, int data_centers, int entries, int lost_percent)
@@ -39,7 +40,8 @@
     }
   }
 
-  /// Ends a share of all entries, but for one of each data centre.
+  /// Kills a share of all entries, but leaves at least one of each data centre
+  /// alive.
   void Kill(int percent) {
     std::set<std::string> centers_with_survivor;
     for (auto& [host, entry] : m_entries) {
@@ -47,7 +49,8 @@
         continue;
       entry.m_dead = Chance(percent);
     }
-    // The one that is spared is the sender; let it die where others live.
+    // The first entry of a data centre was spared above and is the sender. Kill
+    // it too if other entries of its data centre are alive.
     for (auto& [host, entry] : m_entries) {
       if (centers_with_survivor.erase(entry.m_data_center) > 0)
         entry.m_dead = CountAlive(entry.m_data_center) > 1;
@@ -65,8 +68,8 @@
     }
   }
 
-  /// The longest time for which a living entry heard nothing of another data
-  /// centre.
+  /// The longest time for which a living entry received no summary of another
+  /// data centre.
   Duration max_summary_age() const { return m_max_summary_age; }
   uint64_t sent() const { return m_sent; }
 
@@ -204,7 +207,7 @@
                                             {"b2", "b", true, false},
                                             {"b3", "b", true, true},
                                             {"c1", "c", false, false}};
-    // Where nobody is known to take calls, anybody who is listed may.
+    // If no entry is known to take calls, any listed entry may be a recipient.
     CPPUNIT_ASSERT(SummaryRecipients("a", peers, m_random) ==
                    std::vector<std::string>({"b3", "c1"}));
   }
@@ -217,11 +220,12 @@
     CPPUNIT_ASSERT(IsSummaryDue(sent, false, sent + 1s));
   }
 
-  // Calls of a data centre that has lost its entries would go nowhere: an entry
-  // that hears nothing of the others takes all of them for gone. A third of all
-  // entries end without a word, the senders among them, and one datagram in
-  // twenty is lost at each step. Those that live go on to hear of each data
-  // centre within the time after which they would take it for gone.
+  // Guards against an entry that receives no summaries and therefore considers
+  // all remote entries lost, so that it has nowhere to send calls when its data
+  // centre loses its entries. A third of all entries die without notice, the
+  // senders among them, and one datagram in twenty is lost at each step. The
+  // living entries must still receive summaries of each data centre before they
+  // would consider it lost.
   void SummariesArriveWhenEntriesDie() {
     const bool held = rc::check("nobody stays blind", [] {
       SummaryFleet fleet(*rc::gen::arbitrary<uint64_t>(),
@@ -234,9 +238,10 @@
     CPPUNIT_ASSERT(held);
   }
 
-  // The links between regions are full of news: with each entry
-  // telling each far one they grow with the square of the fleet. With summaries
-  // they are the same for 100 entries and for 300.
+  // Guards against saturated links between regions: when each entry sends
+  // updates to each remote entry, the messages grow with the square of the
+  // fleet. With summaries, their number is the same for 100 entries and for
+  // 300.
   void MessagesGrowWithDataCentersOnly() {
     for (const int entries : {20, 60}) {
       SummaryFleet fleet(7, 5, entries, 0);
