--- a/src/libverbenalead/entry/attempt.cc
+++ b/src/libverbenalead/entry/attempt.cc
@@ -6,7 +6,7 @@
 constexpr int kMisdirected = 421;
 constexpr int kFirstServerError = 500;
 
-/// Judges the head of an answer.
+/// Sets the result of the attempt from the head of its answer.
 void Judge(AttemptResult& result, const std::string& request_id) {
   using decide::AttemptEnd;
   result.m_facts = platform::DecodeAnswer(result.m_head);
--- a/src/libverbenalead/entry/attempt.h
+++ b/src/libverbenalead/entry/attempt.h
@@ -13,30 +13,34 @@
 
 namespace verbenalead::entry {
 
-/// One request at one replica, up to the head of its answer.
+/// Result of sending one request to one replica, up to the head of the answer.
 struct AttemptResult {
   decide::AttemptEnd m_end = decide::AttemptEnd::kBroken;
-  /// It may have run: bytes went out, and nothing says that it didn't.
+  /// The call may have run: bytes were sent, and the replica didn't report that
+  /// it wasn't executed. An at-most-once call must not be retried then.
   bool m_may_have_run = false;
   wire::ResponseHead m_head;
   platform::AnswerFacts m_facts;
   /// Reads the body; null where there is no answer.
   std::unique_ptr<wire::ResponseReader> m_reader;
-  /// What went wrong.
+  /// Why the attempt failed, for the log.
   std::string m_reason;
-  /// Why no more of the answer came; absent: it did, or the replica ended it.
+  /// Why the request or the reading of the answer failed; absent: no failure,
+  /// or the replica ended the answer itself.
   std::optional<FailureCode> m_failure;
 };
 
-/// Sends `request` to `endpoint`. `result` has a reader then, or why not.
+/// Sends `request` to `endpoint`. Sets the reader in `result`, or the reason
+/// and the failure code if the request could not be sent.
 Awaitable<void> OpenAttempt(wire::Client& http,
                             Endpoint endpoint,
                             wire::Request request,
                             TimePoint deadline,
                             AttemptResult& result);
 
-/// Waits for the head of the answer until `deadline`. `request_id`: an answer
-/// to another request is none.
+/// Waits until `deadline` for the head of the answer and classifies it. An
+/// answer that carries another id than `request_id` belongs to another request
+/// and counts as a broken attempt.
 Awaitable<void> ReadAnswerHead(std::string request_id,
                                TimePoint deadline,
                                AttemptResult& result);
--- a/src/libverbenalead/entry/call_attempt.cc
+++ b/src/libverbenalead/entry/call_attempt.cc
@@ -10,8 +10,8 @@
 
 using decide::AttemptEnd;
 
-/// A replica stops work this much before the caller gives up, so that its
-/// verdict still gets back.
+/// The replica's deadline is this much before the call's, so that its last
+/// answer still reaches the caller in time.
 constexpr Duration kReplicaMargin = 20ms;
 
 const char* ToString(AttemptEnd end) {
@@ -103,7 +103,8 @@
 
 Awaitable<void> CallAttempt::ReadAhead() {
   auto piece = co_await ReadBody();
-  // An end, or a break, is found again by whoever reads on.
+  // Only a piece is stored: the end of the body, or a failure, shows again at
+  // the next ReadBody().
   if (piece && piece->has_value())
     m_ahead = std::move(**piece);
   else if (!piece)
--- a/src/libverbenalead/entry/call_attempt.h
+++ b/src/libverbenalead/entry/call_attempt.h
@@ -12,9 +12,10 @@
 
 namespace verbenalead::entry {
 
-/// One attempt of a call at one replica: its place there, its connection, and
-/// what of the answer has been read. A call may have two at once. An attempt
-/// that has got a place must be ended by End().
+/// One attempt of a call at one replica. It owns a place at the replica, the
+/// connection, and the part of the answer that has been read. A call may have
+/// two attempts at once: the first and its hedge. End() must be called for each
+/// attempt that got a place; otherwise the place is never released.
 class CallAttempt {
  public:
   CallAttempt(CallServices services, std::shared_ptr<CallRecord> record);
@@ -22,50 +23,61 @@
   CallAttempt(const CallAttempt&) = delete;
   CallAttempt& operator=(const CallAttempt&) = delete;
 
-  /// Waits for a place until `wait_until`, sends the call there and waits for
-  /// the head of the answer. False: it got no place, or was cancelled before it
-  /// had one. `on_sent` is called when there is a place.
+  /// Waits for a place until `wait_until`, sends the call to that replica and
+  /// waits for the head of the answer. `on_sent` is called just before the call
+  /// is sent. False: nothing was sent, since no place came free in time, or the
+  /// attempt was cancelled, the call's time ran out or the replica was removed
+  /// meanwhile.
   Awaitable<bool> Send(TimePoint wait_until,
                        const std::function<void()>& on_sent);
-  /// Reads a first piece of the body ahead; it is what ReadBody() gives next.
+  /// Reads the first piece of the body and stores it for the next ReadBody().
+  /// Shows that the replica really answers before the attempt is used.
   Awaitable<void> ReadAhead();
-  /// The next piece of the body, as `wire::ResponseReader` gives it.
+  /// Returns the next piece of the body, as `wire::ResponseReader::ReadBody`.
   Awaitable<AsyncResult<std::optional<std::string>>> ReadBody();
-  /// Nobody waits for its answer any more: all that waits in it ends.
+  /// Cancels the attempt, as its answer isn't needed any more: the coroutine
+  /// that waits for a place or for data of this attempt returns.
   void Cancel();
-  /// Gives its place back and lets go of the connection.
+  /// Closes the connection and releases the place at the replica. `end` is
+  /// recorded for the replica.
   void End(decide::AttemptEnd end);
-  /// The line that tells how it went.
+  /// Writes the log line of the attempt's result.
   void Log(decide::AttemptEnd end, const std::string& reason) const;
 
-  /// It has a place, and the call is on its way.
+  /// The attempt has got a place, and the call is being sent or was sent.
   bool sent() const { return m_number > 0; }
   bool cancelled() const { return m_cancelled; }
   const std::string& incarnation() const { return m_incarnation; }
-  /// How the answer began.
+  /// The result up to the head of the answer.
   const AttemptResult& result() const { return m_result; }
   AttemptResult& result() { return m_result; }
 
  private:
   platform::ForwardedCall Forwarded(const decide::ReplicaState& replica) const;
-  /// When a call that hasn't begun at `replica` must not begin there any more.
-  /// A call may wait in a replica's queue for a second: it was sent while older
-  /// weights were allowed and would begin when they aren't.
+  /// Time after which the call must not start at `replica`, because newer
+  /// weights than the replica's become mandatory. A call may wait in a
+  /// replica's queue for a second; without this limit, a call sent while the
+  /// older weights were still allowed could start, and be answered by them,
+  /// after that time.
   TimePoint WeightsDeadline(const decide::ReplicaState& replica) const;
-  /// Takes what the head of the answer says of the call and of the replica.
+  /// Updates the call's progress, and the replica's known weights version, from
+  /// the head of the answer.
   void NoteHead();
 
   const CallServices m_services;
   const std::shared_ptr<CallRecord> m_record;
   uint64_t m_ticket = 0;
   bool m_cancelled = false;
-  /// The replica that has a place taken for this attempt; empty: none.
+  /// The replica at which this attempt holds a place; empty: none.
   std::string m_replica;
+  /// Replica and start time of its process, to tell apart processes that ran
+  /// under the same id.
   std::string m_incarnation;
-  /// Which attempt of its call it is, from 1 on; 0: it has no place yet.
+  /// Number of this attempt within the call, from 1; 0: no place yet.
   uint32_t m_number = 0;
   TimePoint m_sent_at{};
   AttemptResult m_result;
+  /// The piece of the body that ReadAhead() stored.
   std::optional<std::string> m_ahead;
 };
 
--- a/src/libverbenalead/entry/call_fixture.h
+++ b/src/libverbenalead/entry/call_fixture.h
@@ -72,8 +72,8 @@
   return options;
 }
 
-/// An entry with scripted replicas, `kReplicas` of them with four places each,
-/// and one organisation.
+/// An entry with one organisation and `kReplicas` scripted replicas of four
+/// places each.
 class CallFixture : public CppUnit::TestFixture {
  public:
   static constexpr size_t kReplicas = 4;
@@ -115,8 +115,8 @@
   }
 
  protected:
-  /// Makes one call and returns when nothing of it goes on any more. A caller
-  /// with patience leaves when that is over.
+  /// Makes one call and returns when all its work has ended. If `patience` is
+  /// set, the caller disconnects after that time.
   wire::RecordingWriter Call(const std::string& path,
                              const std::string& key = "key",
                              Duration patience = Duration()) {
@@ -141,12 +141,13 @@
     return caller;
   }
 
-  /// The replica that attempt `number` was meant for.
+  /// The replica to which attempt `number` (from 0) was sent.
   std::string Asked(size_t number) const {
     return wire::Get(m_replicas.m_requests.at(number).m_headers,
                      platform::kExpectReplica);
   }
 
+  /// Calls in flight at all replicas of the pool.
   uint32_t InFlight() {
     uint32_t calls = 0;
     for (const auto& [id, replica] :
--- a/src/libverbenalead/entry/call_plan.h
+++ b/src/libverbenalead/entry/call_plan.h
@@ -11,24 +11,28 @@
 
 namespace verbenalead::entry {
 
-/// What is decided of a call when it is admitted. Later configurations don't
-/// change it.
+/// Everything that is decided about a call when it is admitted: route, service,
+/// wait limit and deadline. It is a copy, so a configuration that arrives while
+/// the call runs doesn't affect it.
 struct CallPlan {
   model::InboundCall m_call;
   model::Route m_route;
   std::string m_service;
-  /// Empty: a plain service.
+  /// Model that the service's engines run; empty: the replicas aren't engines.
   std::string m_model;
   std::string m_organisation;
   uint64_t m_config_version = 0;
+  /// Identifies equal requests, so that one that crashes replicas is recognised
+  /// when it is sent again.
   uint64_t m_fingerprint = 0;
   decide::Patience m_patience;
-  /// How long ago its caller began, by what the caller says is left.
+  /// For how long, at least, the caller had been trying when the call arrived,
+  /// estimated from the time that the caller says is left.
   Duration m_elapsed{};
-  /// How long it is likely to run; zero: not known.
+  /// Expected run time at a replica; zero: not known.
   Duration m_length{};
   TimePoint m_began{};
-  /// When the caller, or the route, gives up.
+  /// The earlier of the caller's deadline and the time limit of the route.
   TimePoint m_deadline{};
 };
 
--- a/src/libverbenalead/entry/call_record.h
+++ b/src/libverbenalead/entry/call_record.h
@@ -12,22 +12,25 @@
 
 namespace verbenalead::entry {
 
-/// One call, and how far it has come. All its attempts at replicas share it,
-/// and keep it for as long as they need to let go of their places.
+/// One call and its progress. All its attempts at replicas share the record. An
+/// attempt holds it until it has released its place, which may be after the
+/// call itself has ended.
 struct CallRecord {
   CallRecord(CallPlan plan, wire::Request request)
       : m_plan(std::move(plan)), m_request(std::move(request)) {}
 
+  /// Time left until the call's deadline; negative after it.
   Duration Left(TimePoint now) const { return m_plan.m_deadline - now; }
 
   const CallPlan m_plan;
   const wire::Request m_request;
   decide::CallProgress m_progress;
   decide::PoolCall m_pool_call;
-  /// The events that the caller got.
+  /// Splits the answer into events; holds the id of the last event that was
+  /// passed to the caller, after which another replica resumes the stream.
   decide::EventSplitter m_events;
   CallTimes m_times;
-  /// Places taken at replicas.
+  /// Number of attempts that got a place at a replica.
   uint32_t m_attempts = 0;
 };
 
--- a/src/libverbenalead/entry/call_run.cc
+++ b/src/libverbenalead/entry/call_run.cc
@@ -96,7 +96,7 @@
                        decide::MayTryAgain(m_record->m_progress, end) &&
                        TakeRepeatAfter(end);
     if (!again && end == AttemptEnd::kFailed)
-      co_return true;  // The replica's own failure goes to the caller.
+      co_return true;  // The replica's error response is passed to the caller.
     EndAttempt(end);
     if (!again) {
       co_await GiveUp();
@@ -164,7 +164,8 @@
     response.m_body += **piece;
   }
   if (!whole) {
-    // Half an answer is none: a caller must not take it for a whole one.
+    // Part of an answer is never delivered, since the caller could not tell it
+    // from a complete one.
     if (m_caller.gone()) {
       EndAttempt(AttemptEnd::kAbandoned);
       LogCall("caller_gone", 0);
@@ -179,7 +180,8 @@
       co_await GiveUp();
       co_return;
     }
-    // A coroutine of its own for each further try: bounded by the attempts.
+    // Recursion: one coroutine for each further attempt, so its depth is
+    // bounded by the route's maximum of attempts.
     if (co_await Begin())
       co_await AnswerWhole();
     co_return;
@@ -277,13 +279,15 @@
 }
 
 bool CallRun::TakeRepeatAfter(AttemptEnd end) {
-  // What never arrived anywhere isn't repeated by going elsewhere.
+  // An attempt that reached no replica caused no load, so another one isn't
+  // counted as a retry.
   return end == AttemptEnd::kUnreachable ||
          TakeRepeat(m_state, m_plan.m_service);
 }
 
 void CallRun::NoteBreak() {
-  // Silence is no crash, and neither is what this entry ended itself.
+  // A time-out isn't evidence of a crash, nor is a break that this entry caused
+  // by cancelling the attempt.
   if (result().m_failure == FailureCode::kTimeout ||
       result().m_failure == FailureCode::kCancelled)
     return;
@@ -296,7 +300,8 @@
     return "caller";
   if (Left() <= Duration())
     return "time";
-  // What is left of the call's time would have let the replica go on.
+  // The call had time left, so a time-out here is due to the replica's silence,
+  // not to the call's deadline.
   return m_failure == FailureCode::kTimeout ? "silence" : "replica";
 }
 
--- a/src/libverbenalead/entry/call_run.h
+++ b/src/libverbenalead/entry/call_run.h
@@ -11,7 +11,11 @@
 
 namespace verbenalead::entry {
 
-/// One admitted call, from its first placing to its answer.
+/// Runs one admitted call: chooses a replica, sends the call, passes the answer
+/// to the caller, and retries, resumes or hedges where the route allows it.
+/// Whatever happens, the caller gets a true result: a call that may have run is
+/// never reported as not run, and part of an answer is never shown as a whole
+/// one.
 class CallRun {
  public:
   CallRun(CallServices services,
@@ -23,48 +27,58 @@
 
  private:
   Awaitable<void> Answer();
-  /// Places and sends until an answer is there; false: the caller was told why
-  /// not, or left.
+  /// Sends the call, with retries, until a replica begins to answer. False: no
+  /// answer; the caller has got an error response or has disconnected.
   Awaitable<bool> Begin();
-  /// Sends to one replica, and to a second one beside it if the first is
-  /// silent; false: no place. `again`: to go on with a stream.
+  /// Sends the call to one replica, and to a second one in parallel if the
+  /// first is silent. False: no place came free. `again`: resumes a stream at
+  /// another replica.
   Awaitable<bool> SendOnce(TimePoint wait_until, bool again);
   Awaitable<void> AnswerWhole();
   Awaitable<void> AnswerStream();
-  /// Passes on events until the replica's answer ends or breaks; true: it came
-  /// to its end.
+  /// Passes events to the caller until the replica's answer ends or breaks off.
+  /// True: the answer is complete.
   Awaitable<bool> RelayEvents();
-  /// Learns from this call how much time others need.
+  /// Records whether the first event was late, which adjusts how long later
+  /// calls of the service wait for a place.
   void LearnFromFirstEvent();
-  /// Goes on with the stream at another replica; false: none is to be had.
+  /// Resumes the stream at another replica. False: no replica took it over.
   Awaitable<bool> Resume();
-  /// Whether the answer goes on at a second replica that was asked beside the
-  /// present one, which broke off.
+  /// Called when the current replica has failed or broken off. Waits for the
+  /// hedge, if it was sent, and switches to it. True: the hedge answers.
   Awaitable<bool> GoesOnAtHedge();
-  /// No answer will come: says what is known of the call.
+  /// Ends a call without an answer: the caller is told that the call was not
+  /// run if that is certain, else that its outcome is unknown.
   Awaitable<void> GiveUp();
   Awaitable<void> Refuse(decide::Refusal refusal);
   Awaitable<void> Tell(int status,
                        const std::string& reason,
                        Duration retry_after);
 
-  /// The present attempt has a place, and is on its way.
+  /// Records that the current attempt has got a place, after waiting since
+  /// `asked`, and starts to watch the replica for silence.
   void NoteSent(TimePoint asked);
-  /// From now on another replica may be asked beside the present one.
+  /// Starts a new hedge for the current attempt, if one is allowed.
   void WatchSilence();
   void StopWatching();
+  /// The hedge has begun to answer and can replace the current attempt.
   bool HedgeAnswers() const { return m_hedge && m_hedge->ready(); }
-  /// The second attempt has begun to answer, and takes the place of the first.
+  /// Ends the current attempt and replaces it by the hedge's attempt.
   void TakeHedge();
-  /// The caller left: nothing is worth waiting for.
+  /// Cancels all attempts when the caller has disconnected.
   void CancelAll();
-  /// Ends the attempt at the present replica.
+  /// Ends the current attempt and keeps its reason for the log.
   void EndAttempt(decide::AttemptEnd end);
+  /// Whether a retry after `end` is within the limit on retries. A retry after
+  /// an unreachable replica isn't counted.
   bool TakeRepeatAfter(decide::AttemptEnd end);
+  /// Counts a crash of the replica under this request, unless the attempt timed
+  /// out or was cancelled.
   void NoteBreak();
   void LogCall(const std::string& outcome, int status);
-  /// Who ended an answer before it was whole: `replica`, `caller`, `time` (of
-  /// the caller or the route), `silence` (this entry, with time left).
+  /// What cut an answer short: `replica`, `caller`, `time` (deadline of the
+  /// caller or the route), `silence` (this entry timed out on the replica
+  /// before the deadline).
   const char* EndedBy() const;
   AttemptResult& result() { return m_attempt->result(); }
   Duration Left() const { return m_record->Left(Now()); }
@@ -75,14 +89,16 @@
   const CallPlan& m_plan;
   wire::ResponseWriter& m_caller;
   boost::asio::any_io_executor m_executor;
-  /// The attempt whose answer is passed on.
+  /// The current attempt: the one whose answer is passed to the caller.
   std::shared_ptr<CallAttempt> m_attempt;
-  /// Asks another replica while that one is silent; null: none may be asked.
+  /// Makes a second attempt while the current one is silent; null: no hedge is
+  /// allowed at present.
   std::shared_ptr<Hedge> m_hedge;
-  /// What callers of streams get first: the head of the first replica.
+  /// The head that the caller of a stream gets: that of the first replica that
+  /// answered, also when another replica resumes the stream.
   wire::ResponseHead m_head;
   bool m_head_sent = false;
-  /// What went wrong last.
+  /// Reason and failure code of the attempt that ended last.
   std::string m_reason;
   std::optional<FailureCode> m_failure;
 };
--- a/src/libverbenalead/entry/call_run_stream.cc
+++ b/src/libverbenalead/entry/call_run_stream.cc
@@ -3,7 +3,7 @@
 #include "entry/call_run.h"
 #include "entry/send_again.h"
 
-// The part of a call that concerns answers in events.
+// The members of CallRun that handle streamed answers (server-sent events).
 
 namespace verbenalead::entry {
 namespace {
@@ -12,7 +12,8 @@
 
 constexpr int kOk = 200;
 
-/// Longer than the question to a target takes: the call waited for a place.
+/// Least wait that shows that no place was free at once. A shorter one may be
+/// just the request to a target, which takes less than this.
 constexpr Duration kWaited = 20ms;
 
 constexpr char kTimeOver[] = "the time of the caller or the route is over";
@@ -25,7 +26,8 @@
     if (co_await RelayEvents()) {
       EndAttempt(AttemptEnd::kGood);
       decide::NoteSuccess(m_state.m_crashes, m_plan.m_fingerprint, Now());
-      // A caller that goes on after the last event gets a stream without any.
+      // A caller that resumes after the last event gets a stream without
+      // events; it still needs a head.
       if (!m_head_sent)
         co_await m_caller.Start(m_head);
       const bool delivered = co_await m_caller.Finish({});
@@ -101,8 +103,9 @@
 }
 
 void CallRun::LearnFromFirstEvent() {
-  // One that found a place at once had time to spare, and one that went to
-  // another replica says nothing of the time that a replica needs.
+  // Only calls that waited for a place and were sent once are counted. A call
+  // that got a place at once had time to spare, and the time of a call with
+  // several attempts isn't the time that one replica needs.
   const CallTimes& times = m_record->m_times;
   if (!m_plan.m_patience.m_fresh || m_record->m_attempts > 1 ||
       times.m_waited < kWaited)
--- a/src/libverbenalead/entry/call_server.cc
+++ b/src/libverbenalead/entry/call_server.cc
@@ -13,8 +13,7 @@
 constexpr int kNotFound = 404;
 constexpr int kUnavailable = 503;
 
-/// A call that names no time is taken to wait so long, where its route names
-/// none either.
+/// Time limit of a call for which neither the caller nor the route sets one.
 constexpr Duration kUsualTime = 30s;
 
 Awaitable<void> Turn(wire::ResponseWriter& caller,
@@ -56,10 +55,11 @@
   plan.m_began = Now();
   plan.m_call = platform::DecodeCall(request);
   const model::InboundCall& call = plan.m_call;
-  // Failure: a caller's kept connection brings a call after all others have
-  // gone elsewhere. Symptom: its answer is cut when the process ends. Idle
-  // connections are closed then, so only calls that cross that come here, and
-  // their callers are told at once that nothing ran.
+  // Failure: a call arrives on a caller's persistent connection while the entry
+  // stops and other callers have already moved to other entries. Symptom: its
+  // answer is cut off when the process exits. Idle connections are closed at
+  // this point, so only calls that were sent at the same moment arrive here;
+  // they are refused at once as not run.
   if (!m_state.m_takes_calls) {
     co_await Turn(
         caller, m_state, call, kUnavailable, "not run: the entry stops",
@@ -79,8 +79,9 @@
       routes->FindOrganisation(call.m_key);
   const bool keyed =
       route && !route->m_anonymous && !routes->config().m_organisations.empty();
-  // Before the lease is known to hold, neither a missing route nor a missing
-  // key is certain.
+  // Without a valid lease the configuration may be out of date: a route or key
+  // that is missing here may have been added, and a key that is present may
+  // have been revoked.
   if ((!route || keyed) && !LeaseHolds(m_state)) {
     co_await Turn(
         caller, m_state, call, kUnavailable,
--- a/src/libverbenalead/entry/call_server.h
+++ b/src/libverbenalead/entry/call_server.h
@@ -11,7 +11,9 @@
 
 namespace verbenalead::entry {
 
-/// Serves callers: each request is checked, placed, sent on and answered.
+/// Handles callers' requests: checks route, key and quarantine, decides the
+/// call's plan, and runs it by CallRun. A call that fails a check is refused at
+/// once with the reason, and never reaches a replica.
 class CallServer {
  public:
   CallServer(EntryState& state, PlaceWaiter& places, wire::Client& http)
@@ -21,14 +23,15 @@
                         wire::ResponseWriter& caller);
 
  private:
-  /// How long ago a caller that has `left` began, judged by the longest time
-  /// that a call on the same route had.
+  /// Estimates for how long a caller that has `left` until its deadline has
+  /// already been trying, from the longest time left that any call on the same
+  /// route arrived with.
   Duration Elapsed(const std::string& route, std::optional<Duration> left);
 
   EntryState& m_state;
   PlaceWaiter& m_places;
   wire::Client& m_http;
-  /// By route.
+  /// The longest time left that a call arrived with, by route.
   std::map<std::string, Duration> m_longest_time;
 };
 
--- a/src/libverbenalead/entry/call_server_test.cc
+++ b/src/libverbenalead/entry/call_server_test.cc
@@ -36,9 +36,9 @@
     CPPUNIT_ASSERT_EQUAL(uint32_t{0}, InFlight());
   }
 
-  // A caller lost its connection after the last event and goes on after it. The
-  // replica answers with a stream without events; the caller once got its end
-  // without a head, which no client can read.
+  // A caller that lost its connection after the last event resumes from there,
+  // and the replica answers with a stream without events. Guards against ending
+  // the caller's response without a head, which no client can parse.
   void AStreamWithoutEventsStillHasAHead() {
     m_replicas.m_answers = {Answer(200, {})};
     const wire::RecordingWriter caller = Call("/stream/1");
@@ -47,8 +47,8 @@
     CPPUNIT_ASSERT_EQUAL(std::string(), caller.m_body);
   }
 
-  // A replica dies in the middle of an event. The caller sees one stream with
-  // each event once: another replica goes on after the last whole one.
+  // A replica dies in the middle of an event. Another replica resumes after the
+  // last complete event, and the caller gets one stream with each event once.
   void ABrokenStreamGoesOnElsewhere() {
     m_replicas.m_answers = {Answer(200, {Event(1), Event(2) + "id: 3"}, true),
                             Answer(200, {Event(3), Event(4)})};
@@ -63,7 +63,8 @@
     CPPUNIT_ASSERT(Asked(0) != Asked(1));
   }
 
-  // No replica goes on with the stream. The caller must see that it was cut.
+  // No replica completes the stream. The caller must be able to see that the
+  // stream was cut off.
   void AStreamThatCannotGoOnIsNeverShownAsWhole() {
     m_replicas.m_answers = {Answer(200, {Event(1)}, true),
                             Answer(200, {Event(2)}, true)};
@@ -72,16 +73,18 @@
     CPPUNIT_ASSERT(!caller.m_whole);
   }
 
-  // The replica breaks off half of a plain answer. An idempotent call is sent
-  // again; the caller gets the second answer whole and none of the first.
+  // The replica breaks off in the middle of a plain answer. The idempotent call
+  // is retried; the caller gets the whole second answer and nothing of the
+  // first.
   void HalfAnAnswerIsNotDelivered() {
     m_replicas.m_answers = {Answer(200, {"half"}, true),
                             Answer(200, {"whole"})};
     CPPUNIT_ASSERT_EQUAL(std::string("whole"), Call("/read/1").m_body);
   }
 
-  // The answer to a payment is lost. Nobody knows whether it ran: it must not
-  // be sent again, and the caller must not be told that it didn't run.
+  // The answer to an at-most-once call is lost, so it isn't known whether the
+  // call ran. It must not be retried, and the caller must not get a response
+  // that says it didn't run.
   void AtMostOnceIsNotSentAgainAfterABreak() {
     m_replicas.m_answers = {Broken(), Answer(200, {"second"})};
     const wire::RecordingWriter caller = Call("/pay/1");
@@ -101,8 +104,8 @@
     CPPUNIT_ASSERT(caller.m_headers.contains("retry-after"));
   }
 
-  // A replica's answer to an earlier request comes late. It belongs to nobody
-  // here and must not be delivered.
+  // A replica's answer to an earlier request arrives on the connection of a
+  // later one. It must not be delivered.
   void AnAnswerToAnotherRequestIsNone() {
     wire::ScriptedAnswer late = Answer(200, {"other"});
     late.m_head.m_headers[platform::kRequestId] = "call-0";
@@ -112,9 +115,9 @@
     CPPUNIT_ASSERT_EQUAL(502, Call("/pay/1").m_status);
   }
 
-  // An entry is cut off from the store for longer than its lease. Whether a key
-  // or a route is still there isn't known: the caller is sent elsewhere,
-  // neither served nor told that its key is wrong.
+  // An entry is cut off from the store for longer than its lease, so it isn't
+  // known whether a key or a route still exists. The caller gets a 503 and can
+  // go to another entry; it is neither served nor rejected for its key.
   void WithoutALeaseKeysAreNotJudged() {
     m_state->m_lease = {};
     CPPUNIT_ASSERT_EQUAL(503, Call("/read/1").m_status);
@@ -129,8 +132,9 @@
     CPPUNIT_ASSERT(m_replicas.m_requests.empty());
   }
 
-  // One request breaks each replica that begins it and comes again. After three
-  // replicas it is refused, and no fourth one gets it; other requests go on.
+  // One request crashes each replica that runs it, and its caller sends it
+  // again. After three replicas it is refused without reaching a fourth; other
+  // requests are still served.
   void ARequestThatCrashesReplicasIsSetAside() {
     m_replicas.m_answers = {Broken(), Broken(), Broken(), Broken()};
     Call("/stream/bad");
@@ -142,10 +146,10 @@
     CPPUNIT_ASSERT_EQUAL(Event(1), Call("/stream/good").m_body);
   }
 
-  // A caller gets tokens of old weights after new ones bind: its call waits in
-  // a replica's queue meanwhile and begins there late. The entry gives up such
-  // a call when they bind, and no later; a replica with the new ones is left
-  // its time.
+  // A call that waits in a replica's queue starts after new weights became
+  // mandatory, and its caller gets tokens of the old weights. The entry must
+  // cancel such a call by the time at which the new weights bind. A replica
+  // that has the new weights gets the call's full time.
   void ACallThatWaitsIsCalledBackBeforeNewWeightsBind() {
     model::RoutingConfig config = m_state->m_routes->config();
     model::Service service;
--- a/src/libverbenalead/entry/call_services.h
+++ b/src/libverbenalead/entry/call_services.h
@@ -7,11 +7,12 @@
 
 namespace verbenalead::entry {
 
-/// What all calls of an entry use. It outlives them.
+/// References to the objects that all calls of an entry share. The objects
+/// outlive the calls.
 struct CallServices {
   EntryState& m_state;
   PlaceWaiter& m_places;
-  /// Connections to replicas.
+  /// HTTP client for requests to replicas.
   wire::Client& m_replicas;
 };
 
--- a/src/libverbenalead/entry/call_times.h
+++ b/src/libverbenalead/entry/call_times.h
@@ -8,28 +8,32 @@
 
 namespace verbenalead::entry {
 
-/// Where the time of one call went, for its log line.
+/// Timing of one call, for its log line and for hedging: a second attempt is
+/// made when the replica has been silent since `m_heard_at` for too long.
 struct CallTimes {
-  /// Waiting for places, of all attempts together.
+  /// Total time that all attempts waited for a place at a replica.
   Duration m_waited{};
-  /// From the call's beginning to its first event; absent: there was none.
+  /// From the start of the call to its first event; absent: no event yet.
   std::optional<Duration> m_first_event;
   /// The longest pause between two events.
   Duration m_longest_pause{};
   TimePoint m_last_event{};
-  /// When the replica at work was last heard, or its answer last waited for.
+  /// When data from the current replica was last received, or when this entry
+  /// last began to wait for its answer, whichever is later.
   TimePoint m_heard_at{};
-  /// An answer is waited for; false: the caller is slow to take what is there.
+  /// This entry waits for data from the replica. False: nothing is being read,
+  /// for instance because the caller is slow to take the data already read;
+  /// the replica isn't silent then.
   bool m_listens = false;
 };
 
-/// From now on an answer is waited for.
+/// Records that this entry waits for data from the replica from `now` on.
 inline void Listen(CallTimes& times, TimePoint now) {
   times.m_heard_at = now;
   times.m_listens = true;
 }
 
-/// An event came, of a call that began at `began`.
+/// Records that an event was received for a call that began at `began`.
 inline void NoteEvent(CallTimes& times, TimePoint began, TimePoint now) {
   if (!times.m_first_event)
     times.m_first_event = now - began;
--- a/src/libverbenalead/entry/hedge.cc
+++ b/src/libverbenalead/entry/hedge.cc
@@ -17,8 +17,8 @@
 using decide::AttemptEnd;
 
 constexpr int kOk = 200;
-/// Between two second attempts, of which the first wasn't allowed or was turned
-/// away.
+/// Pause before the next second attempt, after one that the limit on retries
+/// denied or that failed.
 constexpr Duration kPause = 100ms;
 
 Awaitable<void> WaitFor(asio::steady_timer& timer) {
@@ -105,7 +105,8 @@
     const TimePoint now = Now();
     if (!allowed || now >= m_record->m_plan.m_deadline)
       co_return false;
-    // While its caller is slow to read, nothing is asked of the replica.
+    // While the caller is slow to read, this entry doesn't read from the
+    // replica either, so the replica doesn't count as silent.
     const TimePoint due = (times.m_listens ? times.m_heard_at : now) + *allowed;
     if (now >= due)
       co_return true;
--- a/src/libverbenalead/entry/hedge.h
+++ b/src/libverbenalead/entry/hedge.h
@@ -10,9 +10,8 @@
 
 namespace verbenalead::entry {
 
-/// Gives a call whose replica has fallen silent a second attempt at another
-/// one, beside the first, which goes on being read. Whichever answers first is
-/// kept.
+/// Sends a call whose replica has become silent to a second replica, while the
+/// first attempt continues to be read. The attempt that answers first is kept.
 ///
 ///     auto hedge = std::make_shared<Hedge>(executor, services, record,
 ///                                          [&] { first->Cancel(); });
@@ -21,44 +20,50 @@
 ///     if (hedge->ready())
 ///       first = hedge->Take();
 ///
-/// Failure: a replica pauses for a second or two, as its host is busy or it
-/// reads long prompts, and no other has a place. Symptom: an entry that drops
-/// it for its silence has nothing to go on with, and cuts an answer that would
-/// have come. With the first attempt kept until the second one answers, silence
-/// alone ends nothing.
+/// Failure: a replica pauses for a second or two, because its host is busy or
+/// it reads long prompts, and no other replica has a free place. Symptom: an
+/// entry that drops the replica because of the pause cannot continue elsewhere,
+/// and cuts off an answer that would have come. Since the first attempt is kept
+/// until the second one answers, a pause alone never ends a call.
 class Hedge : public std::enable_shared_from_this<Hedge> {
  public:
-  /// `on_ready` is called, once, when the second attempt has begun to answer.
+  /// `on_ready` is called once, when the second attempt has begun to answer.
   Hedge(const boost::asio::any_io_executor& executor,
         CallServices services,
         std::shared_ptr<CallRecord> record,
         std::function<void()> on_ready);
 
-  /// Watches from now on, until Stop() or Take().
+  /// Starts to watch the first replica for silence, until Stop() or Take().
   void Watch();
-  /// The first replica was heard again: a second attempt isn't wanted now.
+  /// Called when the first replica has sent data. Cancels a second attempt that
+  /// hasn't begun to answer.
   void NoteHeard();
-  /// Nothing more is wanted; what it holds is given back.
+  /// Stops watching, cancels a second attempt and releases its place.
   void Stop();
-  /// The second attempt has begun to answer and waits to be taken.
+  /// The second attempt has begun to answer, and Take() hasn't been called.
   bool ready() const { return m_ready; }
+  /// Returns the second attempt, which the caller then owns, and stops
+  /// watching.
   std::shared_ptr<CallAttempt> Take();
-  /// The first attempt broke off: waits for the second, if it is on its way.
-  /// True: it is ready. A second attempt that has no place yet is given up.
+  /// Called when the first attempt has broken off. Waits for the second attempt
+  /// if it was sent; one that has no place yet is cancelled. True: the second
+  /// attempt is ready.
   Awaitable<bool> Finish();
 
  private:
-  /// Run(), with `self` kept until it is over.
+  /// Calls Run() and keeps `self` alive until it returns.
   static Awaitable<void> RunHeld(std::shared_ptr<Hedge> self);
   Awaitable<void> Run();
-  /// Waits until the first replica has been silent for too long; false: no
-  /// second attempt is wanted.
+  /// Waits until the first replica has been silent for longer than allowed.
+  /// False: no second attempt is needed or allowed.
   Awaitable<bool> WaitForSilence();
-  /// Makes one attempt at another replica; false: there is no use in one more.
+  /// Makes one attempt at another replica. False: no further attempt is to be
+  /// made.
   Awaitable<bool> AttemptOnce();
-  /// Whether the second attempt, whose head is there, goes on with the answer.
+  /// Whether the second attempt, whose head has been received, can replace the
+  /// first. A stream must also deliver a first piece of its body.
   Awaitable<bool> Proves();
-  /// The second attempt came to nothing.
+  /// Ends the second attempt and releases its place.
   void Drop();
   Awaitable<void> Pause();
   void Log(const char* outcome) const;
@@ -66,14 +71,16 @@
   const CallServices m_services;
   const std::shared_ptr<CallRecord> m_record;
   std::function<void()> m_on_ready;
-  /// Sleeps while the first replica is heard.
+  /// Expires when the first replica may have been silent for too long; also
+  /// used for the pause between two second attempts.
   boost::asio::steady_timer m_silence;
-  /// Expires when the second attempt has come to something.
+  /// Never expires; cancelled when the second attempt is ready or Run() ends,
+  /// to wake Finish().
   boost::asio::steady_timer m_finished;
   std::shared_ptr<CallAttempt> m_attempt;
   bool m_ready = false;
   bool m_stopped = false;
-  /// The first attempt is over: one second attempt that fails is the last.
+  /// The first attempt has ended: if the second one fails, no other is made.
   bool m_alone = false;
 };
 
--- a/src/libverbenalead/entry/last_summary.h
+++ b/src/libverbenalead/entry/last_summary.h
@@ -6,9 +6,10 @@
 
 namespace verbenalead::entry {
 
-/// The newest summary of a data centre that was taken in.
+/// Identifies the newest summary of a data centre that was applied. An older
+/// summary of the same sender, which relays may deliver late, is dropped.
 struct LastSummary {
-  /// Host of the entry that made it, and its number there.
+  /// Host of the entry that made the summary, and the sender's sequence number.
   std::string m_sender;
   uint64_t m_number = 0;
 
--- a/src/libverbenalead/entry/place_asker.cc
+++ b/src/libverbenalead/entry/place_asker.cc
@@ -13,18 +13,20 @@
 
 namespace asio = boost::asio;
 
-/// The longest round trip is 6 ms, but while new weights come in, questions
-/// wait behind chunks on the target's link: at 15 ms one in 15 calls went by
-/// what its entry believed, and 190 of 5,600 questions of a quiet day had no
-/// answer.
+/// Time-out of a request to a target. The longest round trip is 6 ms, but while
+/// new weights are transferred, requests queue behind chunks on the target's
+/// link. With a time-out of 15 ms, one in 15 calls was placed by its entry's
+/// own outdated view, and 190 of 5,600 requests of a quiet day got no answer.
 constexpr Duration kAnswerTimeout = 40ms;
-/// For calls of which nobody knows when they would be late.
+/// Sent as the time limit for reading the prompt where none is known.
 constexpr Duration kUnbounded = std::chrono::hours(1);
-/// A target that died is back after a few seconds.
+/// Time for which a target that didn't answer is sent no requests. A target
+/// process that died is running again after a few seconds.
 constexpr Duration kSilentHold = 500ms;
 
 }  // namespace
 
+/// A request to a target and its answer.
 struct PlaceAsker::Question {
   explicit Question(const asio::any_io_executor& executor)
       : m_timer(executor) {}
--- a/src/libverbenalead/entry/place_asker.h
+++ b/src/libverbenalead/entry/place_asker.h
@@ -14,48 +14,51 @@
 
 namespace verbenalead::entry {
 
-/// Asks target processes for places at their replicas.
+/// Requests places at replicas from the target processes beside them.
 ///
-/// What an entry knows of the others' calls is up to 0.2 s old; in this time 28
-/// calls begin at the users' peak, and those of all entries go to the replica
-/// that seemed emptiest. The target process counts them all and is one round
-/// trip away, 0.4 to 4 ms.
+/// Load: 28 calls start within 0.2 s at the peak. Harm: an entry's view of the
+/// other entries' calls is up to 0.2 s old, so without a request all entries
+/// send their calls of that time to the replica that looked least loaded, and
+/// overload it. The target process counts the calls of all entries, and a
+/// request to it takes one round trip of 0.4 to 4 ms.
 class PlaceAsker {
  public:
   PlaceAsker(EntryState& state, links::Datagrams& datagrams)
       : m_state(state), m_datagrams(datagrams) {}
 
-  /// Whether the target grants `call` a place at `replica`. A target that
-  /// doesn't answer is no reason to leave its replica unused: what this entry
-  /// believes then decides, and it isn't asked again for a while.
+  /// Whether the target grants `call` a place at `replica`. If the target
+  /// doesn't answer, its replica stays in use: the result is true, as this
+  /// entry has already chosen the replica by its own view, and no requests are
+  /// sent to the target for a while.
   Awaitable<bool> Ask(std::string service,
                       std::string replica,
                       decide::PoolCall call);
-  /// Lets `call` wait at the target of `replica` until `until`. Returns the
-  /// number by which the grant comes, or nothing where it can't wait there.
+  /// Queues `call` at the target of `replica` until `until`. Returns the id
+  /// that a grant will carry, or nothing if the call cannot be queued there.
   std::optional<uint64_t> Reserve(const std::string& service,
                                   const std::string& replica,
                                   const decide::PoolCall& call,
                                   TimePoint until);
-  /// The call doesn't wait there any more.
+  /// Removes the call from the queue of the target.
   void Withdraw(uint64_t reservation);
-  /// `granted` is called with the reservation when a call that waits gets its
-  /// place, `unwanted` with the replica when a place comes that nobody waits
-  /// for any more.
+  /// Sets the handlers of grants. `granted` is called with the reservation when
+  /// a target grants a place to a queued call; `unwanted` is called with the
+  /// replica when a target grants a place for which no call waits any more.
   void OnGranted(std::function<void(uint64_t reservation)> granted,
                  std::function<void(const std::string& replica)> unwanted) {
     m_granted = std::move(granted);
     m_unwanted = std::move(unwanted);
   }
-  /// Where a reservation was made; empty: it isn't known any more.
+  /// Replica of a reservation; empty: it was withdrawn or has ended.
   std::string ReplicaOf(uint64_t reservation) const;
 
+  /// Handles a target's answer to Ask() or Reserve(), or a later grant.
   void TakeAnswer(const links::PlaceAnswer& answer);
 
  private:
   struct Question;
 
-  /// The target process beside `replica`.
+  /// Address of the target process that runs beside `replica`.
   Endpoint TargetOf(const decide::ReplicaState& replica) const;
   links::PlaceRequest RequestFor(const decide::ReplicaState& replica,
                                  const decide::PoolCall& call);
@@ -63,8 +66,9 @@
   EntryState& m_state;
   links::Datagrams& m_datagrams;
   uint64_t m_last_ticket = 0;
+  /// Requests of Ask() that wait for an answer, by ticket.
   std::map<uint64_t, std::shared_ptr<Question>> m_questions;
-  /// Where calls wait: replica and target, by reservation.
+  /// Replica and target of the calls queued at targets, by reservation.
   std::map<uint64_t, std::pair<std::string, Endpoint>> m_reserved;
   std::function<void(uint64_t)> m_granted;
   std::function<void(const std::string&)> m_unwanted;
--- a/src/libverbenalead/entry/place_waiter.cc
+++ b/src/libverbenalead/entry/place_waiter.cc
@@ -11,12 +11,14 @@
 
 namespace {
 
-/// Targets at which a call waits at once. With two, places come free for it
-/// twice as often as with one; each more costs three datagrams a call.
+/// Maximum number of targets at which a call is queued at the same time. With
+/// two, places come free for it twice as often as with one; each further target
+/// costs three datagrams per call.
 constexpr size_t kReservations = 2;
 
 }  // namespace
 
+/// A call that waits for a place. The timer is cancelled to wake it.
 struct PlaceWaiter::Waiter {
   Waiter(const asio::any_io_executor& executor,
          std::string service,
@@ -58,8 +60,8 @@
       WithdrawAll(ticket);
       co_return place->m_replica;
     }
-    // The answer brought what the target knows, so that another replica is
-    // chosen now.
+    // The target denied the place. Its answer also updated this entry's view of
+    // the replica, so the next round chooses another one.
     decide::ReplicaPool& pool = StateOf(m_state, service).m_pool;
     decide::NoteBegun(pool, place->m_replica, call.m_prompt_tokens);
     decide::Release(pool, place->m_replica, decide::AttemptEnd::kNotRun, Now());
@@ -176,7 +178,8 @@
                           const std::string& replica,
                           decide::AttemptEnd end) {
   decide::Release(StateOf(m_state, service).m_pool, replica, end, Now());
-  // Calls of all entries that wait there come before those that wait here.
+  // The target is notified first, as calls of all entries queued there take
+  // precedence over calls that wait only at this entry.
   TellCalls(service, replica);
   Wake(service);
 }
--- a/src/libverbenalead/entry/place_waiter.h
+++ b/src/libverbenalead/entry/place_waiter.h
@@ -14,61 +14,66 @@
 
 namespace verbenalead::entry {
 
-/// Lets calls wait for a place at a replica and wakes them.
+/// Obtains places at replicas for calls. A call for which no place is free
+/// waits until one is released here or a target grants one.
 class PlaceWaiter {
  public:
-  /// `asker` confirms each place. `on_change` is told of each replica whose
-  /// calls have changed.
+  /// `asker` confirms each place with the target of its replica. `on_change` is
+  /// called with each replica at which this entry's calls have changed, so that
+  /// its target can be notified.
   PlaceWaiter(EntryState& state,
               PlaceAsker& asker,
               std::function<void(const decide::ReplicaState&)> on_change);
 
-  /// A place for `call` at a replica of `service`; nothing if none came free
-  /// until `deadline`, or `Cancel` was called for its ticket.
+  /// Obtains a place for `call` and returns the replica of `service`; nothing
+  /// if no place came free until `deadline`, or Cancel() was called for its
+  /// ticket.
   Awaitable<std::optional<std::string>> Take(std::string service,
                                              decide::PoolCall call,
                                              TimePoint deadline);
+  /// Ends the wait of the call with this ticket without a place.
   void Cancel(uint64_t ticket);
   uint64_t NewTicket() { return ++m_last_ticket; }
 
-  /// The call at `replica` has begun to answer: its prompt is read, and others
-  /// may be placed behind it.
+  /// Called when the replica has begun to answer a call: its prompt has been
+  /// read and no longer delays other calls that are placed there.
   void NoteBegun(const std::string& service,
                  const std::string& replica,
                  uint32_t prompt_tokens);
-  /// Gives a place back.
+  /// Releases a place and wakes waiting calls.
   void Release(const std::string& service,
                const std::string& replica,
                decide::AttemptEnd end);
-  /// Starts waiting calls of `service` that have a place now.
+  /// Starts the waiting calls of `service` for which places are free now.
   void Wake(const std::string& service);
   void WakeAll();
 
  private:
   struct Waiter;
 
-  /// A place that a call has got.
+  /// A place assigned to a call.
   struct Place {
     std::string m_replica;
-    /// Its target has granted it; else it has to be asked yet.
+    /// The target has granted it. False: the target has yet to be asked.
     bool m_granted = false;
   };
 
-  /// Waits until the pool has a place for `call`, or a target grants one.
+  /// Takes a free place of the pool by this entry's own view, or waits until
+  /// one comes free or a target grants one.
   Awaitable<std::optional<Place>> TakeOrWait(std::string service,
                                              decide::PoolCall call,
                                              TimePoint deadline);
-  /// Lets `call` wait at targets too.
+  /// Also queues `call` at targets, which know of free places sooner.
   void Reserve(const std::string& service,
                const decide::PoolCall& call,
                TimePoint deadline);
   void WithdrawAll(uint64_t ticket);
-  /// A target has granted a place to a call that waits there.
+  /// Called when a target has granted a place to a call queued there.
   void TakeGrant(uint64_t reservation);
-  /// The call for which a place was granted has one elsewhere, or has left: the
-  /// next one may have it.
+  /// Returns a granted place whose call has a place elsewhere or has ended, so
+  /// that the target can grant it to the next call.
   void ReturnGrant(const std::string& replica);
-  /// Tells the target of `replica` what is there now.
+  /// Sends the target of `replica` this entry's current calls there.
   void TellCalls(const std::string& service, const std::string& replica);
 
   EntryState& m_state;
@@ -76,8 +81,9 @@
   const std::function<void(const decide::ReplicaState&)> m_on_change;
   uint64_t m_last_ticket = 0;
   std::map<uint64_t, std::shared_ptr<Waiter>> m_waiters;
-  /// Reservations by the call's ticket, and the call's ticket by reservation.
+  /// Reservations at targets by the call's ticket.
   std::map<uint64_t, std::vector<uint64_t>> m_reservations;
+  /// The call's ticket by reservation.
   std::map<uint64_t, uint64_t> m_reserved_for;
 };
 
--- a/src/libverbenalead/entry/place_waiter_test.cc
+++ b/src/libverbenalead/entry/place_waiter_test.cc
@@ -45,9 +45,9 @@
     pool.m_replicas.at("i-1").m_elsewhere = kSlots;
   }
 
-  // A call that could be on time is refused: a place came free at a target, but
-  // this entry doesn't know it yet. The target grants it to the call that waits
-  // there, and it starts without another question.
+  // Guards against refusing an on-time call although a place came free at a
+  // target, because this entry doesn't know of it yet. The target grants the
+  // place to the call queued there, which starts without another request.
   void AWaitingCallTakesThePlaceThatATargetGrants() {
     Take(10s);
     CPPUNIT_ASSERT(!m_done);
@@ -62,8 +62,9 @@
     CPPUNIT_ASSERT(StateOf(*m_state, "pool").m_pool.m_waiting.empty());
   }
 
-  // A place stays empty for a second: it was granted to a call that has left.
-  // The target is told at once what this entry has there.
+  // Guards against a place that stays unused for a second, because it was
+  // granted to a call that has ended. This entry must at once send the target
+  // the calls that it really has there.
   void APlaceThatNobodyWantsIsGivenBack() {
     Take(10s);
     m_places->Cancel(kTicket);
@@ -79,7 +80,7 @@
     Take(1ms);
     m_io->run();
     CPPUNIT_ASSERT(m_done && !m_place);
-    // A grant that comes later finds nobody.
+    // A late grant is ignored, as no call waits any more.
     m_asker->TakeAnswer(Answer(1, true));
     CPPUNIT_ASSERT_EQUAL(0U, Replica().m_in_flight);
   }
@@ -105,7 +106,7 @@
     return StateOf(*m_state, "pool").m_pool.m_replicas.at("i-1");
   }
 
-  /// The answer to the first reservation, or the grant that follows it.
+  /// The target's answer to the first reservation (queued), or the later grant.
   static links::PlaceAnswer Answer(uint64_t ticket, bool granted) {
     links::PlaceAnswer answer;
     answer.m_ticket = ticket;
--- a/src/libverbenalead/entry/send_again.cc
+++ b/src/libverbenalead/entry/send_again.cc
@@ -5,12 +5,13 @@
 namespace verbenalead::entry {
 namespace {
 
-/// The prompt of a stream that goes on elsewhere, and all before it, should be
-/// read within this time: with a pass before and one after it the pause is
-/// still one that callers take for a stream that is on time.
+/// Time within which the replica that resumes a stream should have read the
+/// prompt and all prompts before it. Even with one engine pass before and one
+/// after that, the pause in the stream is short enough to count as on time.
 constexpr Duration kResumeWithin = 300ms;
 
-/// Fits the call to its next placing.
+/// Marks the call as late, before its next placement, if its prompt can no
+/// longer be read in time.
 void Prepare(EntryState& state, CallRecord& record) {
   decide::PrepareRepeat(
       record.m_pool_call,
@@ -34,7 +35,8 @@
                           TimePoint wait_until,
                           const std::function<void()>& on_sent) {
   if (record.m_events.m_events > 0) {
-    // Its caller waits for the next event.
+    // The stream has begun and its caller waits for the next event, so the call
+    // is placed as one that can be on time.
     record.m_pool_call.m_fresh = true;
     record.m_pool_call.m_read_by = Now() + kResumeWithin;
   }
--- a/src/libverbenalead/entry/send_again.h
+++ b/src/libverbenalead/entry/send_again.h
@@ -8,11 +8,14 @@
 
 namespace verbenalead::entry {
 
-/// Whether one more repeat of a call of `service` may be sent; takes it.
+/// Whether one more retry or hedge of a call of `service` is within the limit
+/// on retries; if so, counts it. Without the limit, retries would multiply the
+/// load of a service whose replicas fail.
 bool TakeRepeat(EntryState& state, const std::string& service);
 
-/// Sends a call once more as `again`: in time for its caller if that can be,
-/// else to what place others leave until `wait_until`. False: no place.
+/// Sends a call once more as `again`. At first it waits for a place that lets
+/// it be on time; if none comes free, it waits until `wait_until` for a place
+/// that no on-time call needs. False: no place came free.
 Awaitable<bool> SendAgain(EntryState& state,
                           CallRecord& record,
                           CallAttempt& again,
--- a/src/libverbenalead/entry/silent_replica_test.cc
+++ b/src/libverbenalead/entry/silent_replica_test.cc
@@ -5,10 +5,11 @@
 namespace verbenalead::entry {
 namespace {
 
-/// Longer than an entry waits before it looks for another replica, and well
-/// below the time of the callers.
+/// Longer than the silence after which an entry makes a second attempt, and
+/// well below the callers' time limit.
 constexpr Duration kPause = 1600ms;
-/// Longer than a test takes, unless it waits for a replica that it shouldn't.
+/// Longer than a test takes, unless the entry wrongly waits for the silent
+/// replica.
 constexpr Duration kForGood = 5s;
 
 wire::ScriptedAnswer Paused(wire::ScriptedAnswer answer,
@@ -23,7 +24,9 @@
   return answer;
 }
 
-/// Replicas that say nothing for a while with an answer under way.
+/// Replicas that send nothing for a while before or within an answer. Guards
+/// against cutting off an answer that is only late, and against waiting for a
+/// dead replica while another one could answer.
 class SilentReplicaTest : public CallFixture {
   CPPUNIT_TEST_SUITE(SilentReplicaTest);
   CPPUNIT_TEST(APausedStreamIsWholeThoughNoOtherReplicaHasAPlace);
@@ -105,7 +108,7 @@
     CPPUNIT_ASSERT_EQUAL(size_t{2}, m_replicas.m_cancelled);
   }
 
-  // No event is missing, doubled or taken from both.
+  // No event is missing or duplicated, and none is a mix of both answers.
   void TheFirstGoesOnIfItSpeaksBeforeTheSecond() {
     m_replicas.m_answers = {
         Paused(Answer(200, {Event(1), Event(2), Event(3)}), 1, kPause),
@@ -140,7 +143,7 @@
   }
 
  private:
-  /// All other replicas have as many calls as they run at once.
+  /// Fills all replicas but the first with calls of other entries.
   void LeaveOneReplica() {
     auto& replicas = StateOf(*m_state, "pool").m_pool.m_replicas;
     for (auto found = std::next(replicas.begin()); found != replicas.end();
--- a/src/libverbenalead/entry/summary.cc
+++ b/src/libverbenalead/entry/summary.cc
@@ -30,8 +30,9 @@
   return summary;
 }
 
-/// This entry and the near ones that are heard of. One that isn't is left out,
-/// so that those who get the summary take it for gone in their turn.
+/// This entry and the entries of its data centre that were seen recently. An
+/// entry that wasn't is left out, so that the receivers of the summary also
+/// treat it as gone.
 std::vector<links::EntrySummary> EntriesOf(const EntryState& state,
                                            TimePoint now) {
   std::vector<links::EntrySummary> entries = {
@@ -46,7 +47,8 @@
 void TakeEntries(EntryState& state,
                  const links::DataCenterSummary& summary,
                  TimePoint now) {
-  // Those that are left out have died or are cut off there.
+  // Entries that the summary leaves out have died or are cut off within their
+  // data centre.
   for (auto& [host, peer] : state.m_peers) {
     if (peer.m_address.m_data_center == summary.m_data_center)
       peer.m_ready = false;
@@ -74,7 +76,8 @@
     news.m_version = summary.m_version;
     news.m_closing = summary.m_closing;
     news.m_loading = summary.m_loading;
-    // This entry's own calls are among those that were told.
+    // The summary counts the calls of all entries. This entry's own are
+    // subtracted, as they are counted separately.
     news.m_elsewhere.m_calls =
         summary.m_calls.m_calls -
         std::min(summary.m_calls.m_calls, replica.m_in_flight);
@@ -130,7 +133,8 @@
                  TimePoint now) {
   if (summary.m_data_center == OwnDataCenter(state))
     return false;
-  // Relays may hand on two summaries in either order.
+  // Two summaries that pass through different relays may arrive in either
+  // order.
   LastSummary& last = state.m_summaries[summary.m_data_center];
   if (last.m_sender == summary.m_sender && summary.m_number <= last.m_number)
     return false;
--- a/src/libverbenalead/entry/summary.h
+++ b/src/libverbenalead/entry/summary.h
@@ -7,16 +7,18 @@
 
 namespace verbenalead::entry {
 
-/// The other entries, as `decide::SendsSummary` and `decide::SummaryRecipients`
-/// take them.
+/// The other entries, in the form that `decide::SendsSummary` and
+/// `decide::SummaryRecipients` expect.
 std::vector<decide::SummaryPeer> SummaryPeersOf(const EntryState& state,
                                                 TimePoint now);
 
-/// What this entry knows of its data centre. `m_number` is left open.
+/// Builds the summary of this entry's data centre: its entries, its replicas
+/// and the crashes seen there. The sender sets `m_number`.
 links::DataCenterSummary SummaryOf(const EntryState& state, TimePoint now);
 
-/// Takes in what another data centre tells of itself; false: a newer summary by
-/// the same sender is known, or it speaks of this data centre.
+/// Applies the summary of another data centre. False: it was ignored, because
+/// this or a newer summary of the same sender was already applied, or because
+/// it describes this data centre.
 bool TakeSummary(EntryState& state,
                  const links::DataCenterSummary& summary,
                  TimePoint now);
--- a/src/libverbenalead/entry/summary_sender.cc
+++ b/src/libverbenalead/entry/summary_sender.cc
@@ -8,8 +8,9 @@
 namespace verbenalead::entry {
 namespace {
 
-/// Whether a replica has begun or ended a load, or has other weights. What else
-/// changes with each call waits for the next summary.
+/// Whether a replica has begun or ended loading weights, or has other weights.
+/// Values that change with each call don't count: they wait for the next
+/// regular summary.
 bool HasLoadChange(const std::vector<links::ReplicaSummary>& before,
                    const std::vector<links::ReplicaSummary>& after) {
   return !std::equal(
--- a/src/libverbenalead/entry/summary_sender.h
+++ b/src/libverbenalead/entry/summary_sender.h
@@ -7,17 +7,19 @@
 
 namespace verbenalead::entry {
 
-/// Tells other data centres of this one where it is this entry's part, and
-/// hands on what they tell. Not safe for concurrent use.
+/// Sends summaries of this data centre to others, if this entry is the one that
+/// does so, and relays their summaries to the entries of this data centre. One
+/// sender for each data centre keeps the number of messages between regions
+/// small. Not safe for concurrent use.
 class SummarySender {
  public:
   /// `state` and `datagrams` outlive this.
   SummarySender(EntryState& state, links::Datagrams& datagrams);
 
-  /// Sends a summary if this entry does that for its data centre and one is
+  /// Sends a summary if this entry sends them for its data centre and one is
   /// due. Called every kNewsInterval.
   void Tell();
-  /// Takes in a summary, and hands it on if it came from its sender.
+  /// Applies a summary, and relays it if it came directly from its sender.
   void Take(const links::DataCenterSummary& summary);
   /// Whether this entry sends summaries for its data centre.
   bool is_sender() const { return m_is_sender; }
@@ -26,10 +28,12 @@
   EntryState& m_state;
   links::Datagrams& m_datagrams;
   bool m_is_sender = false;
-  /// Goes on to rise over a restart of this process.
+  /// Sequence number of the last summary. It starts at the clock's
+  /// milliseconds, so that it keeps rising over a restart of this process;
+  /// receivers would otherwise drop the new summaries as old.
   uint64_t m_number;
   TimePoint m_sent_at{};
-  /// The weights and loads that were told last.
+  /// The replicas of the last summary, to detect changed weights and loads.
   std::vector<links::ReplicaSummary> m_told;
 };
 
--- a/src/libverbenalead/entry/summary_test.cc
+++ b/src/libverbenalead/entry/summary_test.cc
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr char kService[] = "pool";
-/// The most that a datagram holds.
+/// Largest payload of a UDP datagram in bytes.
 constexpr size_t kDatagram = 65507;
 
 model::Replica Replica(const std::string& id, const std::string& data_center) {
@@ -26,8 +26,7 @@
   return replica;
 }
 
-/// An entry that knows a configuration, and one replica in each of two data
-/// centres.
+/// An entry with a configuration and one replica in each of two data centres.
 std::unique_ptr<EntryState> Entry(const std::string& host,
                                   const std::string& data_center) {
   EntryOptions options;
@@ -78,9 +77,10 @@
     return TakeSummary(*m_receiver, summary, Now());
   }
 
-  // Callers wait behind calls that an entry didn't know of: it places calls at
-  // far replicas by the summary, and that must hold the calls of all entries,
-  // but count its own only once.
+  // An entry places calls at replicas of other data centres by the summary. If
+  // the summary lacks calls of some entries, or the entry counts its own calls
+  // twice, calls are placed wrongly and queue behind calls that the entry
+  // didn't know of.
   void TellsNearReplicasWithTheCallsOfAll() {
     At(*m_sender, "i-a").m_in_flight = 2;
     At(*m_sender, "i-a").m_elsewhere = 4;
@@ -93,7 +93,8 @@
     CPPUNIT_ASSERT_EQUAL(5U, At(*m_receiver, "i-a").m_elsewhere);
     CPPUNIT_ASSERT_EQUAL(uint64_t{700},
                          At(*m_receiver, "i-a").m_unread_elsewhere);
-    // Of its own replicas an entry hears from their targets.
+    // Replicas of the receiver's own data centre aren't part of the summary:
+    // their targets report them.
     CPPUNIT_ASSERT_EQUAL(0U, At(*m_receiver, "i-b").m_elsewhere);
   }
 
@@ -105,8 +106,8 @@
     CPPUNIT_ASSERT_EQUAL(uint64_t{2}, At(*m_receiver, "i-a").m_weights);
   }
 
-  // Calls go to a replica that loads: two relays handed on summaries of one
-  // second in the other order.
+  // Two relays deliver summaries of the same second in reversed order. If the
+  // older one were applied, calls would go to a replica that is loading.
   void AnOlderSummaryIsRefused() {
     At(*m_sender, "i-a").m_weights = 1;
     links::DataCenterSummary older = SummaryOf(*m_sender, Now());
@@ -116,14 +117,14 @@
     CPPUNIT_ASSERT(!TakeSummary(*m_receiver, older, Now()));
     CPPUNIT_ASSERT(!Tell(2));
     CPPUNIT_ASSERT_EQUAL(uint64_t{2}, At(*m_receiver, "i-a").m_weights);
-    // Nor does anybody tell an entry of its own data centre this way.
+    // A summary of the receiver's own data centre is ignored too.
     older.m_data_center = "b";
     older.m_number = 9;
     CPPUNIT_ASSERT(!TakeSummary(*m_receiver, older, Now()));
   }
 
-  // Callers are sent to entries that have died: those near them have noticed
-  // and leave them out of the summary.
+  // Guards against directing callers to entries that have died. Entries of the
+  // same data centre detect that and leave them out of the summary.
   void AnEntryThatDiedThereIsNotGivenToCallers() {
     PeerEntry& peer = m_sender->m_peers["a2"];
     peer.m_address = {"a2", "a", Endpoint("10.0.0.2", 80),
@@ -139,8 +140,9 @@
     CPPUNIT_ASSERT(!m_receiver->m_peers.at("a2").m_ready);
   }
 
-  // A request that crashes replicas goes on to do so in other data centres. The
-  // crashes that near entries saw are told far away, each once.
+  // A request that crashes replicas must not crash more of them in other data
+  // centres. Crashes seen by entries of the same data centre are part of the
+  // summary, each once.
   void ACrashIsKnownFarAway() {
     links::EntryNews news;
     news.m_address = {"a2", "a", Endpoint("10.0.0.2", 80),
@@ -156,8 +158,9 @@
     CPPUNIT_ASSERT(decide::IsSetAside(m_receiver->m_crashes, 5, Now()));
   }
 
-  // A data centre is taken for lost: thousands of calls broke with their
-  // replicas at once, and what tells of all of them is no datagram any more.
+  // Thousands of calls break at once with their replicas. If the list of these
+  // crashes exceeds a datagram, no summary can be sent and other data centres
+  // treat this one as lost.
   void ManyCrashesFitIntoADatagram() {
     links::EntryNews news;
     news.m_address = {"a2", "a", Endpoint("10.0.0.2", 80),
@@ -174,9 +177,10 @@
                          SummaryOf(*m_sender, Now()).m_crashes.back().m_key);
   }
 
-  // Calls with a key are refused in a data centre that lost its way to the
-  // store, though the others hear it: what they prove holds there too, if it
-  // knows as much.
+  // A data centre that has lost its connection to the store, but not to other
+  // data centres, must not refuse calls with a key. A proof by another data
+  // centre renews its lease too, if it has the same revision of the operator's
+  // table.
   void ProofsRenewTheLeaseFarAway() {
     m_sender->m_operator_proof = BootNow();
     CPPUNIT_ASSERT(!LeaseHolds(*m_receiver));
@@ -188,8 +192,9 @@
     CPPUNIT_ASSERT(LeaseHolds(*m_receiver));
   }
 
-  // A hundred entries start anew at once and repeat what fails. Until each
-  // knows how many there are it must not take the share of one of a few.
+  // A hundred entries restart at once and retry failed calls. Until an entry
+  // knows how many there are, it must not claim the share of retries that it
+  // would have among a few.
   void ManyEntriesShareTheRepeatsBeforeTheyAreKnown() {
     CPPUNIT_ASSERT(EntriesAtMost(*m_receiver) >= 1000);
     links::EntryNews news;
