--- a/src/libverbenalead/entry/call_attempt.cc
+++ b/src/libverbenalead/entry/call_attempt.cc
@@ -10,8 +10,8 @@
 
 using decide::AttemptEnd;
 
-/// The replica's deadline is this much before the call's, so that its last
-/// answer still reaches the caller in time.
+/// The replica's deadline is this much before the call's, so that its
+/// final status still reaches the caller in time.
 constexpr Duration kReplicaMargin = 20ms;
 
 const char* ToString(AttemptEnd end) {
--- a/src/libverbenalead/entry/call_run_stream.cc
+++ b/src/libverbenalead/entry/call_run_stream.cc
@@ -104,9 +104,9 @@
 }
 
 void CallRun::LearnFromFirstEvent() {
-  // Only calls that waited for a place and were sent once are counted. A call
-  // that got a place at once had time to spare, and the time of a call with
-  // several attempts isn't the time that one replica needs.
+  // Only on-time calls that waited for a place and were sent once are counted.
+  // A call that got a place at once had time to spare, and the time of a call
+  // with several attempts isn't the time that one replica needs.
   const CallTimes& times = m_record->m_times;
   if (!m_plan.m_patience.m_fresh || m_record->m_attempts > 1 ||
       times.m_waited < kMinSlotWait)
--- a/src/libverbenalead/entry/call_server.h
+++ b/src/libverbenalead/entry/call_server.h
@@ -12,8 +12,8 @@
 namespace verbenalead::entry {
 
 /// Handles callers' requests: checks route, key and quarantine, decides the
-/// call's plan, and runs it by CallRun. A call that fails a check is refused at
-/// once with the reason, and never reaches a replica.
+/// call's plan, and runs it with CallRun. A call that fails a check is refused
+/// at once with the reason, and never reaches a replica.
 class CallServer {
  public:
   CallServer(EntryState& state, PlaceWaiter& places, wire::Client& http)
--- a/src/libverbenalead/entry/place_waiter_test.cc
+++ b/src/libverbenalead/entry/place_waiter_test.cc
@@ -88,7 +88,7 @@
  private:
   static constexpr uint64_t kTicket = 77;
 
-  Awaitable<void> AcquireSlot(Duration wait) {
+  Awaitable<void> AcquireOneSlot(Duration wait) {
     decide::PoolCall call;
     call.m_ticket = kTicket;
     call.m_prompt_tokens = 10;
@@ -98,7 +98,7 @@
   }
 
   void Take(Duration wait) {
-    boost::asio::co_spawn(*m_io, AcquireSlot(wait), boost::asio::detached);
+    boost::asio::co_spawn(*m_io, AcquireOneSlot(wait), boost::asio::detached);
     m_io->poll();
   }
 
--- a/src/libverbenalead/entry/send_again.h
+++ b/src/libverbenalead/entry/send_again.h
@@ -13,7 +13,7 @@
 /// load of a service whose replicas fail.
 bool TakeRepeat(EntryState& state, const std::string& service);
 
-/// Sends a call once more, as the attempt `attempt`. At first it waits for a
+/// Retries a call with the new attempt `attempt`. The call first waits for a
 /// place that lets it be on time; if none comes free, it waits until
 /// `wait_until` for a place that no on-time call needs. False: no place came
 /// free.
