--- a/src/libverbenalead/entry/call_attempt.cc
+++ b/src/libverbenalead/entry/call_attempt.cc
@@ -10,8 +10,8 @@
 
 using decide::AttemptEnd;
 
-/// A replica stops work this much before the caller gives up, so that its
-/// verdict still gets back.
+/// The replica's deadline is this much before the call's, so that its
+/// final status still reaches the caller in time.
 constexpr Duration kReplicaMargin = 20ms;
 
 const char* ToString(AttemptEnd end) {
@@ -44,11 +44,11 @@
                                   const std::function<void()>& on_sent) {
   PlaceWaiter& places = m_services.m_places;
   const CallPlan& plan = m_record->m_plan;
-  decide::PoolCall wanted = m_record->m_pool_call;
-  m_ticket = wanted.m_ticket = places.NewTicket();
-  const uint32_t prompt_tokens = wanted.m_prompt_tokens;
+  decide::PoolCall pool_call = m_record->m_pool_call;
+  m_ticket = pool_call.m_ticket = places.NewTicket();
+  const uint32_t prompt_tokens = pool_call.m_prompt_tokens;
   auto place =
-      co_await places.Take(plan.m_service, std::move(wanted), wait_until);
+      co_await places.Take(plan.m_service, std::move(pool_call), wait_until);
   if (!place)
     co_return false;
   m_replica = *place;
@@ -103,7 +103,8 @@
 
 Awaitable<void> CallAttempt::ReadAhead() {
   auto piece = co_await ReadBody();
-  // An end, or a break, is found again by whoever reads on.
+  // Only a piece is stored: the end of the body, or a failure, shows again at
+  // the next ReadBody().
   if (piece && piece->has_value())
     m_ahead = std::move(**piece);
   else if (!piece)
--- a/src/libverbenalead/entry/call_run.cc
+++ b/src/libverbenalead/entry/call_run.cc
@@ -92,13 +92,13 @@
     }
     if (end == AttemptEnd::kBroken)
       NoteBreak();
-    const bool again = Left() > Duration() &&
+    const bool retry = Left() > Duration() &&
                        decide::MayTryAgain(m_record->m_progress, end) &&
                        TakeRepeatAfter(end);
-    if (!again && end == AttemptEnd::kFailed)
-      co_return true;  // The replica's own failure goes to the caller.
+    if (!retry && end == AttemptEnd::kFailed)
+      co_return true;  // The replica's error response is passed to the caller.
     EndAttempt(end);
-    if (!again) {
+    if (!retry) {
       co_await GiveUp();
       co_return false;
     }
@@ -111,21 +111,23 @@
   }
 }
 
-Awaitable<bool> CallRun::SendOnce(TimePoint wait_until, bool again) {
+Awaitable<bool> CallRun::SendOnce(TimePoint wait_until, bool resumes) {
   if (m_caller.gone())
     co_return false;
-  const TimePoint asked = Now();
+  const TimePoint wait_began = Now();
   m_record->m_progress.m_begun = false;
   m_attempt = std::make_shared<CallAttempt>(m_services, m_record);
-  const std::function<void()> on_sent = [this, asked] { NoteSent(asked); };
+  const std::function<void()> on_sent = [this, wait_began] {
+    NoteSent(wait_began);
+  };
   bool sent = false;
-  if (again)
+  if (resumes)
     sent =
         co_await SendAgain(m_state, *m_record, *m_attempt, wait_until, on_sent);
   else
     sent = co_await m_attempt->Send(wait_until, on_sent);
   if (!sent) {
-    m_record->m_times.m_waited += Now() - asked;
+    m_record->m_times.m_waited += Now() - wait_began;
     co_return false;
   }
   const bool good = result().m_end == AttemptEnd::kGood;
@@ -154,32 +156,34 @@
 Awaitable<void> CallRun::AnswerWhole() {
   StopWatching();
   wire::Response response{result().m_head.m_status, {}, ""};
-  const AttemptEnd good = result().m_end;
-  bool whole = false;
+  const AttemptEnd end = result().m_end;
+  bool complete = false;
   while (true) {
     auto piece = co_await m_attempt->ReadBody();
-    whole = piece && !piece->has_value();
-    if (!piece || whole)
+    complete = piece && !piece->has_value();
+    if (!piece || complete)
       break;
     response.m_body += **piece;
   }
-  if (!whole) {
-    // Half an answer is none: a caller must not take it for a whole one.
+  if (!complete) {
+    // Part of an answer is never delivered, since the caller could not tell it
+    // from a complete one.
     if (m_caller.gone()) {
       EndAttempt(AttemptEnd::kAbandoned);
       LogCall("caller_gone", 0);
       co_return;
     }
-    const bool again =
+    const bool retry =
         Left() > Duration() &&
         decide::MayTryAgain(m_record->m_progress, AttemptEnd::kBroken) &&
         TakeRepeatAfter(AttemptEnd::kBroken);
     EndAttempt(AttemptEnd::kBroken);
-    if (!again) {
+    if (!retry) {
       co_await GiveUp();
       co_return;
     }
-    // A coroutine of its own for each further try: bounded by the attempts.
+    // Recursion: one coroutine for each further attempt, so its depth is
+    // bounded by the route's maximum of attempts.
     if (co_await Begin())
       co_await AnswerWhole();
     co_return;
@@ -187,7 +191,7 @@
   response.m_headers =
       platform::EncodeForCaller(std::move(result().m_head)).m_headers;
   decide::NoteSuccess(m_state.m_crashes, m_plan.m_fingerprint, Now());
-  EndAttempt(good);
+  EndAttempt(end);
   const int status = response.m_status;
   const bool delivered = co_await m_caller.Send(std::move(response));
   LogCall(delivered ? "delivered" : "caller_gone", status);
@@ -199,8 +203,8 @@
     co_return;
   }
   if (m_record->m_progress.m_runs > 0) {
-    const bool late = Left() <= Duration();
-    co_await Tell(late ? kGatewayTimeout : kBadGateway,
+    const bool expired = Left() <= Duration();
+    co_await Tell(expired ? kGatewayTimeout : kBadGateway,
                   "the call may have run; no answer of it came back",
                   Duration());
     co_return;
@@ -223,15 +227,15 @@
                               const std::string& reason,
                               Duration retry_after) {
   m_reason = reason;
-  const bool told = co_await m_caller.Send(
+  const bool delivered = co_await m_caller.Send(
       platform::EncodeRefusal(status, m_plan.m_call.m_id, reason, retry_after));
   const char* outcome = status == kUnavailable ? "refused" : "unknown";
-  LogCall(told ? outcome : "caller_gone", status);
+  LogCall(delivered ? outcome : "caller_gone", status);
 }
 
-void CallRun::NoteSent(TimePoint asked) {
+void CallRun::NoteSent(TimePoint wait_began) {
   const TimePoint now = Now();
-  m_record->m_times.m_waited += now - asked;
+  m_record->m_times.m_waited += now - wait_began;
   Listen(m_record->m_times, now);
   WatchSilence();
 }
@@ -277,13 +281,15 @@
 }
 
 bool CallRun::TakeRepeatAfter(AttemptEnd end) {
-  // What never arrived anywhere isn't repeated by going elsewhere.
+  // An attempt that reached no replica caused no load, so another one isn't
+  // counted as a retry.
   return end == AttemptEnd::kUnreachable ||
          TakeRepeat(m_state, m_plan.m_service);
 }
 
 void CallRun::NoteBreak() {
-  // Silence is no crash, and neither is what this entry ended itself.
+  // A time-out isn't evidence of a crash, nor is a break that this entry caused
+  // by cancelling the attempt.
   if (result().m_failure == FailureCode::kTimeout ||
       result().m_failure == FailureCode::kCancelled)
     return;
@@ -296,7 +302,8 @@
     return "caller";
   if (Left() <= Duration())
     return "time";
-  // What is left of the call's time would have let the replica go on.
+  // The call had time left, so a time-out here is due to the replica's silence,
+  // not to the call's deadline.
   return m_failure == FailureCode::kTimeout ? "silence" : "replica";
 }
 
--- a/src/libverbenalead/entry/summary.cc
+++ b/src/libverbenalead/entry/summary.cc
@@ -30,8 +30,9 @@
   return summary;
 }
 
-/// This entry and the near ones that are heard of. One that isn't is left out,
-/// so that those who get the summary take it for gone in their turn.
+/// This entry and the entries of its data centre that were seen recently. An
+/// entry that wasn't is left out, so that the receivers of the summary also
+/// treat it as gone.
 std::vector<links::EntrySummary> EntriesOf(const EntryState& state,
                                            TimePoint now) {
   std::vector<links::EntrySummary> entries = {
@@ -43,10 +44,11 @@
   return entries;
 }
 
-void TakeEntries(EntryState& state,
-                 const links::DataCenterSummary& summary,
-                 TimePoint now) {
-  // Those that are left out have died or are cut off there.
+void ApplyEntries(EntryState& state,
+                  const links::DataCenterSummary& summary,
+                  TimePoint now) {
+  // Entries that the summary leaves out have died or are cut off within their
+  // data centre.
   for (auto& [host, peer] : state.m_peers) {
     if (peer.m_address.m_data_center == summary.m_data_center)
       peer.m_ready = false;
@@ -60,29 +62,30 @@
   }
 }
 
-void TakeReplicaSummary(EntryState& state,
-                        const links::ReplicaSummary& summary,
-                        TimePoint now) {
+void ApplyReplicaSummary(EntryState& state,
+                         const links::ReplicaSummary& summary,
+                         TimePoint now) {
   for (auto& [name, service] : state.m_services) {
     const auto found = service.m_pool.m_replicas.find(summary.m_replica);
     if (found == service.m_pool.m_replicas.end())
       continue;
     const decide::ReplicaState& replica = found->second;
-    links::ReplicaNews news;
-    news.m_replica = summary.m_replica;
-    news.m_service = name;
-    news.m_version = summary.m_version;
-    news.m_closing = summary.m_closing;
-    news.m_loading = summary.m_loading;
-    // This entry's own calls are among those that were told.
-    news.m_elsewhere.m_calls =
+    links::ReplicaNews update;
+    update.m_replica = summary.m_replica;
+    update.m_service = name;
+    update.m_version = summary.m_version;
+    update.m_closing = summary.m_closing;
+    update.m_loading = summary.m_loading;
+    // The summary counts the calls of all entries. This entry's own are
+    // subtracted, as they are counted separately.
+    update.m_elsewhere.m_calls =
         summary.m_calls.m_calls -
         std::min(summary.m_calls.m_calls, replica.m_in_flight);
-    news.m_elsewhere.m_unread =
+    update.m_elsewhere.m_unread =
         summary.m_calls.m_unread -
         std::min(summary.m_calls.m_unread, replica.m_unread);
-    news.m_waiting = summary.m_waiting;
-    TakeNews(state, news, now);
+    update.m_waiting = summary.m_waiting;
+    TakeNews(state, update, now);
     return;
   }
 }
@@ -130,7 +133,8 @@
                  TimePoint now) {
   if (summary.m_data_center == OwnDataCenter(state))
     return false;
-  // Relays may hand on two summaries in either order.
+  // Two summaries that pass through different relays may arrive in either
+  // order.
   LastSummary& last = state.m_summaries[summary.m_data_center];
   if (last.m_sender == summary.m_sender && summary.m_number <= last.m_number)
     return false;
@@ -142,10 +146,10 @@
         .Info();
   }
   last = {summary.m_sender, summary.m_number};
-  TakeEntries(state, summary, now);
+  ApplyEntries(state, summary, now);
   TakeProof(state, summary.m_operator_revision, summary.m_operator_proof);
   for (const links::ReplicaSummary& summary : summary.m_replicas)
-    TakeReplicaSummary(state, summary, now);
+    ApplyReplicaSummary(state, summary, now);
   TakeCrashes(state, summary.m_crashes, now);
   return true;
 }
--- a/src/libverbenalead/entry/summary_test.cc
+++ b/src/libverbenalead/entry/summary_test.cc
@@ -13,8 +13,8 @@
 namespace {
 
 constexpr char kService[] = "pool";
-/// The most that a datagram holds.
-constexpr size_t kDatagram = 65507;
+/// Largest payload of a UDP datagram in bytes.
+constexpr size_t kMaxDatagramBytes = 65507;
 
 model::Replica Replica(const std::string& id, const std::string& data_center) {
   model::Replica replica;
@@ -26,8 +26,7 @@
   return replica;
 }
 
-/// An entry that knows a configuration, and one replica in each of two data
-/// centres.
+/// An entry with a configuration and one replica in each of two data centres.
 std::unique_ptr<EntryState> Entry(const std::string& host,
                                   const std::string& data_center) {
   EntryOptions options;
@@ -56,14 +55,14 @@
 
 class SummaryTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(SummaryTest);
-  CPPUNIT_TEST(TellsNearReplicasWithTheCallsOfAll);
-  CPPUNIT_TEST(ALoadIsKnownFarAway);
-  CPPUNIT_TEST(AnOlderSummaryIsRefused);
-  CPPUNIT_TEST(AnEntryThatDiedThereIsNotGivenToCallers);
-  CPPUNIT_TEST(ACrashIsKnownFarAway);
+  CPPUNIT_TEST(ReportsLocalReplicasWithTheCallsOfAllEntries);
+  CPPUNIT_TEST(LoadIsKnownInOtherDataCenters);
+  CPPUNIT_TEST(OlderSummaryIsIgnored);
+  CPPUNIT_TEST(DeadRemoteEntryIsNotOfferedToCallers);
+  CPPUNIT_TEST(CrashIsKnownInOtherDataCenters);
   CPPUNIT_TEST(ManyCrashesFitIntoADatagram);
-  CPPUNIT_TEST(ProofsRenewTheLeaseFarAway);
-  CPPUNIT_TEST(ManyEntriesShareTheRepeatsBeforeTheyAreKnown);
+  CPPUNIT_TEST(ProofsRenewTheLeaseInOtherDataCenters);
+  CPPUNIT_TEST(RetryShareAssumesManyEntriesUntilCounted);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -78,10 +77,11 @@
     return TakeSummary(*m_receiver, summary, Now());
   }
 
-  // Callers wait behind calls that an entry didn't know of: it places calls at
-  // far replicas by the summary, and that must hold the calls of all entries,
-  // but count its own only once.
-  void TellsNearReplicasWithTheCallsOfAll() {
+  // An entry places calls at replicas of other data centres by the summary. If
+  // the summary lacks calls of some entries, or the entry counts its own calls
+  // twice, calls are placed wrongly and queue behind calls that the entry
+  // didn't know of.
+  void ReportsLocalReplicasWithTheCallsOfAllEntries() {
     At(*m_sender, "i-a").m_in_flight = 2;
     At(*m_sender, "i-a").m_elsewhere = 4;
     At(*m_sender, "i-a").m_unread = 100;
@@ -93,11 +93,12 @@
     CPPUNIT_ASSERT_EQUAL(5U, At(*m_receiver, "i-a").m_elsewhere);
     CPPUNIT_ASSERT_EQUAL(uint64_t{700},
                          At(*m_receiver, "i-a").m_unread_elsewhere);
-    // Of its own replicas an entry hears from their targets.
+    // Replicas of the receiver's own data centre aren't part of the summary:
+    // their targets report them.
     CPPUNIT_ASSERT_EQUAL(0U, At(*m_receiver, "i-b").m_elsewhere);
   }
 
-  void ALoadIsKnownFarAway() {
+  void LoadIsKnownInOtherDataCenters() {
     At(*m_sender, "i-a").m_loading_until = Now() + 1s;
     At(*m_sender, "i-a").m_weights = 2;
     CPPUNIT_ASSERT(Tell(1));
@@ -105,9 +106,9 @@
     CPPUNIT_ASSERT_EQUAL(uint64_t{2}, At(*m_receiver, "i-a").m_weights);
   }
 
-  // Calls go to a replica that loads: two relays handed on summaries of one
-  // second in the other order.
-  void AnOlderSummaryIsRefused() {
+  // Two relays deliver summaries of the same second in reversed order. If the
+  // older one were applied, calls would go to a replica that is loading.
+  void OlderSummaryIsIgnored() {
     At(*m_sender, "i-a").m_weights = 1;
     links::DataCenterSummary older = SummaryOf(*m_sender, Now());
     older.m_number = 1;
@@ -116,15 +117,15 @@
     CPPUNIT_ASSERT(!TakeSummary(*m_receiver, older, Now()));
     CPPUNIT_ASSERT(!Tell(2));
     CPPUNIT_ASSERT_EQUAL(uint64_t{2}, At(*m_receiver, "i-a").m_weights);
-    // Nor does anybody tell an entry of its own data centre this way.
+    // A summary of the receiver's own data centre is ignored too.
     older.m_data_center = "b";
     older.m_number = 9;
     CPPUNIT_ASSERT(!TakeSummary(*m_receiver, older, Now()));
   }
 
-  // Callers are sent to entries that have died: those near them have noticed
-  // and leave them out of the summary.
-  void AnEntryThatDiedThereIsNotGivenToCallers() {
+  // Guards against directing callers to entries that have died. Entries of the
+  // same data centre detect that and leave them out of the summary.
+  void DeadRemoteEntryIsNotOfferedToCallers() {
     PeerEntry& peer = m_sender->m_peers["a2"];
     peer.m_address = {"a2", "a", Endpoint("10.0.0.2", 80),
                       Endpoint("10.0.0.2", 81)};
@@ -139,16 +140,17 @@
     CPPUNIT_ASSERT(!m_receiver->m_peers.at("a2").m_ready);
   }
 
-  // A request that crashes replicas goes on to do so in other data centres. The
-  // crashes that near entries saw are told far away, each once.
-  void ACrashIsKnownFarAway() {
-    links::EntryNews news;
-    news.m_address = {"a2", "a", Endpoint("10.0.0.2", 80),
-                      Endpoint("10.0.0.2", 81)};
-    news.m_crashes = {{5, "i-1/7", TimePoint()}, {5, "i-2/7", TimePoint()}};
-    TakeNews(*m_sender, news, Now());
-    news.m_crashes.push_back({5, "i-3/7", TimePoint()});
-    TakeNews(*m_sender, news, Now());
+  // A request that crashes replicas must not crash more of them in other data
+  // centres. Crashes seen by entries of the same data centre are part of the
+  // summary, each once.
+  void CrashIsKnownInOtherDataCenters() {
+    links::EntryNews update;
+    update.m_address = {"a2", "a", Endpoint("10.0.0.2", 80),
+                        Endpoint("10.0.0.2", 81)};
+    update.m_crashes = {{5, "i-1/7", TimePoint()}, {5, "i-2/7", TimePoint()}};
+    TakeNews(*m_sender, update, Now());
+    update.m_crashes.push_back({5, "i-3/7", TimePoint()});
+    TakeNews(*m_sender, update, Now());
     CPPUNIT_ASSERT_EQUAL(size_t{3},
                          SummaryOf(*m_sender, Now()).m_crashes.size());
     CPPUNIT_ASSERT(!decide::IsSetAside(m_receiver->m_crashes, 5, Now()));
@@ -156,28 +158,31 @@
     CPPUNIT_ASSERT(decide::IsSetAside(m_receiver->m_crashes, 5, Now()));
   }
 
-  // A data centre is taken for lost: thousands of calls broke with their
-  // replicas at once, and what tells of all of them is no datagram any more.
+  // Thousands of calls break at once with their replicas. If the list of these
+  // crashes exceeds a datagram, no summary can be sent and other data centres
+  // treat this one as lost.
   void ManyCrashesFitIntoADatagram() {
-    links::EntryNews news;
-    news.m_address = {"a2", "a", Endpoint("10.0.0.2", 80),
-                      Endpoint("10.0.0.2", 81)};
+    links::EntryNews update;
+    update.m_address = {"a2", "a", Endpoint("10.0.0.2", 80),
+                        Endpoint("10.0.0.2", 81)};
     for (uint64_t request = 0; request < 5000; ++request)
-      news.m_crashes.push_back({request, "i-1/1790000000000", TimePoint()});
-    TakeNews(*m_sender, news, Now());
-    m_sender->m_own_crashes = news.m_crashes;
+      update.m_crashes.push_back({request, "i-1/1790000000000", TimePoint()});
+    TakeNews(*m_sender, update, Now());
+    m_sender->m_own_crashes = update.m_crashes;
     m_sender->m_own_crashes.push_back({7777, "i-2/7", Now() + 1s});
     CPPUNIT_ASSERT(links::EncodeMessage(SummaryOf(*m_sender, Now())).size() <
-                   kDatagram);
-    CPPUNIT_ASSERT(links::EncodeMessage(NewsOf(*m_sender)).size() < kDatagram);
+                   kMaxDatagramBytes);
+    CPPUNIT_ASSERT(links::EncodeMessage(NewsOf(*m_sender)).size() <
+                   kMaxDatagramBytes);
     CPPUNIT_ASSERT_EQUAL(uint64_t{7777},
                          SummaryOf(*m_sender, Now()).m_crashes.back().m_key);
   }
 
-  // Calls with a key are refused in a data centre that lost its way to the
-  // store, though the others hear it: what they prove holds there too, if it
-  // knows as much.
-  void ProofsRenewTheLeaseFarAway() {
+  // A data centre that has lost its connection to the store, but not to other
+  // data centres, must not refuse calls with a key. A proof by another data
+  // centre renews its lease too, if it has the same revision of the operator's
+  // table.
+  void ProofsRenewTheLeaseInOtherDataCenters() {
     m_sender->m_operator_proof = BootNow();
     CPPUNIT_ASSERT(!LeaseHolds(*m_receiver));
     m_receiver->m_operator_revision = 4;
@@ -188,15 +193,16 @@
     CPPUNIT_ASSERT(LeaseHolds(*m_receiver));
   }
 
-  // A hundred entries start anew at once and repeat what fails. Until each
-  // knows how many there are it must not take the share of one of a few.
-  void ManyEntriesShareTheRepeatsBeforeTheyAreKnown() {
+  // A hundred entries restart at once and retry failed calls. Until an entry
+  // knows how many there are, it must not claim the share of retries that it
+  // would have among a few.
+  void RetryShareAssumesManyEntriesUntilCounted() {
     CPPUNIT_ASSERT(EntriesAtMost(*m_receiver) >= 1000);
-    links::EntryNews news;
-    news.m_address = {"b2", "b", Endpoint("10.0.0.2", 80),
-                      Endpoint("10.0.0.2", 81)};
-    news.m_far_entries = 78;
-    TakeNews(*m_receiver, news, Now());
+    links::EntryNews update;
+    update.m_address = {"b2", "b", Endpoint("10.0.0.2", 80),
+                        Endpoint("10.0.0.2", 81)};
+    update.m_far_entries = 78;
+    TakeNews(*m_receiver, update, Now());
     CPPUNIT_ASSERT(EntriesAtMost(*m_receiver) >= 80);
     CPPUNIT_ASSERT(EntriesAtMost(*m_receiver) < 100);
   }
