--- a/src/libverbenalead/entry/caller_addresses.cc
+++ b/src/libverbenalead/entry/caller_addresses.cc
@@ -10,35 +10,35 @@
 /// Least number of ready entries in the callers' data centre for these alone to
 /// be listed. With a single one, its failure would leave callers without any
 /// entry.
-constexpr size_t kEnoughEntries = 2;
+constexpr size_t kMinEntriesPerDataCenter = 2;
 
-struct Choices {
+struct Candidates {
   std::vector<Endpoint> m_near;
   std::vector<Endpoint> m_all;
   std::vector<Endpoint> m_unready;
 };
 
-void Add(Choices& choices,
+void Add(Candidates& candidates,
          const model::EntryAddress& entry,
          bool near,
          bool ready) {
-  (ready ? choices.m_all : choices.m_unready).push_back(entry.m_callers);
+  (ready ? candidates.m_all : candidates.m_unready).push_back(entry.m_callers);
   if (ready && near)
-    choices.m_near.push_back(entry.m_callers);
+    candidates.m_near.push_back(entry.m_callers);
 }
 
 /// Collects this entry and all peers with a recent update, in the order of host
 /// names from this entry on, wrapping around at the end.
-Choices ChoicesFor(const EntryState& state,
-                   const std::string& data_center,
-                   TimePoint now) {
-  Choices choices;
+Candidates CollectCandidates(const EntryState& state,
+                             const std::string& data_center,
+                             TimePoint now) {
+  Candidates candidates;
   const model::EntryAddress& self = state.m_options.m_self;
-  Add(choices, self, self.m_data_center == data_center, IsReady(state));
+  Add(candidates, self, self.m_data_center == data_center, IsReady(state));
   const auto add = [&](const PeerEntry& peer) {
     if (IsHeard(state, peer, now)) {
-      Add(choices, peer.m_address, peer.m_address.m_data_center == data_center,
-          peer.m_ready);
+      Add(candidates, peer.m_address,
+          peer.m_address.m_data_center == data_center, peer.m_ready);
     }
   };
   const auto next = state.m_peers.upper_bound(self.m_host);
@@ -46,25 +46,25 @@
     add(peer->second);
   for (auto peer = state.m_peers.begin(); peer != next; ++peer)
     add(peer->second);
-  return choices;
+  return candidates;
 }
 
 }  // namespace
 
 std::vector<Endpoint> EntriesFor(const EntryState& state,
                                  const std::string& data_center,
-                                 size_t most,
+                                 size_t limit,
                                  TimePoint now) {
-  Choices choices = ChoicesFor(state, data_center, now);
-  std::vector<Endpoint> list = std::move(choices.m_near);
-  if (list.size() < kEnoughEntries)
-    list = std::move(choices.m_all);
+  Candidates candidates = CollectCandidates(state, data_center, now);
+  std::vector<Endpoint> list = std::move(candidates.m_near);
+  if (list.size() < kMinEntriesPerDataCenter)
+    list = std::move(candidates.m_all);
   // An entry that is not ready still answers callers, with the time after which
   // to retry.
   if (list.empty())
-    list = std::move(choices.m_unready);
-  if (list.size() > most)
-    list.resize(most);
+    list = std::move(candidates.m_unready);
+  if (list.size() > limit)
+    list.resize(limit);
   return list;
 }
 
--- a/src/libverbenalead/entry/caller_addresses.h
+++ b/src/libverbenalead/entry/caller_addresses.h
@@ -20,7 +20,7 @@
 /// the list, and every entry receives its share of the callers.
 std::vector<Endpoint> EntriesFor(const EntryState& state,
                                  const std::string& data_center,
-                                 size_t most,
+                                 size_t limit,
                                  TimePoint now);
 
 }  // namespace verbenalead::entry
--- a/src/libverbenalead/entry/caller_addresses_test.cc
+++ b/src/libverbenalead/entry/caller_addresses_test.cc
@@ -57,7 +57,7 @@
 
 class CallerAddressesTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(CallerAddressesTest);
-  CPPUNIT_TEST(AStoppingEntryIsNotNamed);
+  CPPUNIT_TEST(DoesNotListStoppingEntries);
   CPPUNIT_TEST(ManyEntriesShareTheCallers);
   CPPUNIT_TEST_SUITE_END();
 
@@ -65,7 +65,7 @@
   // Guards against callers being sent to entries that are about to exit:
   // stopping entries are not ready, and must not be listed while two others
   // are.
-  void AStoppingEntryIsNotNamed() {
+  void DoesNotListStoppingEntries() {
     const auto first = Ready(0);
     Tell(*first, 1, 1, true);
     Tell(*first, 2, 18, true);
@@ -79,16 +79,16 @@
   // name get no callers.
   void ManyEntriesShareTheCallers() {
     constexpr size_t kEntries = 105;
-    std::map<std::string, size_t> named;
+    std::map<std::string, size_t> listings;
     for (size_t number = 0; number < kEntries; ++number) {
       const auto entry = Ready(number);
       Tell(*entry, 0, number, true);
       Tell(*entry, number + 1, kEntries - number - 1, true);
-      for (const Endpoint& each : EntriesFor(*entry, "a", kMost, Now()))
-        ++named[ToString(each)];
+      for (const Endpoint& endpoint : EntriesFor(*entry, "a", kMost, Now()))
+        ++listings[ToString(endpoint)];
     }
-    CPPUNIT_ASSERT_EQUAL(kEntries, named.size());
-    for (const auto& [address, times] : named)
+    CPPUNIT_ASSERT_EQUAL(kEntries, listings.size());
+    for (const auto& [address, times] : listings)
       CPPUNIT_ASSERT_EQUAL(kMost, times);
   }
 };
--- a/src/libverbenalead/entry/entry_news.cc
+++ b/src/libverbenalead/entry/entry_news.cc
@@ -10,7 +10,7 @@
 
 /// Time without an update after which an entry of the same data centre counts
 /// as failed or cut off: three intervals between updates.
-constexpr Duration kNearSilence = 1300ms;
+constexpr Duration kLocalEntryTimeout = 1300ms;
 /// The same time for entries of other data centres. The summaries that name
 /// them are sent once a second, in datagrams that may be lost at either of two
 /// hops or go to failed entries, and come later if the sender of the summaries
@@ -18,50 +18,51 @@
 ///
 /// A single entry that fails is left out of the next summary, so this time
 /// matters only for data centres that are lost or cut off as a whole.
-constexpr Duration kFarSilence = 8s;
+constexpr Duration kRemoteEntryTimeout = 8s;
 /// Maximum age of the reader's proof. The entry that reads for others gets a
 /// proof every 1.2 s, and the others receive it 0.4 s later; an older proof
 /// means that the reader has lost the store.
-constexpr Duration kFreshProof = 2200ms;
+constexpr Duration kMaxProofAge = 2200ms;
 /// Cap of the age of the list of replicas in updates.
-constexpr Duration kOldest = std::chrono::hours(1);
+constexpr Duration kMaxReportedAge = std::chrono::hours(1);
 /// Maximum age of the reader's list of replicas. The reader requests it every
 /// 0.9 s, so with an older one it can't reach the store, and a replica that
 /// left must be known 2 s later.
-constexpr Duration kFreshReplicas = 1500ms;
+constexpr Duration kMaxReplicaListAge = 1500ms;
 /// Crash records are resent for this long, so that the loss of some datagrams
 /// loses no record.
-constexpr Duration kNoteAge = 3s;
-constexpr size_t kMostNotes = 256;
+constexpr Duration kCrashRecordLifetime = 3s;
+constexpr size_t kMaxCrashRecords = 256;
 /// How long a target's report that it is closing or loading holds. A target
 /// sends it every second; if the target fails meanwhile, its replica is not
 /// kept out of use for longer than this.
 constexpr Duration kLoadingHold = 1500ms;
 
-void ForgetOldNotes(std::vector<decide::CrashNote>& notes, TimePoint now) {
-  std::erase_if(notes, [now](const decide::CrashNote& note) {
-    return now - note.m_at >= kNoteAge;
+void RemoveExpiredRecords(std::vector<decide::CrashNote>& records,
+                          TimePoint now) {
+  std::erase_if(records, [now](const decide::CrashNote& record) {
+    return now - record.m_at >= kCrashRecordLifetime;
   });
 }
 
 /// Stores crashes reported by an entry of this data centre for the summaries to
 /// other data centres, each crash once.
-void KeepNearCrashes(EntryState& state,
-                     const std::vector<decide::CrashNote>& crashes,
-                     TimePoint now) {
+void RecordLocalCrashes(EntryState& state,
+                        const std::vector<decide::CrashNote>& crashes,
+                        TimePoint now) {
   std::erase_if(state.m_near_crashes, [now](const auto& crash) {
-    return now - crash.second >= kNoteAge;
+    return now - crash.second >= kCrashRecordLifetime;
   });
-  for (const decide::CrashNote& note : crashes)
-    state.m_near_crashes.try_emplace({note.m_key, note.m_target}, now);
+  for (const decide::CrashNote& record : crashes)
+    state.m_near_crashes.try_emplace({record.m_key, record.m_target}, now);
 }
 
 }  // namespace
 
-void KeepNewest(std::vector<decide::CrashNote>& notes) {
-  if (notes.size() > kMostNotes)
-    notes.erase(notes.begin(),
-                notes.end() - static_cast<std::ptrdiff_t>(kMostNotes));
+void KeepNewest(std::vector<decide::CrashNote>& records) {
+  if (records.size() > kMaxCrashRecords)
+    records.erase(records.begin(), records.end() - static_cast<std::ptrdiff_t>(
+                                                       kMaxCrashRecords));
 }
 
 bool IsNear(const EntryState& state, const PeerEntry& peer) {
@@ -71,7 +72,7 @@
 bool IsHeard(const EntryState& state, const PeerEntry& peer, TimePoint now) {
   return peer.m_heard_at != TimePoint() &&
          now - peer.m_heard_at <
-             (IsNear(state, peer) ? kNearSilence : kFarSilence);
+             (IsNear(state, peer) ? kLocalEntryTimeout : kRemoteEntryTimeout);
 }
 
 links::ReplicaCalls CallsAt(const decide::ReplicaState& replica) {
@@ -84,26 +85,27 @@
 }
 
 bool TakeOwnCrashes(EntryState& state, TimePoint now) {
-  const std::vector<decide::CrashNote> fresh = decide::News(state.m_crashes);
-  ForgetOldNotes(state.m_own_crashes, now);
-  state.m_own_crashes.insert(state.m_own_crashes.end(), fresh.begin(),
-                             fresh.end());
-  return !fresh.empty();
+  const std::vector<decide::CrashNote> new_records =
+      decide::News(state.m_crashes);
+  RemoveExpiredRecords(state.m_own_crashes, now);
+  state.m_own_crashes.insert(state.m_own_crashes.end(), new_records.begin(),
+                             new_records.end());
+  return !new_records.empty();
 }
 
 links::EntryNews NewsOf(const EntryState& state) {
-  links::EntryNews news;
-  news.m_address = state.m_options.m_self;
-  news.m_ready = IsReady(state);
-  news.m_crashes = state.m_own_crashes;
-  KeepNewest(news.m_crashes);
-  news.m_operator_revision = state.m_operator_revision;
-  news.m_operator_proof = ProofOf(state);
-  news.m_replicas_hash = state.m_replicas_hash;
-  news.m_replicas_age =
-      std::min<Duration>(Now() - state.m_replicas_at, kOldest);
-  news.m_far_entries = state.m_far_entries;
-  return news;
+  links::EntryNews update;
+  update.m_address = state.m_options.m_self;
+  update.m_ready = IsReady(state);
+  update.m_crashes = state.m_own_crashes;
+  KeepNewest(update.m_crashes);
+  update.m_operator_revision = state.m_operator_revision;
+  update.m_operator_proof = ProofOf(state);
+  update.m_replicas_hash = state.m_replicas_hash;
+  update.m_replicas_age =
+      std::min<Duration>(Now() - state.m_replicas_at, kMaxReportedAge);
+  update.m_far_entries = state.m_far_entries;
+  return update;
 }
 
 Duration ProofOf(const EntryState& state) {
@@ -131,60 +133,63 @@
 void TakeCrashes(EntryState& state,
                  std::vector<decide::CrashNote> crashes,
                  TimePoint now) {
-  for (decide::CrashNote& note : crashes)
-    note.m_at = now;
+  for (decide::CrashNote& record : crashes)
+    record.m_at = now;
   decide::Merge(state.m_crashes, crashes, now);
 }
 
-void TakeNews(EntryState& state, const links::EntryNews& news, TimePoint now) {
-  if (news.m_address.m_host == state.m_options.m_self.m_host)
+void TakeNews(EntryState& state,
+              const links::EntryNews& update,
+              TimePoint now) {
+  if (update.m_address.m_host == state.m_options.m_self.m_host)
     return;
-  PeerEntry& peer = state.m_peers[news.m_address.m_host];
+  PeerEntry& peer = state.m_peers[update.m_address.m_host];
   if (!IsHeard(state, peer, now)) {
     LogLine("peer_heard")
-        .With("host", news.m_address.m_host)
-        .With("ready", news.m_ready)
+        .With("host", update.m_address.m_host)
+        .With("ready", update.m_ready)
         .Info();
   }
-  peer.m_address = news.m_address;
-  peer.m_ready = news.m_ready;
+  peer.m_address = update.m_address;
+  peer.m_ready = update.m_ready;
   peer.m_heard_at = now;
-  peer.m_operator_revision = news.m_operator_revision;
-  peer.m_replicas_hash = news.m_replicas_hash;
-  peer.m_replicas_at = now - news.m_replicas_age;
+  peer.m_operator_revision = update.m_operator_revision;
+  peer.m_replicas_hash = update.m_replicas_hash;
+  peer.m_replicas_at = now - update.m_replicas_age;
   const auto proved_at =
-      TakeProof(state, news.m_operator_revision, news.m_operator_proof);
+      TakeProof(state, update.m_operator_revision, update.m_operator_proof);
   if (proved_at)
     peer.m_proved_at = *proved_at;
-  if (news.m_far_entries) {
+  if (update.m_far_entries) {
     state.m_far_entries =
-        std::max(state.m_far_entries.value_or(0), *news.m_far_entries);
+        std::max(state.m_far_entries.value_or(0), *update.m_far_entries);
   }
-  KeepNearCrashes(state, news.m_crashes, now);
-  TakeCrashes(state, news.m_crashes, now);
+  RecordLocalCrashes(state, update.m_crashes, now);
+  TakeCrashes(state, update.m_crashes, now);
 }
 
 void TakeNews(EntryState& state,
-              const links::ReplicaNews& news,
+              const links::ReplicaNews& update,
               TimePoint now) {
-  const auto service = state.m_services.find(news.m_service);
+  const auto service = state.m_services.find(update.m_service);
   if (service == state.m_services.end())
     return;
-  const auto found = service->second.m_pool.m_replicas.find(news.m_replica);
+  const auto found = service->second.m_pool.m_replicas.find(update.m_replica);
   if (found == service->second.m_pool.m_replicas.end())
     return;
   decide::ReplicaState& replica = found->second;
   const bool was_loading = replica.m_loading_until > now;
-  if (was_loading != news.m_loading || news.m_version != replica.m_weights) {
-    NoteReplicaChange(state.m_replica_changes, news.m_replica,
-                      {replica.m_weights, news.m_version, news.m_loading});
+  if (was_loading != update.m_loading ||
+      update.m_version != replica.m_weights) {
+    NoteReplicaChange(state.m_replica_changes, update.m_replica,
+                      {replica.m_weights, update.m_version, update.m_loading});
   }
-  replica.m_closing_until = news.m_closing ? now + kLoadingHold : TimePoint();
-  replica.m_loading_until = news.m_loading ? now + kLoadingHold : TimePoint();
-  replica.m_weights = news.m_version;
-  replica.m_elsewhere = news.m_elsewhere.m_calls;
-  replica.m_unread_elsewhere = news.m_elsewhere.m_unread;
-  replica.m_waiting = news.m_waiting;
+  replica.m_closing_until = update.m_closing ? now + kLoadingHold : TimePoint();
+  replica.m_loading_until = update.m_loading ? now + kLoadingHold : TimePoint();
+  replica.m_weights = update.m_version;
+  replica.m_elsewhere = update.m_elsewhere.m_calls;
+  replica.m_unread_elsewhere = update.m_elsewhere.m_unread;
+  replica.m_waiting = update.m_waiting;
 }
 
 const PeerEntry* ReaderFor(const EntryState& state, TimePoint now) {
@@ -192,15 +197,15 @@
     if (!state.m_store_lost && host >= state.m_options.m_self.m_host)
       break;
     if (IsNear(state, peer) && IsHeard(state, peer, now) && peer.m_ready &&
-        peer.m_proved_at + kFreshProof > BootNow() &&
-        now - peer.m_replicas_at < kFreshReplicas)
+        peer.m_proved_at + kMaxProofAge > BootNow() &&
+        now - peer.m_replicas_at < kMaxReplicaListAge)
       return &peer;
   }
   return nullptr;
 }
 
 const PeerEntry* AheadOf(EntryState& state, TimePoint now) {
-  std::vector<const PeerEntry*> ahead;
+  std::vector<const PeerEntry*> candidates;
   uint64_t newest = state.m_operator_revision;
   for (const auto& [host, peer] : state.m_peers) {
     if (!IsNear(state, peer) || !IsHeard(state, peer, now) ||
@@ -208,23 +213,24 @@
         peer.m_operator_revision < newest)
       continue;
     if (peer.m_operator_revision > newest)
-      ahead.clear();
+      candidates.clear();
     newest = peer.m_operator_revision;
-    ahead.push_back(&peer);
+    candidates.push_back(&peer);
   }
-  return ahead.empty() ? nullptr : ahead[state.m_random() % ahead.size()];
+  return candidates.empty() ? nullptr
+                            : candidates[state.m_random() % candidates.size()];
 }
 
 const PeerEntry& ReplicaSource(EntryState& state,
                                const PeerEntry& reader,
                                TimePoint now) {
-  std::vector<const PeerEntry*> same;
+  std::vector<const PeerEntry*> sources;
   for (const auto& [host, peer] : state.m_peers) {
     if (IsNear(state, peer) && IsHeard(state, peer, now) &&
         peer.m_replicas_hash == reader.m_replicas_hash)
-      same.push_back(&peer);
+      sources.push_back(&peer);
   }
-  return same.empty() ? reader : *same[state.m_random() % same.size()];
+  return sources.empty() ? reader : *sources[state.m_random() % sources.size()];
 }
 
 size_t EntriesBefore(const EntryState& state, TimePoint now) {
--- a/src/libverbenalead/entry/entry_news.h
+++ b/src/libverbenalead/entry/entry_news.h
@@ -22,12 +22,12 @@
 /// and removes expired ones. Returns true if there are new ones.
 bool TakeOwnCrashes(EntryState& state, TimePoint now);
 
-/// Limits `notes` to the newest that fit into one datagram. Failure: hundreds
+/// Limits `records` to the newest that fit into one datagram. Failure: hundreds
 /// of calls break together with their replicas. Symptom: an update with all
 /// records is too large to be sent, and the other entries take this one for
 /// dead. The oldest records can be dropped: a request that goes on crashing
 /// replicas produces new ones.
-void KeepNewest(std::vector<decide::CrashNote>& notes);
+void KeepNewest(std::vector<decide::CrashNote>& records);
 
 /// The update that this entry sends to the other entries of its data centre.
 links::EntryNews NewsOf(const EntryState& state);
@@ -38,7 +38,7 @@
 Duration ProofOf(const EntryState& state);
 
 /// Applies an update from another entry of this data centre.
-void TakeNews(EntryState& state, const links::EntryNews& news, TimePoint now);
+void TakeNews(EntryState& state, const links::EntryNews& update, TimePoint now);
 
 /// Applies the proof of another entry that has `revision`: at `proof`, by the
 /// store's clock, the store confirmed that nothing newer existed. If this entry
@@ -55,7 +55,9 @@
                  TimePoint now);
 
 /// Applies an update from a target process about its replica.
-void TakeNews(EntryState& state, const links::ReplicaNews& news, TimePoint now);
+void TakeNews(EntryState& state,
+              const links::ReplicaNews& update,
+              TimePoint now);
 
 /// Returns the entry of this data centre that reads the store on behalf of this
 /// one, or null if this entry has to read the store itself.
--- a/src/libverbenalead/entry/entry_news_test.cc
+++ b/src/libverbenalead/entry/entry_news_test.cc
@@ -34,9 +34,9 @@
 
 class EntryNewsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(EntryNewsTest);
-  CPPUNIT_TEST(AReaderThatLosesTheStoreSaysSo);
-  CPPUNIT_TEST(AnyOfThoseThatKnowTheNewestIsAsked);
-  CPPUNIT_TEST(AListOfReplicasIsTakenFromAnyThatHasIt);
+  CPPUNIT_TEST(StopsUsingAReaderThatLostTheStore);
+  CPPUNIT_TEST(FetchesFromAnyEntryWithTheNewestRows);
+  CPPUNIT_TEST(FetchesReplicasFromAnyEntryThatHasThem);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -44,7 +44,7 @@
   // the requests of the entry that reads for its data centre, and the others
   // waited until its last proof was too old. Its update now carries no proof,
   // so the others stop relying on it at once.
-  void AReaderThatLosesTheStoreSaysSo() {
+  void StopsUsingAReaderThatLostTheStore() {
     const auto reader = Entry("e1");
     const auto other = Entry("e2");
     TakeNews(*other, NewsOf(*reader), Now());
@@ -60,7 +60,7 @@
   // Guards against a configuration of 390 KB reaching a data centre a second
   // late: 14 entries all fetched it from the one that had read it. Each must
   // choose at random among the entries that have it.
-  void AnyOfThoseThatKnowTheNewestIsAsked() {
+  void FetchesFromAnyEntryWithTheNewestRows() {
     const auto newcomer = Entry("e0");
     newcomer->m_operator_revision = 0;
     for (const char* host : {"e1", "e2", "e3"}) {
@@ -68,10 +68,10 @@
       entry->m_operator_revision = host == std::string("e3") ? 4 : 5;
       TakeNews(*newcomer, NewsOf(*entry), Now());
     }
-    std::set<std::string> asked;
+    std::set<std::string> chosen;
     for (int i = 0; i < 50; ++i)
-      asked.insert(AheadOf(*newcomer, Now())->m_address.m_host);
-    CPPUNIT_ASSERT(asked == std::set<std::string>({"e1", "e2"}));
+      chosen.insert(AheadOf(*newcomer, Now())->m_address.m_host);
+    CPPUNIT_ASSERT(chosen == std::set<std::string>({"e1", "e2"}));
     newcomer->m_operator_revision = 5;
     CPPUNIT_ASSERT(!AheadOf(*newcomer, Now()));
   }
@@ -79,7 +79,7 @@
   // Guards against calls being refused for seconds after all processes start at
   // once: all entries of a data centre fetched 1 MB of replicas from the one
   // that had read them.
-  void AListOfReplicasIsTakenFromAnyThatHasIt() {
+  void FetchesReplicasFromAnyEntryThatHasThem() {
     const auto newcomer = Entry("e0");
     for (const char* host : {"e1", "e2", "e3"}) {
       const auto entry = Entry(host);
@@ -87,10 +87,10 @@
       TakeNews(*newcomer, NewsOf(*entry), Now());
     }
     const PeerEntry reader = newcomer->m_peers.at("e1");
-    std::set<std::string> asked;
+    std::set<std::string> chosen;
     for (int i = 0; i < 50; ++i)
-      asked.insert(ReplicaSource(*newcomer, reader, Now()).m_address.m_host);
-    CPPUNIT_ASSERT(asked == std::set<std::string>({"e1", "e2"}));
+      chosen.insert(ReplicaSource(*newcomer, reader, Now()).m_address.m_host);
+    CPPUNIT_ASSERT(chosen == std::set<std::string>({"e1", "e2"}));
   }
 };
 
--- a/src/libverbenalead/entry/entry_state.cc
+++ b/src/libverbenalead/entry/entry_state.cc
@@ -12,7 +12,7 @@
 /// Time from the selection of a replica until the call starts there. A call
 /// that was placed on older weights within this time before they are barred
 /// would be cancelled and placed again.
-constexpr Duration kTimeToBegin = 400ms;
+constexpr Duration kStartDelay = 400ms;
 /// Allowance for entries that have started but are not known yet, while hosts
 /// are replaced or added.
 constexpr uint32_t kUnknownEntries = 3;
@@ -22,7 +22,7 @@
 /// often as permitted. With a share for this many entries, retries are limited
 /// for a second or two to the ratio alone, which does not depend on the other
 /// entries.
-constexpr uint32_t kMostEntries = 2000;
+constexpr uint32_t kAssumedEntries = 2000;
 
 }  // namespace
 
@@ -43,7 +43,7 @@
     // At least 1: a replica without any weights takes no calls, even if no
     // weights were declared.
     const uint64_t binding = decide::Binding(
-        state.m_weights[service.m_engine->m_model], now + kTimeToBegin);
+        state.m_weights[service.m_engine->m_model], now + kStartDelay);
     decide::ReplicaPool& pool = StateOf(state, service.m_name).m_pool;
     pool.m_required_weights = std::max<uint64_t>(1, binding);
     pool.m_prefill_rate = service.m_engine->m_prefill_rate;
@@ -71,7 +71,7 @@
 
 uint32_t EntriesAtMost(const EntryState& state) {
   if (!state.m_far_entries)
-    return kMostEntries;
+    return kAssumedEntries;
   uint32_t near = 1;
   uint32_t far = 0;
   for (const auto& [host, peer] : state.m_peers) {
--- a/src/libverbenalead/entry/news_sender.cc
+++ b/src/libverbenalead/entry/news_sender.cc
@@ -7,13 +7,13 @@
 
 /// In one of this many rounds all calls are sent to targets again, in case a
 /// datagram was lost.
-constexpr uint64_t kRoundsToTellAll = 12;
+constexpr uint64_t kRoundsPerResend = 12;
 /// In one of this many rounds an update is sent to the entries of this data
 /// centre even if nothing has changed.
-constexpr uint64_t kRoundsToTellNear = 4;
+constexpr uint64_t kRoundsPerUpdate = 4;
 
 /// The share of the slots of usable replicas that is in use.
-uint32_t FullnessPercent(const decide::ReplicaPool& pool) {
+uint32_t UsedSlotsPercent(const decide::ReplicaPool& pool) {
   const decide::PoolLoad load = decide::LoadOf(pool, Now());
   return load.m_places == 0 ? 100 : 100 * load.m_taken / load.m_places;
 }
@@ -21,7 +21,7 @@
 }  // namespace
 
 void NewsSender::TellCalls() {
-  const bool all = ++m_call_rounds % kRoundsToTellAll == 0;
+  const bool all = ++m_call_rounds % kRoundsPerResend == 0;
   for (const auto& [name, service] : m_state.m_services) {
     if (!IsEngineService(m_state, name))
       continue;
@@ -30,46 +30,48 @@
   }
 }
 
-void NewsSender::TellCalls(const decide::ReplicaState& replica, bool again) {
+void NewsSender::TellCalls(const decide::ReplicaState& replica, bool resend) {
   const links::ReplicaCalls now = CallsAt(replica);
-  links::ReplicaCalls& told = m_told_calls[replica.m_replica.m_id];
-  if (now == told && !again)
+  links::ReplicaCalls& last_sent = m_told_calls[replica.m_replica.m_id];
+  if (now == last_sent && !resend)
     return;
-  told = now;
+  last_sent = now;
   m_datagrams.Send(TargetOf(replica),
                    links::CallNews{replica.m_replica.m_id, now});
 }
 
 void NewsSender::TellEntries(bool took_over) {
   const bool crashes = TakeOwnCrashes(m_state, Now());
-  links::EntryNews news = NewsOf(m_state);
+  links::EntryNews update = NewsOf(m_state);
   ++m_news_rounds;
-  const bool changed = news.m_ready != m_last_news.m_ready || crashes;
-  const bool lost = news.m_operator_proof == Duration() &&
-                    m_last_news.m_operator_proof != Duration();
-  const bool read =
-      lost || news.m_operator_revision != m_last_news.m_operator_revision ||
-      news.m_replicas_hash != m_last_news.m_replicas_hash || took_over;
-  if (changed || read || m_news_rounds % kRoundsToTellNear == 0)
-    Broadcast(news);
-  m_last_news = std::move(news);
+  const bool changed = update.m_ready != m_last_news.m_ready || crashes;
+  const bool store_lost = update.m_operator_proof == Duration() &&
+                          m_last_news.m_operator_proof != Duration();
+  const bool rows_changed =
+      store_lost ||
+      update.m_operator_revision != m_last_news.m_operator_revision ||
+      update.m_replicas_hash != m_last_news.m_replicas_hash || took_over;
+  if (changed || rows_changed || m_news_rounds % kRoundsPerUpdate == 0)
+    Broadcast(update);
+  m_last_news = std::move(update);
 }
 
 void NewsSender::TellAllEntries() {
   Broadcast(NewsOf(m_state));
 }
 
-void NewsSender::AnswerNewcomer(const links::EntryNews& news) {
+void NewsSender::AnswerNewcomer(const links::EntryNews& update) {
   const bool near =
-      news.m_address.m_data_center == m_state.m_options.m_self.m_data_center;
-  if (near && news.m_operator_revision == 0 && m_state.m_operator_revision > 0)
-    m_datagrams.Send(news.m_address.m_peers, NewsOf(m_state));
+      update.m_address.m_data_center == m_state.m_options.m_self.m_data_center;
+  if (near && update.m_operator_revision == 0 &&
+      m_state.m_operator_revision > 0)
+    m_datagrams.Send(update.m_address.m_peers, NewsOf(m_state));
 }
 
-void NewsSender::Broadcast(const links::EntryNews& news) {
+void NewsSender::Broadcast(const links::EntryNews& update) {
   for (const auto& [host, peer] : m_state.m_peers) {
     if (IsNear(m_state, peer))
-      m_datagrams.Send(peer.m_address.m_peers, news);
+      m_datagrams.Send(peer.m_address.m_peers, update);
   }
 }
 
@@ -85,7 +87,7 @@
   for (const auto& [name, service] : m_state.m_services) {
     if (!IsEngineService(m_state, name))
       continue;
-    const uint32_t fullness = FullnessPercent(service.m_pool);
+    const uint32_t fullness = UsedSlotsPercent(service.m_pool);
     for (const auto& [id, replica] : service.m_pool.m_replicas) {
       links::FollowRequest request;
       request.m_fullness_percent = fullness;
--- a/src/libverbenalead/entry/news_sender.h
+++ b/src/libverbenalead/entry/news_sender.h
@@ -22,9 +22,9 @@
   /// Sends targets the changes in this entry's calls at their replicas, and at
   /// intervals resends all of them. Called every kCallNewsInterval.
   void TellCalls();
-  /// Sends the calls at one replica to its target; with `again`, also if they
+  /// Sends the calls at one replica to its target; with `resend`, also if they
   /// have not changed since the last update.
-  void TellCalls(const decide::ReplicaState& replica, bool again);
+  void TellCalls(const decide::ReplicaState& replica, bool resend);
 
   /// Sends this entry's state to the entries of its data centre: at once if it
   /// has changed, else at intervals. `took_over`: this entry has just taken
@@ -32,10 +32,10 @@
   void TellEntries(bool took_over);
   /// Sends this entry's state to all entries of its data centre now.
   void TellAllEntries();
-  /// Sends this entry's state to the sender of `news` if that is in the same
+  /// Sends this entry's state to the sender of `update` if that is in the same
   /// data centre and has no rows yet: it has just started and waits for an
   /// entry from which it can fetch the tables.
-  void AnswerNewcomer(const links::EntryNews& news);
+  void AnswerNewcomer(const links::EntryNews& update);
 
   /// Requests updates from the targets of this data centre, and sends them the
   /// newest revision of declared weights.
@@ -45,7 +45,7 @@
   void TellFarTargets();
 
  private:
-  void Broadcast(const links::EntryNews& news);
+  void Broadcast(const links::EntryNews& update);
   /// Sends a follow request to the targets of this data centre (`near`) or to
   /// those of all others.
   void TellTargets(bool near);
--- a/src/libverbenalead/entry/platform_entry.cc
+++ b/src/libverbenalead/entry/platform_entry.cc
@@ -32,23 +32,23 @@
 /// Interval at which target processes are sent follow requests, which make them
 /// send their updates for a few seconds.
 constexpr Duration kFollowInterval = 1s;
-constexpr uint64_t kRoundsToTellFar = 2;
+constexpr uint64_t kRoundsPerRemoteRequest = 2;
 /// Lifetime of a response of the directory. Callers that use it for three times
 /// as long still leave a stopping entry before that exits.
-constexpr Duration kAddressesHold = 1s;
+constexpr Duration kAddressListLifetime = 1s;
 /// A host without power does not respond at all; the longest round trip is 4
 /// ms.
 constexpr Duration kConnectTimeout = 250ms;
 /// Time after the stop signal for which calls are still accepted, since callers
 /// go on sending them until they have queried the directory again. A little
-/// less than three times kAddressesHold, because a busy host handles the signal
-/// late.
-constexpr Duration kTakeCallsFor = 2900ms;
+/// less than three times kAddressListLifetime, because a busy host handles the
+/// signal late.
+constexpr Duration kAcceptCallsFor = 2900ms;
 /// The process exits this long before it would be killed.
 constexpr Duration kStopMargin = 400ms;
 constexpr Duration kStopPoll = 20ms;
 /// Delays of the event loop from this length on affect calls and are logged.
-constexpr Duration kNotableLag = 200ms;
+constexpr Duration kLoggedLag = 200ms;
 
 http::ClientOptions ReplicaConnections() {
   http::ClientOptions options;
@@ -90,7 +90,7 @@
         m_registration(
             m_state,
             m_store,
-            [this] { NoteNearEntries(); },
+            [this] { HandleEntriesRead(); },
             [this] { return m_summaries.is_sender(); }),
         m_callers(
             m_threads,
@@ -102,13 +102,13 @@
             m_threads,
             {},
             [this](const wire::Request& request, wire::ResponseWriter& caller) {
-              return TellReadiness(request, caller);
+              return SendReadiness(request, caller);
             }),
         m_directory(
             m_threads,
             {},
             [this](const wire::Request& request, wire::ResponseWriter& caller) {
-              return TellAddresses(request, caller);
+              return SendAddresses(request, caller);
             }),
         m_row_server(
             m_threads,
@@ -125,8 +125,8 @@
     m_places.WakeAll();
     // Targets need most of the bound on new weights to load them, so they are
     // notified at once.
-    if (m_state.m_weights_revision > m_told_weights) {
-      m_told_weights = m_state.m_weights_revision;
+    if (m_state.m_weights_revision > m_announced_weights) {
+      m_announced_weights = m_state.m_weights_revision;
       m_news.AskNearTargets();
     }
     if (m_state.m_routes == m_applied_routes)
@@ -141,14 +141,14 @@
     m_callers.SetLimits(limits);
   }
 
-  Awaitable<void> TellReadiness(const wire::Request&,
+  Awaitable<void> SendReadiness(const wire::Request&,
                                 wire::ResponseWriter& caller) {
     const bool ready = IsReady(m_state);
     co_await caller.Send(wire::JsonResponse(
         ready ? 200 : 503, ready ? "{\"ready\":true}" : "{\"ready\":false}"));
   }
 
-  Awaitable<void> TellAddresses(const wire::Request& request,
+  Awaitable<void> SendAddresses(const wire::Request& request,
                                 wire::ResponseWriter& caller) {
     if (wire::PathOf(request) != platform::kDirectoryPath) {
       co_await caller.Send(wire::JsonResponse(404, "{}"));
@@ -157,13 +157,13 @@
     co_await caller.Send(platform::EncodeAddresses(
         EntriesFor(m_state, platform::CallerDataCenter(request),
                    platform::kMostAddresses, Now()),
-        kAddressesHold));
+        kAddressListLifetime));
   }
 
-  void TakeMessage(const links::Message& message) {
-    if (const auto* news = std::get_if<links::EntryNews>(&message)) {
-      TakeNews(m_state, *news, Now());
-      m_news.AnswerNewcomer(*news);
+  void HandleMessage(const links::Message& message) {
+    if (const auto* update = std::get_if<links::EntryNews>(&message)) {
+      TakeNews(m_state, *update, Now());
+      m_news.AnswerNewcomer(*update);
       m_rows.Compare();
     } else if (const auto* summary =
                    std::get_if<links::DataCenterSummary>(&message)) {
@@ -177,19 +177,19 @@
     m_places.WakeAll();
   }
 
-  void NoteLoopLag(Duration late) {
+  void RecordLoopLag(Duration late) {
     NoteLag(m_state.m_lag, late, Now());
     m_state.m_metrics.Observe("loop_lag_seconds", "",
                               std::chrono::duration<double>(late).count());
-    if (late >= kNotableLag)
+    if (late >= kLoggedLag)
       LogLine("loop_late").With("ms", ToMilliseconds(late)).Warn();
   }
 
-  Awaitable<void> SendCallNews() {
+  Awaitable<void> SendCallUpdates() {
     while (true) {
       const TimePoint due = Now() + kCallNewsInterval;
       co_await Sleep(kCallNewsInterval);
-      NoteLoopLag(Now() - due);
+      RecordLoopLag(Now() - due);
       if (!m_started)
         m_started = NoteStart(m_state, m_start, Now());
       UpdatePools(m_state, Now());
@@ -198,7 +198,7 @@
     }
   }
 
-  Awaitable<void> SendNews() {
+  Awaitable<void> SendEntryUpdates() {
     while (true) {
       co_await Sleep(kNewsInterval);
       m_rows.Compare();
@@ -211,13 +211,13 @@
   Awaitable<void> FollowTargets() {
     for (uint64_t round = 0;; ++round) {
       m_news.AskNearTargets();
-      if (m_summaries.is_sender() && round % kRoundsToTellFar == 0)
+      if (m_summaries.is_sender() && round % kRoundsPerRemoteRequest == 0)
         m_news.TellFarTargets();
       co_await Sleep(kFollowInterval);
     }
   }
 
-  void NoteNearEntries() {
+  void HandleEntriesRead() {
     m_rows.NoteEntriesKnown();
     m_news.TellAllEntries();
   }
@@ -241,7 +241,7 @@
     m_state.m_stopping = true;
     m_callers.Drain();
     m_news.TellAllEntries();
-    co_await Sleep(kTakeCallsFor);
+    co_await Sleep(kAcceptCallsFor);
     m_state.m_takes_calls = false;
     m_callers.StopAccepting();
     m_directory.StopAccepting();
@@ -273,7 +273,7 @@
   asio::signal_set m_signals;
   /// The configuration that ApplyRows() applied last.
   std::shared_ptr<const decide::RouteTable> m_applied_routes;
-  uint64_t m_told_weights = 0;
+  uint64_t m_announced_weights = 0;
   StartProgress m_start;
   /// All steps of StartProgress are completed.
   bool m_started = false;
@@ -304,14 +304,14 @@
   parts.m_rows.Start();
   SpawnLoop(main, parts.m_registration.KeepRegistered(), "keep_registered");
   SpawnLoop(main, parts.m_registration.LearnFarEntries(), "learn_far_entries");
-  SpawnLoop(main, parts.SendNews(), "send_news");
-  SpawnLoop(main, parts.SendCallNews(), "send_call_news");
+  SpawnLoop(main, parts.SendEntryUpdates(), "send_news");
+  SpawnLoop(main, parts.SendCallUpdates(), "send_call_news");
   SpawnLoop(main, parts.FollowTargets(), "follow_targets");
   SpawnLoop(main, parts.AwaitSignals(), "await_signals");
   SpawnLoop(main,
             parts.m_datagrams.Receive(
                 [&parts](const Endpoint&, const links::Message& message) {
-                  parts.TakeMessage(message);
+                  parts.HandleMessage(message);
                 }),
             "receive");
   parts.m_threads.Run();
--- a/src/libverbenalead/entry/registration.cc
+++ b/src/libverbenalead/entry/registration.cc
@@ -13,12 +13,12 @@
 /// by their updates; the table is for entries that never received an update of
 /// each other.
 constexpr Duration kTableInterval = 120s;
-constexpr Duration kRetry = 500ms;
+constexpr Duration kRetryDelay = 500ms;
 
 std::string EncodeEntryRow(const model::EntryAddress& entry) {
-  links::EntryNews news;
-  news.m_address = entry;
-  return links::EncodeMessage(news);
+  links::EntryNews update;
+  update.m_address = entry;
+  return links::EncodeMessage(update);
 }
 
 bool HoldsRow(const platform::Rows& rows,
@@ -35,12 +35,12 @@
 
 Registration::Registration(EntryState& state,
                            platform::Store& store,
-                           std::function<void()> on_near,
-                           std::function<bool()> speaks)
+                           std::function<void()> on_entries_read,
+                           std::function<bool()> is_summary_sender)
     : m_state(state),
       m_store(store),
-      m_on_near(std::move(on_near)),
-      m_speaks(std::move(speaks)) {}
+      m_on_near(std::move(on_entries_read)),
+      m_speaks(std::move(is_summary_sender)) {}
 
 Awaitable<void> Registration::KeepRegistered() {
   // The row exists already if only the process was restarted. The table is read
@@ -65,7 +65,7 @@
         platform::kEntryTable, self.m_data_center, self.m_host, value);
     if (!written) {
       LogLine("not_registered").With(written.error()).Warn();
-      co_await Sleep(kRetry);
+      co_await Sleep(kRetryDelay);
     }
   }
 }
@@ -73,7 +73,7 @@
 Awaitable<void> Registration::LearnFarEntries() {
   while (true) {
     const bool read = m_speaks() && co_await ReadFarParts();
-    co_await Sleep(read ? kTableInterval : kRetry);
+    co_await Sleep(read ? kTableInterval : kRetryDelay);
   }
 }
 
@@ -116,15 +116,15 @@
       continue;
     auto message =
         CatchFailure([&] { return links::DecodeMessage(row.m_value); });
-    const auto* news =
+    const auto* update =
         message ? std::get_if<links::EntryNews>(&*message) : nullptr;
-    if (!news) {
+    if (!update) {
       LogLine("bad_entry_row").With("key", row.m_key).Warn();
       continue;
     }
-    PeerEntry& peer = m_state.m_peers[news->m_address.m_host];
+    PeerEntry& peer = m_state.m_peers[update->m_address.m_host];
     if (peer.m_heard_at == TimePoint())
-      peer.m_address = news->m_address;
+      peer.m_address = update->m_address;
   }
 }
 
--- a/src/libverbenalead/entry/registration.h
+++ b/src/libverbenalead/entry/registration.h
@@ -22,13 +22,13 @@
 /// reads the others.
 class Registration {
  public:
-  /// `on_near` is called after the rows of this data centre were read. `speaks`
-  /// returns whether this entry sends the summaries for its data centre.
-  /// `state` and `store` outlive this.
+  /// `on_entries_read` is called after the rows of this data centre were read.
+  /// `is_summary_sender` returns whether this entry sends the summaries for its
+  /// data centre. `state` and `store` outlive this.
   Registration(EntryState& state,
                platform::Store& store,
-               std::function<void()> on_near,
-               std::function<bool()> speaks);
+               std::function<void()> on_entries_read,
+               std::function<bool()> is_summary_sender);
 
   /// Keeps this entry's row in the store and reads the rows of its data centre.
   /// Doesn't return.
--- a/src/libverbenalead/entry/replica_change_log.cc
+++ b/src/libverbenalead/entry/replica_change_log.cc
@@ -5,8 +5,8 @@
 namespace verbenalead::entry {
 namespace {
 
-constexpr Duration kInterval = 1s;
-constexpr size_t kMostNamed = 16;
+constexpr Duration kLineInterval = 1s;
+constexpr size_t kMaxNamedReplicas = 16;
 
 }  // namespace
 
@@ -20,10 +20,10 @@
   known->second.m_loading = change.m_loading;
 }
 
-std::string FormatChanges(const ReplicaChangeLog& log, size_t most) {
+std::string FormatChanges(const ReplicaChangeLog& log, size_t limit) {
   std::string text;
   for (const auto& [replica, change] : log.m_changes) {
-    if (most-- == 0)
+    if (limit-- == 0)
       break;
     if (!text.empty())
       text += ' ';
@@ -36,11 +36,11 @@
 }
 
 void WriteReplicaChanges(ReplicaChangeLog& log, TimePoint now) {
-  if (log.m_changes.empty() || now - log.m_written_at < kInterval)
+  if (log.m_changes.empty() || now - log.m_written_at < kLineInterval)
     return;
   LogLine("replica_weights")
       .With("changed", static_cast<uint64_t>(log.m_changes.size()))
-      .With("replicas", FormatChanges(log, kMostNamed))
+      .With("replicas", FormatChanges(log, kMaxNamedReplicas))
       .Info();
   log.m_written_at = now;
   log.m_changes.clear();
--- a/src/libverbenalead/entry/replica_change_log.h
+++ b/src/libverbenalead/entry/replica_change_log.h
@@ -34,7 +34,7 @@
 
 /// Formats at most `limit` changes as in the log line: "i-1:1>2" for a replica
 /// that has other weights, "i-2:1>1,loading" for one that loads.
-std::string FormatChanges(const ReplicaChangeLog& log, size_t most);
+std::string FormatChanges(const ReplicaChangeLog& log, size_t limit);
 
 /// Writes the line if there are changes and the last line is at least a second
 /// old.
--- a/src/libverbenalead/entry/replica_change_log_test.cc
+++ b/src/libverbenalead/entry/replica_change_log_test.cc
@@ -7,12 +7,12 @@
 
 class ReplicaChangeLogTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ReplicaChangeLogTest);
-  CPPUNIT_TEST(ChangesOfOneReplicaAreOne);
+  CPPUNIT_TEST(MergesChangesOfOneReplica);
   CPPUNIT_TEST(ManyChangesMakeOneLineOfBoundedLength);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void ChangesOfOneReplicaAreOne() {
+  void MergesChangesOfOneReplica() {
     ReplicaChangeLog log;
     NoteReplicaChange(log, "i-1", {1, 1, true});
     NoteReplicaChange(log, "i-1", {1, 2, false});
--- a/src/libverbenalead/entry/row_intake.cc
+++ b/src/libverbenalead/entry/row_intake.cc
@@ -27,7 +27,7 @@
 /// Time after the store's return for which replicas without a row are kept.
 /// Rows that expired while the store was unavailable are back within two
 /// seconds; the rest is the time until this entry reads them.
-constexpr Duration kLapseGrace = 2200ms;
+constexpr Duration kExpiredRowGrace = 2200ms;
 
 }  // namespace
 
@@ -192,7 +192,7 @@
   m_state.m_replicas_known = true;
   m_state.m_replicas_at = Now();
   UpdatePools(regained_at == TimePoint() ? TimePoint()
-                                         : regained_at + kLapseGrace);
+                                         : regained_at + kExpiredRowGrace);
 }
 
 bool RowIntake::TakeRelayedReplicaRows(const links::RelayedRows& relayed) {
--- a/src/libverbenalead/entry/row_intake_test.cc
+++ b/src/libverbenalead/entry/row_intake_test.cc
@@ -31,14 +31,14 @@
 
 class RowIntakeTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RowIntakeTest);
-  CPPUNIT_TEST(TakesOverWhatANearEntryKnows);
+  CPPUNIT_TEST(AppliesRowsOfAnotherEntry);
   CPPUNIT_TEST(AnOlderListDoesNotBringBackALeavingReplica);
-  CPPUNIT_TEST(RowsThatLapsedAreKeptAfterARelayToo);
-  CPPUNIT_TEST(ALateDeclarationBindsAsEarlyAsItWasMade);
+  CPPUNIT_TEST(ExpiredRowsAreKeptAfterARelay);
+  CPPUNIT_TEST(BoundCountsFromTheDeclaration);
   CPPUNIT_TEST(ADeclarationOfUnknownAgeBindsSoonAfterAStart);
-  CPPUNIT_TEST(ADeclarationBetweenTwoQuestionsIsAsOldAsThePause);
-  CPPUNIT_TEST(AgesAreToldWithoutTheStoresClock);
-  CPPUNIT_TEST(ARowThatCannotBeReadNamesNoReplica);
+  CPPUNIT_TEST(DeclarationBetweenRequestsIsAsOldAsTheGap);
+  CPPUNIT_TEST(AgesAreRelayedWithoutTheStoresClock);
+  CPPUNIT_TEST(UndecodableRowAddsNoReplica);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -49,7 +49,7 @@
     m_intake = std::make_unique<RowIntake>(*m_state);
   }
 
-  void TakesOverWhatANearEntryKnows() {
+  void AppliesRowsOfAnotherEntry() {
     m_intake->TakeReplicaRows(Rows(5, {ReplicaRow("1", 5)}), true, TimePoint());
     CPPUNIT_ASSERT(m_intake->TakeRelayedReplicaRows(
         {Rows(8, {ReplicaRow("1", 5), ReplicaRow("2", 8)}), {}, std::nullopt}));
@@ -75,7 +75,7 @@
   // that reads it finds no rows yet because they expired, and keeps its
   // replicas for two seconds. An entry that fetches its list must keep them as
   // long.
-  void RowsThatLapsedAreKeptAfterARelayToo() {
+  void ExpiredRowsAreKeptAfterARelay() {
     m_intake->TakeReplicaRows(Rows(5, {ReplicaRow("1", 5)}), true, TimePoint());
     m_intake->TakeRelayedReplicaRows({Rows(8, {}), {}, Duration(100ms)});
     CPPUNIT_ASSERT_EQUAL(size_t{1}, Replicas().size());
@@ -87,7 +87,7 @@
   // received a declaration 3 s late over a saturated link. The relayed rows
   // carry the age of the declaration, and the bound counts from the
   // declaration.
-  void ALateDeclarationBindsAsEarlyAsItWasMade() {
+  void BoundCountsFromTheDeclaration() {
     links::RelayedRows relayed = {
         Rows(7, {DeclarationRow(7)}), {}, std::nullopt};
     relayed.m_ages["version/m"] = 3s;
@@ -112,7 +112,7 @@
   // Guards against calls starting on older weights after their bound: this
   // entry sent the store no request for a second, during which they were
   // declared.
-  void ADeclarationBetweenTwoQuestionsIsAsOldAsThePause() {
+  void DeclarationBetweenRequestsIsAsOldAsTheGap() {
     const Duration now = BootNow();
     TakeAnswer(now - 2s, now - 2s, {});
     TakeAnswer(now - 1s, now - 1s, {DeclarationRow(7)});
@@ -127,7 +127,7 @@
   // it from an entry that was restarted. The store has not answered that entry
   // yet, so it can't give the age in the store's time. It gives the age by its
   // own clock.
-  void AgesAreToldWithoutTheStoresClock() {
+  void AgesAreRelayedWithoutTheStoresClock() {
     links::RelayedRows relayed = {
         Rows(7, {DeclarationRow(7)}), {}, std::nullopt};
     relayed.m_ages["version/m"] = 3s;
@@ -137,7 +137,7 @@
     CPPUNIT_ASSERT(age >= 3s && age < 4s);
   }
 
-  void ARowThatCannotBeReadNamesNoReplica() {
+  void UndecodableRowAddsNoReplica() {
     platform::Row bad = ReplicaRow("2", 6);
     bad.m_value = "\xff";
     m_intake->TakeReplicaRows(Rows(6, {ReplicaRow("1", 5), bad}), true,
--- a/src/libverbenalead/entry/row_sources.cc
+++ b/src/libverbenalead/entry/row_sources.cc
@@ -14,7 +14,7 @@
 
 /// Time for which the store holds a request for changes of the operator's table
 /// open. A quarter of the lease on keys, which each answer renews.
-constexpr Duration kOperatorWait = 1200ms;
+constexpr Duration kOperatorLongPoll = 1200ms;
 /// Pace of requests for the table of replicas. A replica that leaves must get
 /// no calls 2 s after it announced that.
 constexpr links::FollowPace kReplicaPace = {Duration(), 900ms, Duration(),
@@ -22,16 +22,16 @@
 /// Pace of requests for both tables while another entry reads for this one:
 /// seldom, and only in case the rows of the other entry are wrong. If the store
 /// does not answer, a quick retry is not needed.
-constexpr Duration kReadForInterval = 300s;
-constexpr links::FollowPace kReadForPace = {Duration(), kReadForInterval, 2s,
-                                            false};
+constexpr Duration kPeerReadsInterval = 300s;
+constexpr links::FollowPace kPeerReadsPace = {Duration(), kPeerReadsInterval,
+                                              2s, false};
 /// An entry that has just started gets all rows from another one of its data
 /// centre within a second. If rows are missing after this time, it reads them
 /// from the store.
-constexpr Duration kBroughtWithin = 3s;
+constexpr Duration kPeerRowsTimeout = 3s;
 /// Rows are sent in pieces, each once the one before has been sent, so that
 /// responses waiting for a slow link are not buffered as a whole.
-constexpr size_t kTellPiece = 16384;
+constexpr size_t kResponsePieceSize = 16384;
 
 }  // namespace
 
@@ -77,21 +77,22 @@
 bool RowSources::IsHeld(bool known) const {
   const TimePoint now = Now();
   if (!known) {
-    const bool brought = m_reading == decide::Reading::kFromPeer &&
-                         now - m_cold.m_started < kBroughtWithin;
-    return brought || !decide::MayRead(m_cold, now);
+    const bool expects_peer_rows = m_reading == decide::Reading::kFromPeer &&
+                                   now - m_cold.m_started < kPeerRowsTimeout;
+    return expects_peer_rows || !decide::MayRead(m_cold, now);
   }
   return m_reading == decide::Reading::kFromPeer &&
-         now - m_read_for_since < kReadForInterval;
+         now - m_read_for_since < kPeerReadsInterval;
 }
 
 links::FollowPace RowSources::OperatorPace() {
-  links::FollowPace pace = kReadForPace;
+  links::FollowPace pace = kPeerReadsPace;
   if (m_reading == decide::Reading::kOwn) {
     // An entry that has just taken over must prove at once that it has the
     // newest revision, so its first request is answered without a wait.
-    const bool proved = Now() - m_state.m_operator_answered_at < kOperatorWait;
-    pace = {proved ? kOperatorWait : Duration(),
+    const bool proved =
+        Now() - m_state.m_operator_answered_at < kOperatorLongPoll;
+    pace = {proved ? kOperatorLongPoll : Duration(),
             decide::TakeTurn(m_operator_pace, Now()), PauseAfterFailure(),
             false};
   }
@@ -106,7 +107,7 @@
 }
 
 links::FollowPace RowSources::ReplicaPace() {
-  links::FollowPace pace = kReadForPace;
+  links::FollowPace pace = kPeerReadsPace;
   if (m_reading == decide::Reading::kOwn) {
     pace = kReplicaPace;
     pace.m_after_failure = PauseAfterFailure();
@@ -141,9 +142,9 @@
       m_replicas.Poke();
     }
   }
-  const PeerEntry* ahead = AheadOf(m_state, now);
-  if (ahead && !m_fetching_operator && now >= m_next_operator_fetch) {
-    Spawn(m_executor, FetchOperatorRows(ahead->m_address.m_peers),
+  const PeerEntry* newer = AheadOf(m_state, now);
+  if (newer && !m_fetching_operator && now >= m_next_operator_fetch) {
+    Spawn(m_executor, FetchOperatorRows(newer->m_address.m_peers),
           "fetch_operator_rows");
   }
   if (reader)
@@ -231,9 +232,9 @@
     return nullptr;
   const uint64_t revision =
       replicas ? m_intake.replicas_revision() : m_state.m_operator_revision;
-  ToldRows& told = m_told[path];
-  if (told.m_text && told.m_revision == revision)
-    return told.m_text;
+  ToldRows& encoded = m_told[path];
+  if (encoded.m_text && encoded.m_revision == revision)
+    return encoded.m_text;
   std::map<std::string, platform::Row> rows =
       replicas ? m_intake.replica_rows() : m_intake.operator_rows();
   if (path == links::kTargetRowsPath) {
@@ -241,10 +242,11 @@
     config = platform::ServicesOnly(config);
   }
   const uint64_t followed = replicas ? revision : m_operator.revision();
-  told.m_revision = revision;
-  told.m_text = std::make_shared<const std::string>(Deflate(links::EncodeRows(
-      rows, followed, replicas ? links::SeenTimes() : m_intake.seen())));
-  return told.m_text;
+  encoded.m_revision = revision;
+  encoded.m_text =
+      std::make_shared<const std::string>(Deflate(links::EncodeRows(
+          rows, followed, replicas ? links::SeenTimes() : m_intake.seen())));
+  return encoded.m_text;
 }
 
 bool RowSources::MayTell(const wire::Request& request, uint64_t bytes) {
@@ -272,8 +274,8 @@
   wire::ResponseHead head(200, links::EncodeFacts(facts));
   if (!co_await caller.Start(std::move(head)))
     co_return;
-  for (size_t begin = 0; begin < text->size(); begin += kTellPiece) {
-    if (!co_await caller.Write(text->substr(begin, kTellPiece)))
+  for (size_t begin = 0; begin < text->size(); begin += kResponsePieceSize) {
+    if (!co_await caller.Write(text->substr(begin, kResponsePieceSize)))
       co_return;
   }
   co_await caller.Finish({});
--- a/src/libverbenalead/entry/start_progress_test.cc
+++ b/src/libverbenalead/entry/start_progress_test.cc
@@ -9,35 +9,35 @@
 
 class StartProgressTest : public CallFixture {
   CPPUNIT_TEST_SUITE(StartProgressTest);
-  CPPUNIT_TEST(AStepIsNotedOnceAndStays);
-  CPPUNIT_TEST(WhatIsMissingIsServed);
+  CPPUNIT_TEST(StepIsRecordedOnce);
+  CPPUNIT_TEST(MissingStepsAreInTheMetrics);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void AStepIsNotedOnceAndStays() {
+  void StepIsRecordedOnce() {
     StartProgress progress;
     progress.m_started = Now();
     CPPUNIT_ASSERT(NoteStart(*m_state, progress, progress.m_started + 2s));
     m_state->m_lease = {};
     CPPUNIT_ASSERT(NoteStart(*m_state, progress, progress.m_started + 3s));
-    CPPUNIT_ASSERT(Serves("start_step_seconds{step=\"lease\"} 2"));
-    CPPUNIT_ASSERT(Serves("start_waits{step=\"lease\"} 0"));
+    CPPUNIT_ASSERT(HasMetric("start_step_seconds{step=\"lease\"} 2"));
+    CPPUNIT_ASSERT(HasMetric("start_waits{step=\"lease\"} 0"));
   }
 
-  void WhatIsMissingIsServed() {
+  void MissingStepsAreInTheMetrics() {
     m_state->m_replicas_known = false;
     StartProgress progress;
     progress.m_started = Now();
     CPPUNIT_ASSERT(!NoteStart(*m_state, progress, progress.m_started));
-    CPPUNIT_ASSERT(Serves("start_waits{step=\"replicas\"} 1"));
-    CPPUNIT_ASSERT(Serves("start_waits{step=\"configuration\"} 0"));
+    CPPUNIT_ASSERT(HasMetric("start_waits{step=\"replicas\"} 1"));
+    CPPUNIT_ASSERT(HasMetric("start_waits{step=\"configuration\"} 0"));
     m_state->m_replicas_known = true;
     CPPUNIT_ASSERT(NoteStart(*m_state, progress, progress.m_started + 5s));
-    CPPUNIT_ASSERT(Serves("start_step_seconds{step=\"replicas\"} 5"));
+    CPPUNIT_ASSERT(HasMetric("start_step_seconds{step=\"replicas\"} 5"));
   }
 
  private:
-  bool Serves(const std::string& line) const {
+  bool HasMetric(const std::string& line) const {
     return m_state->m_metrics.Text().find("verbenalead_" + line) !=
            std::string::npos;
   }
