--- a/src/libverbenalead/entry/entry_options.cc
+++ b/src/libverbenalead/entry/entry_options.cc
@@ -17,22 +17,23 @@
       .Choice("log.level", {"info", "debug", "warn", "error"}, "least level")
       .Address("listen.callers", "127.0.0.1:8080", "callers' HTTP")
       .Address("listen.readiness", "127.0.0.1:8081",
-               "tells whether the entry takes calls")
+               "HTTP: whether the entry accepts calls")
       .Address("listen.directory", "127.0.0.1:8082",
-               "tells callers which entries to use")
+               "HTTP: list of the entries that callers should use")
       .Address("listen.peers", "127.0.0.1:8083",
-               "datagrams of our other processes; target processes get theirs "
-               "at the same port")
+               "datagrams and row requests of other entries and target "
+               "processes; target processes receive datagrams on the same port")
       .Address("listen.metrics", "", "metrics over HTTP; empty: none")
       .Address("store.address", "127.0.0.1:8100", "the platform's store")
       .Flag("bounds.strict_keys", true,
-            "a removed key must be barred on every host, cut off or not")
+            "a removed key must be rejected on every host, also on a host that "
+            "is cut off from the store")
       .Number("bounds.keys", 5000, "ms",
-              "time within which a removed key must be barred")
+              "time within which a removed key must be rejected")
       .Number("bounds.weights", 8000, "ms",
               "time within which new weights must be in force")
       .Number("bounds.stop", 8, "s",
-              "time from the order to stop to the end by force")
+              "time from the stop signal until the process is killed")
       .Number("repeats.ratio", 0.2, "repeats for a call",
               "repeats at one service, of all entries together")
       .Number("repeats.slack", 100, "repeats", "repeats beyond the ratio")
