--- a/src/libverbenalead/entry/caller_addresses_test.cc
+++ b/src/libverbenalead/entry/caller_addresses_test.cc
@@ -26,7 +26,7 @@
   return options;
 }
 
-/// An entry that knows all that it needs.
+/// An entry that is ready.
 std::unique_ptr<EntryState> Ready(size_t number) {
   auto state = std::make_unique<EntryState>(Options(number));
   state->m_routes =
@@ -38,7 +38,8 @@
   return state;
 }
 
-/// Near entries from `first` on have told `state` that they know so much.
+/// Makes `count` entries of the same data centre, from number `first` on, known
+/// to `state` as ready or as not ready.
 void Tell(EntryState& state, size_t first, size_t count, bool ready) {
   for (size_t number = first; number < first + count; ++number) {
     PeerEntry& peer = state.m_peers[Address(number).m_host];
@@ -56,13 +57,15 @@
 
 class CallerAddressesTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(CallerAddressesTest);
-  CPPUNIT_TEST(AStoppingEntryIsNotNamed);
+  CPPUNIT_TEST(DoesNotListStoppingEntries);
   CPPUNIT_TEST(ManyEntriesShareTheCallers);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // Callers are sent to entries that end, because these aren't ready either.
-  void AStoppingEntryIsNotNamed() {
+  // Guards against callers being sent to entries that are about to exit:
+  // stopping entries are not ready, and must not be listed while two others
+  // are.
+  void DoesNotListStoppingEntries() {
     const auto first = Ready(0);
     Tell(*first, 1, 1, true);
     Tell(*first, 2, 18, true);
@@ -71,20 +74,21 @@
     CPPUNIT_ASSERT_EQUAL(size_t{2}, Told(*first));
   }
 
-  // A data centre has more entries than one answer names, and those last by
+  // Guards against entries without callers: if a data centre has more entries
+  // than one response lists and all responses list the same ones, the last by
   // name get no callers.
   void ManyEntriesShareTheCallers() {
     constexpr size_t kEntries = 105;
-    std::map<std::string, size_t> named;
+    std::map<std::string, size_t> listings;
     for (size_t number = 0; number < kEntries; ++number) {
       const auto entry = Ready(number);
       Tell(*entry, 0, number, true);
       Tell(*entry, number + 1, kEntries - number - 1, true);
-      for (const Endpoint& each : EntriesFor(*entry, "a", kMost, Now()))
-        ++named[ToString(each)];
+      for (const Endpoint& endpoint : EntriesFor(*entry, "a", kMost, Now()))
+        ++listings[ToString(endpoint)];
     }
-    CPPUNIT_ASSERT_EQUAL(kEntries, named.size());
-    for (const auto& [address, times] : named)
+    CPPUNIT_ASSERT_EQUAL(kEntries, listings.size());
+    for (const auto& [address, times] : listings)
       CPPUNIT_ASSERT_EQUAL(kMost, times);
   }
 };
--- a/src/libverbenalead/entry/entry_news_test.cc
+++ b/src/libverbenalead/entry/entry_news_test.cc
@@ -25,7 +25,7 @@
   state->m_replicas_known = true;
   state->m_replicas_at = Now();
   state->m_operator_revision = 5;
-  // Its clock and the store's are the same here.
+  // The local clock and the store's clock are the same here.
   state->m_store_clock.m_offset = Duration();
   state->m_operator_proof = BootNow();
   decide::Prove(state->m_lease, BootNow());
@@ -34,16 +34,17 @@
 
 class EntryNewsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(EntryNewsTest);
-  CPPUNIT_TEST(AReaderThatLosesTheStoreSaysSo);
-  CPPUNIT_TEST(AnyOfThoseThatKnowTheNewestIsAsked);
-  CPPUNIT_TEST(AListOfReplicasIsTakenFromAnyThatHasIt);
+  CPPUNIT_TEST(StopsUsingAReaderThatLostTheStore);
+  CPPUNIT_TEST(FetchesFromAnyEntryWithTheNewestRows);
+  CPPUNIT_TEST(FetchesReplicasFromAnyEntryThatHasThem);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // Calls reach a replica that left 2.3 s ago: the store turned away the entry
-  // that reads for its data centre, and the others waited until its last proof
-  // was old. It tells them, and nobody reads for them any more.
-  void AReaderThatLosesTheStoreSaysSo() {
+  // Guards against calls to a replica that left 2.3 s ago: the store rejected
+  // the requests of the entry that reads for its data centre, and the others
+  // waited until its last proof was too old. Its update now carries no proof,
+  // so the others stop relying on it at once.
+  void StopsUsingAReaderThatLostTheStore() {
     const auto reader = Entry("e1");
     const auto other = Entry("e2");
     TakeNews(*other, NewsOf(*reader), Now());
@@ -56,9 +57,10 @@
     CPPUNIT_ASSERT(ReaderFor(*other, Now()));
   }
 
-  // A data centre gets a configuration of 390 KB a second late: 14 entries all
-  // took it over from the one that read it. Each takes any that has it.
-  void AnyOfThoseThatKnowTheNewestIsAsked() {
+  // Guards against a configuration of 390 KB reaching a data centre a second
+  // late: 14 entries all fetched it from the one that had read it. Each must
+  // choose at random among the entries that have it.
+  void FetchesFromAnyEntryWithTheNewestRows() {
     const auto newcomer = Entry("e0");
     newcomer->m_operator_revision = 0;
     for (const char* host : {"e1", "e2", "e3"}) {
@@ -66,17 +68,18 @@
       entry->m_operator_revision = host == std::string("e3") ? 4 : 5;
       TakeNews(*newcomer, NewsOf(*entry), Now());
     }
-    std::set<std::string> asked;
+    std::set<std::string> chosen;
     for (int i = 0; i < 50; ++i)
-      asked.insert(AheadOf(*newcomer, Now())->m_address.m_host);
-    CPPUNIT_ASSERT(asked == std::set<std::string>({"e1", "e2"}));
+      chosen.insert(AheadOf(*newcomer, Now())->m_address.m_host);
+    CPPUNIT_ASSERT(chosen == std::set<std::string>({"e1", "e2"}));
     newcomer->m_operator_revision = 5;
     CPPUNIT_ASSERT(!AheadOf(*newcomer, Now()));
   }
 
-  // Calls are refused for seconds after a start of everything: all entries of a
-  // data centre took 1 MB of replicas over from the one that read them.
-  void AListOfReplicasIsTakenFromAnyThatHasIt() {
+  // Guards against calls being refused for seconds after all processes start at
+  // once: all entries of a data centre fetched 1 MB of replicas from the one
+  // that had read them.
+  void FetchesReplicasFromAnyEntryThatHasThem() {
     const auto newcomer = Entry("e0");
     for (const char* host : {"e1", "e2", "e3"}) {
       const auto entry = Entry(host);
@@ -84,10 +87,10 @@
       TakeNews(*newcomer, NewsOf(*entry), Now());
     }
     const PeerEntry reader = newcomer->m_peers.at("e1");
-    std::set<std::string> asked;
+    std::set<std::string> chosen;
     for (int i = 0; i < 50; ++i)
-      asked.insert(ReplicaSource(*newcomer, reader, Now()).m_address.m_host);
-    CPPUNIT_ASSERT(asked == std::set<std::string>({"e1", "e2"}));
+      chosen.insert(ReplicaSource(*newcomer, reader, Now()).m_address.m_host);
+    CPPUNIT_ASSERT(chosen == std::set<std::string>({"e1", "e2"}));
   }
 };
 
--- a/src/libverbenalead/entry/registration.cc
+++ b/src/libverbenalead/entry/registration.cc
@@ -9,15 +9,16 @@
 namespace verbenalead::entry {
 namespace {
 
-/// How often the table is read. Entries find each other by what they tell; the
-/// table is for those that never heard of each other.
+/// Interval of reads of the table of entries. Entries keep track of each other
+/// by their updates; the table is for entries that never received an update of
+/// each other.
 constexpr Duration kTableInterval = 120s;
-constexpr Duration kRetry = 500ms;
+constexpr Duration kRetryDelay = 500ms;
 
 std::string EncodeEntryRow(const model::EntryAddress& entry) {
-  links::EntryNews news;
-  news.m_address = entry;
-  return links::EncodeMessage(news);
+  links::EntryNews update;
+  update.m_address = entry;
+  return links::EncodeMessage(update);
 }
 
 bool HoldsRow(const platform::Rows& rows,
@@ -34,17 +35,17 @@
 
 Registration::Registration(EntryState& state,
                            platform::Store& store,
-                           std::function<void()> on_near,
-                           std::function<bool()> speaks)
+                           std::function<void()> on_entries_read,
+                           std::function<bool()> is_summary_sender)
     : m_state(state),
       m_store(store),
-      m_on_near(std::move(on_near)),
-      m_speaks(std::move(speaks)) {}
+      m_on_near(std::move(on_entries_read)),
+      m_speaks(std::move(is_summary_sender)) {}
 
 Awaitable<void> Registration::KeepRegistered() {
-  // The row is there already if the process was only started anew. The table is
-  // read again after the row was written: of two entries that start together at
-  // least one then sees the other.
+  // The row exists already if only the process was restarted. The table is read
+  // again after the row was written: of two entries that start at the same
+  // time, at least one then sees the other.
   const model::EntryAddress& self = m_state.m_options.m_self;
   const std::string value = EncodeEntryRow(self);
   while (true) {
@@ -53,7 +54,8 @@
     const bool registered = rows && HoldsRow(*rows, self.m_host, value);
     if (rows)
       TakeRows(*rows);
-    // Before that the others that have just started may not be there yet.
+    // Until this entry's row exists, the rows of others that have just started
+    // may be missing as well.
     if (registered) {
       m_on_near();
       co_await Sleep(kTableInterval);
@@ -63,7 +65,7 @@
         platform::kEntryTable, self.m_data_center, self.m_host, value);
     if (!written) {
       LogLine("not_registered").With(written.error()).Warn();
-      co_await Sleep(kRetry);
+      co_await Sleep(kRetryDelay);
     }
   }
 }
@@ -71,7 +73,7 @@
 Awaitable<void> Registration::LearnFarEntries() {
   while (true) {
     const bool read = m_speaks() && co_await ReadFarParts();
-    co_await Sleep(read ? kTableInterval : kRetry);
+    co_await Sleep(read ? kTableInterval : kRetryDelay);
   }
 }
 
@@ -106,23 +108,23 @@
 }
 
 void Registration::TakeRows(const platform::Rows& rows) {
-  // This small answer comes first after a start and sets the clock by which
-  // the proofs of other entries are read.
+  // This small answer is the first one after a start. It sets the offset of the
+  // store's clock, with which the proofs of other entries are dated.
   decide::AnsweredAt(m_state.m_store_clock, rows.m_asked_at, rows.m_store_time);
   for (const platform::Row& row : rows.m_rows) {
     if (row.m_deleted || row.m_key == m_state.m_options.m_self.m_host)
       continue;
     auto message =
         CatchFailure([&] { return links::DecodeMessage(row.m_value); });
-    const auto* news =
+    const auto* update =
         message ? std::get_if<links::EntryNews>(&*message) : nullptr;
-    if (!news) {
+    if (!update) {
       LogLine("bad_entry_row").With("key", row.m_key).Warn();
       continue;
     }
-    PeerEntry& peer = m_state.m_peers[news->m_address.m_host];
+    PeerEntry& peer = m_state.m_peers[update->m_address.m_host];
     if (peer.m_heard_at == TimePoint())
-      peer.m_address = news->m_address;
+      peer.m_address = update->m_address;
   }
 }
 
