--- a/src/libverbenalead/target/chunk_cache.cc
+++ b/src/libverbenalead/target/chunk_cache.cc
@@ -5,13 +5,14 @@
 namespace verbenalead::target {
 namespace {
 
-/// The version that engines run and the one that is to replace it; a late host
-/// may still want the former.
+/// The version that engines run and the one that is to replace it: a host that
+/// is behind may still request the former.
 constexpr size_t kVersionsKept = 2;
 
 using Chunk = CachedVersion::Chunk;
 
-/// Numbers of the chunks of `version`, or none, that `which` picks.
+/// Numbers of the chunks of `version` that `which` selects; none if `version`
+/// is null.
 template <typename Which>
 std::vector<uint32_t> NumbersOf(const CachedVersion* version, Which which) {
   std::vector<uint32_t> numbers;
@@ -92,7 +93,8 @@
 }
 
 void ChunkCache::NoteStaged(uint64_t version, uint32_t chunk) {
-  // There is one place for each chunk number of a model.
+  // The staging area holds one chunk per chunk number, so staging a chunk
+  // overwrites that of the other version.
   for (auto& [other, cached] : m_versions) {
     if (chunk < cached.m_chunks.size())
       cached.m_chunks[chunk].m_staged = false;
--- a/src/libverbenalead/target/chunk_cache.h
+++ b/src/libverbenalead/target/chunk_cache.h
@@ -12,56 +12,64 @@
 
 /// The verified chunks of one version of a model's weights.
 struct CachedVersion {
-  /// A chunk that is neither staged nor in memory isn't here.
   struct Chunk {
     Digest m_digest;
-    /// Its bytes, where they are in memory.
+    /// The bytes of the chunk; null if they are not in memory.
     std::shared_ptr<const std::string> m_bytes;
-    /// It lies in the engine's staging area, as far as is known.
+    /// The engine's staging area holds the chunk, as of the last check.
     bool m_staged = false;
 
+    /// Whether this host holds the chunk, in memory or staged.
+
     bool IsHere() const { return m_staged || m_bytes; }
   };
 
   std::vector<Chunk> m_chunks;
 };
 
-/// The weights that this process passes on: the newest versions of one model. A
-/// chunk comes in only if its digest is right, so one that is here belongs to
-/// its version, whoever sent it.
+/// Tracks the weight chunks that this host holds and serves to other hosts, for
+/// the two newest versions of one model. A chunk is accepted only if its digest
+/// matches, so that a held chunk belongs to its version whichever host sent it.
+/// Without the check an engine could load corrupt weights or a mix of versions.
 ///
-/// A chunk is in memory only until it has been staged beside the engine on this
-/// host. What is staged outlives a crash of this process, and two versions in
-/// memory were 4.7 of the 7.6 MB that a target process took.
+/// The bytes of a chunk stay in memory only until the chunk has been staged in
+/// the engine on this host. Staged chunks survive a crash of this process, and
+/// two versions in memory took 4.7 MB of the 7.6 MB of a target process.
 class ChunkCache {
  public:
-  /// Begins `version` unless it is there already; forgets all but the two
-  /// newest.
+  /// Adds `version`, without any chunks, unless it exists; removes all but the
+  /// two newest versions.
   void Begin(uint64_t version, const std::vector<Digest>& digests);
-  /// Null where it hasn't begun.
+  /// Returns null for a version that was not added or has been removed.
   const CachedVersion* Find(uint64_t version) const;
   const std::map<uint64_t, CachedVersion>& versions() const {
     return m_versions;
   }
+  /// Whether all chunks are held, in memory or staged.
   bool Complete(uint64_t version) const;
-  /// All chunks are here, and all of them are staged.
+  /// Whether all chunks are staged.
   bool Staged(uint64_t version) const;
-  /// Part of the chunks that is here, 0 to 1.
+  /// Share of the chunks that are held, 0 to 1.
   double ShareHeld(uint64_t version) const;
+  /// Numbers of the chunks that are held.
   std::vector<uint32_t> Held(uint64_t version) const;
-  /// Chunks that are in memory and not staged.
+  /// Numbers of the chunks that are in memory and not staged.
   std::vector<uint32_t> Unstaged(uint64_t version) const;
-  /// Keeps `bytes` if they are the chunk; false: they are something else.
+  /// Stores `bytes` if their digest is that of the chunk; returns false
+  /// otherwise.
   bool Put(uint64_t version, uint32_t chunk, std::string bytes);
-  /// The chunk has been staged, in place of that of any other version.
+  /// Records that the chunk has been staged. It overwrites the chunk of the
+  /// same number of any other version; the copy in memory is released.
   void NoteStaged(uint64_t version, uint32_t chunk);
-  /// Whether `bytes`, read from the staging area, are the chunk; notes it.
+  /// Returns whether `bytes`, read from the staging area, match the digest of
+  /// the chunk, and records the chunk as staged or not staged accordingly.
   bool CheckStaged(uint64_t version, uint32_t chunk, const std::string& bytes);
-  /// The staging area doesn't hold the chunk any more.
+  /// Records that the staging area no longer holds the chunk.
   void ForgetStaged(uint64_t version, uint32_t chunk);
-  /// Nothing is known of the staging area any more: the engine started anew.
+  /// Records that no chunk is known to be staged, as after a restart of the
+  /// engine.
   void ForgetAllStaged();
-  /// Forgets a version whose digests turned out to be wrong.
+  /// Removes a version whose digests are found to be wrong.
   void Drop(uint64_t version) { m_versions.erase(version); }
 
  private:
--- a/src/libverbenalead/target/chunk_cache_test.cc
+++ b/src/libverbenalead/target/chunk_cache_test.cc
@@ -28,8 +28,9 @@
     CPPUNIT_ASSERT(cache.Complete(1));
   }
 
-  // Tokens would be made from two versions at once: a chunk of the older
-  // version comes late, while the newer one is under way. It is refused there.
+  // Guards against tokens generated from a mix of two versions: a chunk of the
+  // older version that arrives late, while the newer one is fetched, must not
+  // be stored in the newer one.
   void NeverMixesVersions() {
     ChunkCache cache;
     cache.Begin(1, {Sha256("old")});
@@ -47,8 +48,8 @@
     CPPUNIT_ASSERT(cache.Find(3) && cache.Find(4));
   }
 
-  // One place for each number: what is staged of one version is gone for the
-  // other, and is never told to be here.
+  // The staging area holds one chunk per chunk number. A chunk of one version
+  // that was overwritten by that of the other must not be reported as held.
   void StagedChunksLeaveMemory() {
     ChunkCache cache;
     cache.Begin(1, {Sha256("old")});
@@ -63,8 +64,9 @@
     CPPUNIT_ASSERT(cache.Staged(2) && !cache.Complete(1));
   }
 
-  // Tokens would be made from spoilt weights: a staged chunk goes bad by
-  // itself. Read back, it is found missing, and has to come anew.
+  // Guards against tokens generated from corrupt weights: a staged chunk can
+  // become corrupt without any write. Once it was read back it must count as
+  // missing, so that it is fetched again.
   void ASpoiltStagedChunkIsMissing() {
     ChunkCache cache;
     cache.Begin(1, {Sha256("right")});
--- a/src/libverbenalead/target/chunk_fetcher.cc
+++ b/src/libverbenalead/target/chunk_fetcher.cc
@@ -19,46 +19,53 @@
 
 namespace asio = boost::asio;
 
-/// Chunks under way from other hosts at once. A host that sends paces itself
-/// and serves several; five from different hosts keep the downlink, 42 ms a
-/// chunk at 9.4 Mbit/s, busy meanwhile.
+/// Most concurrent fetches from other hosts. A sending host limits its rate and
+/// serves several hosts; fetches from five hosts together keep the downlink
+/// busy, at 42 ms per chunk and 9.4 Mbit/s.
 constexpr uint32_t kMostFetches = 5;
-/// The same for a version that comes in ahead: what is left of the older one is
-/// waited for more than fetched.
+/// Most concurrent fetches of a version that is fetched ahead. The rest of the
+/// older version mostly waits for other hosts, so the link has capacity left.
 constexpr uint32_t kAheadFetches = 2;
-/// A link on which that many chunks take this many times their time has become
-/// narrow. Where hosts that send are busy, chunks take twice their time.
+/// This host's link counts as slow if a chunk takes longer than this factor
+/// times the time of `kMostFetches` concurrent chunks at the link's rate. A
+/// chunk from a busy host takes twice its usual time.
 constexpr int kNarrow = 2;
-/// A draw that hasn't been seen this long after it was due is taken over by the
-/// next host: the whole of a version must be everywhere within 8 s.
+/// An origin fetch that was not announced within this time after it was due is
+/// taken over by the next host: all hosts must have the complete version within
+/// 8 s.
 constexpr Duration kPatience = 1s;
-/// After an outage of the origin the chunks that are missing hold up all hosts,
-/// so those that draw them ask often; few of them do.
+/// Longest backoff of origin fetches. After an outage of the origin the missing
+/// chunks delay all hosts, so the hosts that fetch them retry often; only few
+/// hosts do.
 constexpr Duration kLongestOriginPause = 500ms;
-/// Hosts hear of a version and learn its digests within this time. Draws are
-/// due from then on, by the time of the declaration.
+/// Time from the declaration of a version until its first origin fetch is due.
+/// Hosts learn of the version and obtain its digests within this time.
 constexpr Duration kDrawsBegin = 150ms;
-/// A version that was declared longer ago is held by other hosts.
+/// A version that was declared longer ago than this is held by other hosts, so
+/// its origin fetches are due at once.
 constexpr Duration kNewVersion = 1s;
-/// Live calls get the rest of the link.
+/// Share of this host's link used for transfers; the rest is left to live
+/// calls.
 constexpr double kLinkShare = 0.8;
-/// Copies of a version drawn from the origin, in percent: it is paid by byte.
+/// Most bytes that all hosts together fetch from the origin, in percent of the
+/// size of a version. The origin charges by the byte.
 constexpr uint32_t kOriginBudgetPercent = 103;
 constexpr Duration kAskTimeout = 1s;
-/// A chunk waits for its turn at the host that sends it. The transfer gives it
-/// up sooner where others answer faster.
+/// Time to wait for the response header, as requests are queued at the sending
+/// host. The transfer cancels the fetch sooner if other hosts respond faster.
 constexpr Duration kTurnTimeout = 4s;
 constexpr Duration kOriginTimeout = 3s;
 constexpr Duration kMembersInterval = 500ms;
-/// A transfer without a chunk for so long, ten times the time of one, stands
-/// still.
+/// A transfer that received no chunk for this time, ten times the duration of
+/// a chunk, has stalled.
 constexpr Duration kProgress = 500ms;
-/// Draws of all hosts that share the origin's link: with fewer it stands idle
-/// while the next host hears that one has ended.
+/// Most concurrent origin fetches of all hosts together. With fewer, the
+/// origin's link is idle until the next host learns that a fetch has ended.
 constexpr uint32_t kDrawsAtOnce = 8;
-/// How often others are told again of draws that go on.
+/// Interval between announcements of an origin fetch in progress.
 constexpr Duration kTellDrawsInterval = 250ms;
-/// Chunks from the origin that don't fit the digests before these are doubted.
+/// After this many chunks from the origin that do not match their digests, the
+/// digests themselves are considered wrong.
 constexpr uint32_t kMismatchesToDoubt = 3;
 
 Failure GivenUp(const std::string& host) {
@@ -84,7 +91,7 @@
   return limits;
 }
 
-/// When the draws of `version` begin.
+/// When the first origin fetch of `version` is due.
 TimePoint ScheduleOf(const TargetState& state,
                      uint64_t version,
                      TimePoint now) {
@@ -100,8 +107,8 @@
 struct ChunkFetcher::Transfer {
   explicit Transfer(const asio::any_io_executor& executor) : m_wake(executor) {}
 
-  /// The host that sends the chunk is told by the end of the connection, and
-  /// its link is free for others.
+  /// Cancels a fetch. Closing the connection makes the sending host stop, so
+  /// that its link is free for other hosts.
   static void Cancel(Arrival& arrival) {
     arrival.m_cancelled = true;
     if (arrival.m_reader)
@@ -120,7 +127,7 @@
   std::map<uint32_t, std::shared_ptr<Arrival>> m_fetches;
   std::vector<std::string> m_followed;
   uint32_t m_origin_mismatches = 0;
-  /// Chunks kept, by where they came from.
+  /// Chunks added to the cache, by source.
   uint64_t m_from_origin = 0;
   uint64_t m_from_near = 0;
   uint64_t m_from_far = 0;
@@ -189,7 +196,7 @@
     LogLine("bad_draw_news")
         .With("peer", news.m_report.m_host)
         .With("version", news.m_version)
-        .With("reason", "it names chunks that the version doesn't have")
+        .With("reason", "chunk number out of range for the version")
         .Warn();
     return;
   }
@@ -197,7 +204,7 @@
     if (!transfer || transfer->m_version != news.m_version)
       continue;
     decide::HostDraws(transfer->m_core, news.m_report, Now());
-    // There is room for the next draw.
+    // A fetch has ended, so the next one may start on the origin's link.
     if (!news.m_report.m_drawn.empty())
       transfer->m_wake.cancel();
   }
@@ -290,7 +297,8 @@
   const auto executor = co_await asio::this_coro::executor;
   StopTransfer(m_transfer);
   if (m_ahead && m_ahead->m_version == version) {
-    // What it draws goes on, and what is known of others' draws stays known.
+    // Continuing the transfer keeps its origin fetches and what is known of the
+    // origin fetches of other hosts.
     m_transfer = std::move(m_ahead);
     m_ahead.reset();
     decide::SetLimits(m_transfer->m_core, LimitsOf(m_state));
@@ -462,7 +470,7 @@
       bytes.has_value() &&
       m_state.m_cache.Put(transfer->m_version, chunk, std::move(*bytes));
   if (arrival->m_cancelled) {
-    // Another transfer of this version may have begun meanwhile.
+    // Another transfer of this version may have started since.
     if (kept && m_transfer && m_transfer->m_version == transfer->m_version)
       decide::ChunkArrived(m_transfer->m_core, chunk, Now());
     co_return;
@@ -496,7 +504,7 @@
       .With("chunk", uint64_t{chunk})
       .With("version", transfer->m_version)
       .With("source", from_origin ? "origin" : host)
-      .With("reason", corrupt ? "the bytes are not the declared ones"
+      .With("reason", corrupt ? "the bytes do not match the declared digest"
                               : ToString(bytes.error()))
       .Info();
   decide::ChunkFailed(transfer->m_core, chunk, corrupt, Now(),
--- a/src/libverbenalead/target/chunk_fetcher.h
+++ b/src/libverbenalead/target/chunk_fetcher.h
@@ -16,67 +16,74 @@
 
 namespace verbenalead::target {
 
-/// Brings one version's chunks into the cache, from other hosts and the origin,
-/// as the transfer core decides.
+/// Fetches the chunks of a version into the cache, from other hosts and from
+/// the origin. `decide::Step` selects the chunks and their sources; this class
+/// does the input and output.
 class ChunkFetcher {
  public:
-  /// `tell_draws` tells all other hosts of the service.
+  /// `tell_draws` sends the announcement to all other hosts of the service.
   ChunkFetcher(TargetState& state,
                wire::Client& peers,
                platform::OriginClient& origin,
                std::function<void(const links::DrawNews&)> tell_draws);
   ~ChunkFetcher();
 
-  /// Fetches `version`, in place of any other one, until it is whole; goes on
-  /// with what was fetched of it ahead.
+  /// Fetches `version` until it is complete, and stops the transfer of any
+  /// other version. If `FetchAhead` is fetching `version`, that transfer is
+  /// continued.
   Awaitable<void> Fetch(uint64_t version);
-  /// Learns the digests of `version` while another one comes in, and brings it
-  /// in as well once the other needs nothing of the origin any more: the
-  /// origin's link and this host's would stand idle meanwhile, and the origin
-  /// may be gone later. Does nothing while it is under way.
+  /// Obtains the digests of `version` while another version is fetched, and
+  /// fetches its chunks as well once the other version no longer needs the
+  /// origin. Otherwise the links of the origin and of this host would be idle
+  /// in the meantime, and the origin may be unreachable later. Does nothing if
+  /// `version` is already fetched ahead.
   Awaitable<void> FetchAhead(uint64_t version);
-  /// Each chunk of the version under way is held by some host, so that the
-  /// origin isn't needed for it any more.
+  /// Whether each chunk of the version that is fetched is held by some host, so
+  /// that the origin is no longer needed for it.
   bool IsDrawn() const;
-  /// The version under way; 0: none.
+  /// The version that is fetched now; 0: none.
   uint64_t version() const;
-  /// A chunk came in not long ago.
+  /// Whether the last chunk arrived recently, so that the transfer has not
+  /// stalled.
   bool progressing() const;
-  /// What another host told.
+  /// Handles an update from another host about the chunks that it holds.
   void TakeNews(const links::ChunkNews& news);
-  /// Another host draws chunks.
+  /// Handles an announcement of another host's origin fetches.
   void TakeDraws(const links::DrawNews& news);
-  /// A chunk of `version` that had come has gone bad beside the engine.
+  /// A staged chunk of `version` was found to be corrupt and has to be fetched
+  /// again.
   void NoteSpoilt(uint64_t version, uint32_t chunk);
-  /// Hosts whose news are wanted.
+  /// Hosts whose chunk updates the transfers need.
   std::vector<std::string> Followed() const;
-  /// As in DigestLearner.
+  /// See `DigestLearner::Learn`.
   Awaitable<bool> LearnDigests(uint64_t version) {
     return m_digests.Learn(version);
   }
 
  private:
   struct Transfer;
-  /// A chunk on its way here.
+  /// A chunk that is being fetched.
   struct Arrival {
     bool m_cancelled = false;
-    /// Null before the host has been reached, and after the answer.
+    /// Null until the connection is open, and after the response ended.
     wire::ResponseReader* m_reader = nullptr;
   };
 
-  /// A transfer of `version` that begins now.
+  /// Creates the transfer of `version`, which starts now.
   std::shared_ptr<Transfer> Begin(uint64_t version,
                                   const decide::TransferLimits& limits,
                                   const boost::asio::any_io_executor& executor);
-  /// Does what the transfer asks for until it is whole or stopped.
+  /// Performs the actions that the transfer decides on, until it is complete or
+  /// stopped, or the digests are found to be wrong.
   Awaitable<void> Run(std::shared_ptr<Transfer> transfer,
                       boost::asio::any_io_executor executor);
-  /// `transfer` is over.
+  /// Releases `transfer`, which has ended.
   void End(const std::shared_ptr<Transfer>& transfer);
   static void StopTransfer(std::shared_ptr<Transfer>& transfer);
-  /// Tells others which chunks are drawn here, and that `drawn` have come.
+  /// Announces to the other hosts which chunks this host is fetching from the
+  /// origin, and that `drawn` have been fetched.
   void TellDraws(Transfer& transfer, std::vector<uint32_t> drawn);
-  /// The origin has sent a chunk, or hasn't for this reason.
+  /// Records and logs whether the origin answers. `reason`: the failure if not.
   void NoteOrigin(bool answers, const std::string& reason);
   bool IsNear(const std::string& host) const;
   void UpdateMembers(Transfer& transfer);
@@ -103,10 +110,10 @@
   DigestLearner m_digests;
   const std::function<void(const links::DrawNews&)> m_tell_draws;
   std::shared_ptr<Transfer> m_transfer;
-  /// The one of a newer version.
+  /// The transfer of a newer version, fetched ahead.
   std::shared_ptr<Transfer> m_ahead;
   bool m_origin_answers = true;
-  /// A version is about to be fetched ahead; 0: none.
+  /// The version that `FetchAhead` prepares or fetches; 0: none.
   uint64_t m_ahead_version = 0;
 };
 
--- a/src/libverbenalead/target/chunk_paths.h
+++ b/src/libverbenalead/target/chunk_paths.h
@@ -8,18 +8,19 @@
 
 namespace verbenalead::target {
 
-/// Where other targets get the digests of a version, a line each.
+/// Path at which a target serves the digests of a version, one per line.
 std::string DigestsPath(const std::string& model, uint64_t version);
 std::string FormatDigests(const CachedVersion& version);
-/// Empty where `text` can't be read.
+/// Returns an empty vector if `text` is malformed.
 std::vector<Digest> ParseDigests(const std::string& text);
 
-/// Fields of the query of a request for a chunk: 1 where the sender is in
-/// another data centre, and how many chunks of the version it has.
+/// Query fields of a request for a chunk: `far` is 1 if the requesting host is
+/// in another data centre, `held` is the number of chunks of the version that
+/// the requesting host has.
 inline constexpr char kFarField[] = "far";
 inline constexpr char kHeldField[] = "held";
 
-/// Where other targets get a chunk.
+/// Path at which a target serves a chunk.
 std::string ChunkPath(const std::string& model,
                       uint64_t version,
                       uint32_t chunk);
--- a/src/libverbenalead/target/chunk_server.cc
+++ b/src/libverbenalead/target/chunk_server.cc
@@ -8,14 +8,15 @@
 namespace verbenalead::target {
 namespace {
 
-/// Chunks go out in pieces of this size at this part of the link's rate. Events
-/// of live streams leave by the same link, and would be late behind whole
-/// chunks.
+/// While there are live calls, chunks are sent in pieces of this many bytes, at
+/// this share of the link's rate. Events of live streams use the same link and
+/// would be delayed behind whole chunks.
 constexpr size_t kUploadPiece = 4096;
 constexpr double kUploadShare = 0.8;
+/// Unused time that the pacer may make up for.
 constexpr Duration kUploadCredit = 20ms;
 
-/// What a request for `chunk` says of its sender.
+/// Reads the fields about the requesting host from a request for `chunk`.
 decide::UploadRequest UploadOf(const wire::Request& request, uint32_t chunk) {
   decide::UploadRequest upload;
   upload.m_chunk = chunk;
@@ -72,7 +73,7 @@
     co_return;
   for (size_t begin = 0; begin < bytes->size(); begin += kUploadPiece) {
     std::string piece = bytes->substr(begin, kUploadPiece);
-    // With no calls there is nothing that chunks could hold up.
+    // Without live calls there are no events that the chunks could delay.
     if (m_has_calls())
       co_await m_upload.Take(piece.size());
     if (!co_await caller.Write(std::move(piece)))
@@ -106,7 +107,7 @@
 
 Awaitable<std::shared_ptr<const std::string>> ChunkServer::ReadChunk(
     ChunkName name) {
-  // It may have gone while it waited for its turn.
+  // The version may have been removed while the upload waited.
   const CachedVersion* cached = m_state.m_cache.Find(name.m_version);
   if (!cached)
     co_return nullptr;
--- a/src/libverbenalead/target/chunk_server.h
+++ b/src/libverbenalead/target/chunk_server.h
@@ -14,40 +14,45 @@
 
 namespace verbenalead::target {
 
-/// Hands chunks and digests to other hosts.
+/// Serves chunks and digests to other hosts over HTTP.
 class ChunkServer {
  public:
-  /// Told of a version and a chunk of it that went bad beside the engine.
+  /// Called with the version and the number of a staged chunk that was found to
+  /// be corrupt.
   using OnSpoilt = std::function<void(uint64_t, uint32_t)>;
 
-  /// `engine` has the chunks that are staged. `has_calls`: whether live calls
-  /// use the link now.
+  /// Staged chunks are read back from `engine`. `has_calls` returns whether
+  /// live calls use the link now; uploads are paced only then.
   ChunkServer(TargetState& state,
               platform::EngineClient& engine,
               std::function<bool()> has_calls,
               OnSpoilt on_spoilt);
 
+  /// Answers one request for digests or a chunk; status 404 if this host does
+  /// not have them.
   Awaitable<void> Tell(const wire::Request& request,
                        wire::ResponseWriter& caller);
 
  private:
-  /// A chunk that is here.
+  /// Identifies a chunk.
   struct ChunkName {
     uint64_t m_version = 0;
     uint32_t m_chunk = 0;
   };
 
   const CachedVersion* FindDigests(const std::string& path) const;
-  /// The chunk that `path` names; nothing where it isn't here.
+  /// The chunk that `path` names; nothing if this host does not hold it.
   std::optional<ChunkName> FindChunk(const std::string& path) const;
-  /// Its bytes; null: they have gone bad.
+  /// Returns the bytes of the chunk; null if the version was removed or the
+  /// bytes could not be read or are corrupt.
   Awaitable<std::shared_ptr<const std::string>> ReadChunk(ChunkName name);
-  /// Sends a chunk whose turn has come.
+  /// Sends a chunk; called once `m_gate` has admitted the upload.
   Awaitable<void> Upload(ChunkName name, wire::ResponseWriter& caller);
-  /// Reads a chunk from the engine, and forgets it if it has gone bad there.
+  /// Reads a staged chunk from the engine. If it is corrupt, records it as not
+  /// staged and returns null.
   Awaitable<std::shared_ptr<const std::string>> ReadStaged(uint64_t version,
                                                            uint32_t chunk);
-  /// The path of a chunk of `version`, but for its number.
+  /// The path of the chunks of `version`, without the chunk number.
   std::string ChunkPrefix(uint64_t version) const;
 
   TargetState& m_state;
--- a/src/libverbenalead/target/chunk_stager.cc
+++ b/src/libverbenalead/target/chunk_stager.cc
@@ -5,8 +5,9 @@
 namespace verbenalead::target {
 namespace {
 
-/// A version that was read back so lately needn't be once more: it would keep a
-/// replica out of service for longer after a loss of power.
+/// A version that `Adopt` read back within this time is not read again before
+/// the load. A second read would keep the replica out of service for longer
+/// after a power failure.
 constexpr Duration kFreshlyRead = 1s;
 
 }  // namespace
--- a/src/libverbenalead/target/chunk_stager.h
+++ b/src/libverbenalead/target/chunk_stager.h
@@ -9,24 +9,29 @@
 
 namespace verbenalead::target {
 
-/// Brings chunks from the cache into the engine's staging area, and makes sure
-/// that they lie there as they should. Used by one coroutine at a time.
+/// Writes chunks from the cache to the engine's staging area and checks the
+/// staged chunks by reading them back. Without the check an engine could load
+/// chunks that became corrupt after they were staged. Must be used by one
+/// coroutine at a time.
 class ChunkStager {
  public:
   ChunkStager(TargetState& state, platform::EngineClient& engine)
       : m_state(state), m_engine(engine) {}
 
-  /// Notes which chunks of `version` lie there already, left by a process
-  /// before this one.
+  /// Records which chunks of `version` an earlier process on this host has
+  /// already staged, so that they need not be fetched again.
   Awaitable<void> Adopt(uint64_t version);
-  /// Stages the chunks of `version` that are in memory, unless the area is
-  /// needed for another one. `loaded`: the version that the engine runs.
+  /// Stages the chunks of `version` that are in memory, unless the staging area
+  /// is needed for another version (`decide::MayStage`). `loaded`: the version
+  /// that the engine runs.
   Awaitable<void> Stage(uint64_t version, uint64_t loaded);
-  /// Reads all chunks of `version` back; true: each is right. One that isn't
-  /// leaves the cache and has to be fetched anew: chunks go bad there by
-  /// themselves. What has just been adopted was read back already.
+  /// Reads all staged chunks of `version` back and returns whether each of them
+  /// matches its digest. Staged chunks can become corrupt without any write;
+  /// such a chunk is removed from the cache and has to be fetched again. A
+  /// version that `Adopt` has just read back is not read a second time.
   Awaitable<bool> Verify(uint64_t version);
-  /// The engine started anew, and what it had staged may be gone.
+  /// Must be called after the engine restarted: chunks that it had staged may
+  /// be lost.
   void ForgetAll();
 
  private:
@@ -35,10 +40,10 @@
 
   TargetState& m_state;
   platform::EngineClient& m_engine;
-  /// The version that was staged last; 0: none.
+  /// The version of which a chunk was staged or adopted last; 0: none.
   uint64_t m_version = 0;
-  /// The version all of which was found there, and since when it is known to be
-  /// right; 0: none.
+  /// The version that `Adopt` found completely staged, and when that check
+  /// began; 0: none.
   uint64_t m_found_version = 0;
   TimePoint m_found_at{};
 };
--- a/src/libverbenalead/target/chunk_stager_test.cc
+++ b/src/libverbenalead/target/chunk_stager_test.cc
@@ -38,9 +38,9 @@
     Restart();
   }
 
-  // New weights come 3 s late on a host whose process was killed in the middle
-  // of the transfer, if it has to fetch all chunks anew. Each is staged beside
-  // the engine as it comes, so that the next process fetches only the rest.
+  // Guards against new weights that are 3 s late on a host whose target process
+  // was killed during the transfer and fetches all chunks again. Each chunk is
+  // staged when it arrives, so that the next process fetches only the rest.
   void AProcessThatStartsAnewFindsWhatWasStaged() {
     Take(2, kNew, 3);
     Run(m_stager->Stage(2, 1));
@@ -51,8 +51,9 @@
     CPPUNIT_ASSERT(m_state->m_cache.Unstaged(2).empty());
   }
 
-  // Tokens would be made from spoilt weights: a chunk goes bad after it was
-  // staged. It is read back before the load and has to be fetched again.
+  // Guards against tokens generated from corrupt weights: a chunk becomes
+  // corrupt after it was staged. The check before the load must find it, and it
+  // has to be fetched again.
   void ASpoiltChunkIsFoundBeforeTheLoad() {
     Take(2, kNew, 4);
     Run(m_stager->Stage(2, 1));
@@ -65,8 +66,9 @@
     CPPUNIT_ASSERT(Verify(2));
   }
 
-  // No replica may be used once version 2 binds, if the first chunks of version
-  // 3 have taken its places and the rest doesn't come.
+  // Guards against a service without usable replicas after the deadline of
+  // version 2: the first chunks of version 3 overwrite those of version 2 in
+  // the staging area, and the rest of version 3 does not arrive.
   void ANewerVersionWaitsWhileTheOlderOneIsNeeded() {
     Take(2, kOld, 4);
     Run(m_stager->Stage(2, 1));
@@ -87,9 +89,10 @@
     CPPUNIT_ASSERT(m_state->m_cache.Complete(2));
   }
 
-  // After a loss of power a replica is out of service longer than need
-  // be: its chunks were read back to see what was there, and again before the
-  // load. What is incomplete, or was staged meanwhile, is still read.
+  // Guards against a replica that stays out of service for longer than
+  // necessary after a power failure, because its chunks are read back to see
+  // which are staged, and again before the load. An incomplete version, and one
+  // after a restart of the engine, must still be read.
   void WhatWasJustAdoptedIsNotReadAgain() {
     Take(2, kNew, 4);
     Run(m_stager->Stage(2, 1));
@@ -109,7 +112,7 @@
   }
 
  private:
-  /// The target process starts; the engine has what it had.
+  /// Restarts the target process; the engine keeps its staged chunks.
   void Restart() {
     m_state = std::make_unique<TargetState>(TargetOptions());
     m_state->m_engine = model::EngineProfile();
@@ -119,7 +122,7 @@
     m_stager = std::make_unique<ChunkStager>(*m_state, *m_engine);
   }
 
-  /// The first `count` chunks of `version` come in.
+  /// Puts the first `count` chunks of `version` into the cache.
   void Take(uint64_t version,
             const std::vector<std::string>& chunks,
             uint32_t count) {
--- a/src/libverbenalead/target/digest_learner.cc
+++ b/src/libverbenalead/target/digest_learner.cc
@@ -11,15 +11,16 @@
 namespace {
 
 constexpr Duration kOriginTimeout = 3s;
-/// Of the hosts that ask the origin, each other one asks so many.
+/// Number of hosts that are asked, among those first in line at the origin
+/// (`decide::kDigestReaders`).
 constexpr size_t kHostsAsked = 2;
 constexpr Duration kDigestsTimeout = 300ms;
 constexpr int kDigestTries = 3;
-/// Pause after the digests couldn't be had.
+/// Bounds of the random pause after a failure to obtain the digests.
 constexpr Duration kLeastDigestsPause = 80ms;
 constexpr Duration kMostDigestsPause = 160ms;
 
-/// An answer that was given twice.
+/// An answer that two sources gave, or that the origin gave twice.
 std::optional<std::vector<Digest>> FindAgreed(
     const std::vector<std::vector<Digest>>& answers) {
   for (size_t first = 0; first < answers.size(); ++first) {
--- a/src/libverbenalead/target/digest_learner.h
+++ b/src/libverbenalead/target/digest_learner.h
@@ -12,8 +12,8 @@
 
 namespace verbenalead::target {
 
-/// Learns the digests of versions, from other hosts and the origin. Not safe
-/// for concurrent use.
+/// Obtains the digests of versions from other hosts and from the origin. Not
+/// safe for concurrent use.
 class DigestLearner {
  public:
   DigestLearner(TargetState& state,
@@ -21,21 +21,22 @@
                 platform::OriginClient& origin)
       : m_state(state), m_peers(peers), m_origin(origin) {}
 
-  /// Brings the digests of `version` into the cache; false: they are not to be
-  /// had now. What the origin sends may be wrong, and so may be what another
-  /// host took from it: two answers must agree.
+  /// Adds `version` with its digests to the cache; returns false if they can't
+  /// be obtained now. The origin may send wrong digests, and another host may
+  /// have accepted and passed on wrong ones, so two answers must agree.
   Awaitable<bool> Learn(uint64_t version);
 
  private:
   std::string Self() const;
-  /// The hosts of the service, those first that ask the origin for the digests
-  /// of `version`.
+  /// The hosts of the service, including this one, in the order in which they
+  /// request the digests of `version` from the origin.
   std::vector<std::string> Order(uint64_t version) const;
-  /// What two of `answers` and of the origin's say.
+  /// Requests the digests from the origin until two answers, from the origin or
+  /// in `answers`, agree. Returns nothing if none do.
   Awaitable<std::optional<std::vector<Digest>>> ReadFromOrigin(
       uint64_t version,
       std::vector<std::vector<Digest>> answers);
-  /// Digests that other hosts tell, as many as answer.
+  /// Requests the digests from a few hosts of `order`; returns those received.
   Awaitable<std::vector<std::vector<Digest>>> ReadFromHosts(
       uint64_t version,
       std::vector<std::string> order);
@@ -43,9 +44,10 @@
   TargetState& m_state;
   wire::Client& m_peers;
   platform::OriginClient& m_origin;
-  /// Versions whose digests are wanted, and since when.
+  /// Versions whose digests are missing, with the time of the first attempt to
+  /// obtain them.
   std::map<uint64_t, TimePoint> m_wanted;
-  /// None are asked for before.
+  /// Earliest time of the next attempt.
   TimePoint m_next{};
 };
 
--- a/src/libverbenalead/target/engine_keeper.cc
+++ b/src/libverbenalead/target/engine_keeper.cc
@@ -10,28 +10,33 @@
 namespace verbenalead::target {
 namespace {
 
-/// How often the engine is looked at. It answers its own host at once and
-/// without a price; what it does is known to callers within this and one way.
+/// Interval between status queries to the engine. Queries from the same host
+/// are answered at once and cost nothing. Entries learn of a change within this
+/// interval plus the one-way network delay.
 constexpr Duration kLookInterval = 100ms;
-/// The last turn comes so long before the bound: entries give a replica with
-/// older weights no calls from 0.6 s before it on. Such a replica may load
-/// after the bound, as no call begins there any more.
+/// The last replica starts to load this long before the deadline for new
+/// weights. From 0.6 s before the deadline on, entries send no calls to a
+/// replica with older weights. Such a replica may load after the deadline, as
+/// no call starts there any more.
 constexpr Duration kBoundMargin = 700ms;
-/// From the turn to the end of the load: calls end or are broken off, and the
-/// load takes 0.3 s.
+/// Time from the scheduled start of a load to its end: calls finish or are
+/// aborted, and the load takes 0.3 s.
 constexpr Duration kOutage = 1000ms;
-/// A replica is told to be closing so long before its turn. Three quarters of
-/// the users' streams end within this time, so that a replica that gets new
-/// ones only where there is no other room has few to break off. Each of those
-/// is read anew elsewhere and pauses for longer than its caller likes.
+/// Entries are notified this long before the scheduled load, and then send new
+/// calls to the replica only if no other one has a free slot. Three quarters of
+/// the users' streams end within this time, so few have to be aborted. An
+/// aborted stream has its prompt read again at another replica and pauses for
+/// longer than its caller accepts.
 constexpr Duration kClosingNotice = 1200ms;
-/// Time until the chunks are everywhere, in copies over the hosts' links,
-/// copies over the origin's link, and doublings of the hosts.
+/// Estimate of the time until all hosts have all chunks: the time of a copy of
+/// the weights over a host's link and over the origin's link, times these
+/// factors, and a time per doubling of the number of hosts.
 constexpr double kLinkCopies = 1.25;
 constexpr double kOriginCopies = 0.45;
 constexpr Duration kForEachDoubling = 130ms;
 constexpr Duration kLoadPoll = 25ms;
 
+/// Time of a copy of the weights over a link; zero if its rate is not known.
 Duration CopyTime(const model::EngineProfile& engine, uint64_t rate) {
   const double bytes = static_cast<double>(engine.m_chunk_bytes) *
                        static_cast<double>(engine.m_chunks);
@@ -41,7 +46,7 @@
                              bytes / static_cast<double>(rate)));
 }
 
-/// Time until a chunk that one host has is everywhere.
+/// Time until a chunk that one host has is on all hosts.
 Duration SpreadTime(const TargetState& state) {
   const double hosts =
       static_cast<double>(std::max<size_t>(2, state.m_replicas.size()));
@@ -143,7 +148,8 @@
   const decide::LoadTimes times = TimesOf(m_state);
   std::map<uint64_t, decide::DeclaredVersion> declared;
   for (const auto& [version, when] : m_state.m_declared) {
-    // However few chunks are missing, they have to be drawn and to spread.
+    // Even a few missing chunks have to be fetched from the origin and spread
+    // to all hosts, so the estimate has a lower bound.
     const double left = 1 - m_state.m_cache.ShareHeld(version);
     const Duration needed =
         std::max(SpreadTime(m_state),
@@ -154,15 +160,17 @@
   }
   if (auto plan = decide::PlanLoad(times, declared, Loaded()))
     return plan;
-  // Before the first declaration engines run the first version.
+  // The engine has no weights: it loads the newest version, which is the first
+  // one before any declaration.
   if (Loaded() == 0)
     return decide::LoadPlan{NewestVersion(m_state), Now(), Now()};
   return std::nullopt;
 }
 
 bool EngineKeeper::LetFetchEnd() const {
-  // The rest of a version that is half here comes from other hosts, whatever
-  // becomes of the origin; the newer one may not be had for long.
+  // The missing chunks of a version that is held in large part come from other
+  // hosts even if the origin fails. The newer version may be unavailable for a
+  // long time.
   const uint64_t version = m_fetcher.version();
   return version > Loaded() && m_fetcher.progressing() &&
          m_state.m_cache.ShareHeld(version) >= decide::kShareToEnd;
@@ -190,8 +198,8 @@
   m_closing = plan && Loaded() > 0 && m_state.m_cache.Staged(version) &&
               Now() + kClosingNotice >= Turn(*plan);
   if (!m_report) {
-    // An added host is up a second before its engine. Fetching from then on
-    // brings its replica into service that much earlier.
+    // A new host is up one second before its engine. Fetching from then on puts
+    // its replica into service one second earlier.
     if (OthersHave(version))
       co_await Obtain(version);
     co_return;
@@ -204,10 +212,10 @@
   }
   if (!plan)
     co_return;
-  // The newest comes in while this one waits for its turn.
+  // Fetches the newest version while this one waits for its scheduled load.
   if (m_fetcher.version() == 0)
     co_await Obtain(NewestVersion(m_state));
-  // An engine without weights is of no use until it has some.
+  // An engine without weights serves no calls, so it loads at once.
   if (m_state.m_cache.Staged(version) &&
       (Loaded() == 0 || Now() >= Turn(*plan)))
     co_await Load(version);
@@ -220,9 +228,9 @@
     co_return;
   if (!co_await m_fetcher.LearnDigests(version))
     co_return;
-  // What the engine still has staged needn't be fetched. Where all chunks of
-  // the loaded version were found there, none of a newer one is, and reading
-  // them would only hold up the transfer.
+  // Chunks that the engine still has staged need not be fetched. If the staging
+  // area holds all chunks of the loaded version, it holds none of a newer one,
+  // and reading it would only delay the transfer.
   const bool loaded_is_staged = m_adopted > 0 && m_adopted == Loaded() &&
                                 m_state.m_cache.Complete(Loaded());
   if (m_report && m_adopted < version && !loaded_is_staged) {
@@ -262,8 +270,9 @@
 }
 
 Awaitable<void> EngineKeeper::Load(uint64_t version) {
-  // Read back right before the order, but for the time in which calls end: the
-  // engine takes what lies there, and staged chunks go bad by themselves.
+  // Reads the staged chunks back as late as possible before the load; only the
+  // drain comes between. The engine loads staged chunks without checking them,
+  // and they can become corrupt without any write.
   if (!co_await m_stager.Verify(version) || !m_report)
     co_return;
   m_stopped_calls = true;
--- a/src/libverbenalead/target/engine_keeper.h
+++ b/src/libverbenalead/target/engine_keeper.h
@@ -13,12 +13,16 @@
 
 namespace verbenalead::target {
 
-/// Brings the engine on this host to the version that it should have.
+/// Polls the engine on this host and brings it to the declared version of the
+/// weights: has the chunks fetched and staged, stops new calls at the scheduled
+/// time, lets running calls finish and orders the load. Without it the replica
+/// would keep serving an old version and be unusable after the deadline for new
+/// weights.
 class EngineKeeper {
  public:
-  /// `tell` is called when the news about the engine have changed, and again
-  /// while it loads. `fullness`: the part of the places of its service
-  /// that is taken.
+  /// `tell` is called when the result of `News` has changed, and repeatedly
+  /// while the engine loads. `fullness` returns the share of the slots of the
+  /// service that are in use, 0 to 1.
   EngineKeeper(TargetState& state,
                platform::EngineClient& engine,
                ChunkFetcher& fetcher,
@@ -27,32 +31,40 @@
 
   /// Doesn't return.
   Awaitable<void> Run();
-  /// What entries should know now, but for the calls there.
+  /// The state of the replica to be sent to entries, without its calls.
   links::ReplicaNews News() const;
 
  private:
-  /// One look at the engine, and what follows from it.
+  /// Queries the engine once and takes the next step towards the planned
+  /// version.
   Awaitable<void> Look();
+  /// Records the status of the engine, or that the query failed. After a
+  /// restart of the engine, its staged chunks are no longer relied on.
   void NoteReport(AsyncResult<model::EngineReport> report);
-  /// Whether other hosts have `version`, so that it can be fetched from them
-  /// before the engine on this host answers.
+  /// Whether a replica on another host has loaded `version` or a newer one, so
+  /// that `version` can be fetched before the engine on this host answers.
   bool OthersHave(uint64_t version) const;
+  /// Verifies the staged chunks of `version`, drains the engine and orders the
+  /// load.
   Awaitable<void> Load(uint64_t version);
-  /// Waits until the engine's calls have ended, or until `end`.
+  /// Waits until the engine has no calls left, at most until `end`.
   Awaitable<void> LetCallsEnd(TimePoint end);
-  /// Brings `version` into the cache.
+  /// Starts the transfer of `version` into the cache, unless it is complete,
+  /// already being fetched, or another transfer should finish first.
   Awaitable<void> Obtain(uint64_t version);
-  /// Two versions came in quick succession: learns the newer one's digests now,
-  /// as the origin may be gone later, and fetches it once only other hosts are
-  /// needed for the older.
+  /// Handles two versions declared in quick succession: obtains the digests of
+  /// the newer one now, as the origin may be unreachable later, and fetches the
+  /// newer one once the older one no longer needs the origin.
   Awaitable<void> FetchNewestAhead();
-  /// Whether what is under way should end before anything else is fetched.
+  /// Whether the current transfer should finish before another one starts.
   bool LetFetchEnd() const;
-  /// Notes which versions have come whole.
+  /// Records when each version in the cache became complete.
   void NoteWhole();
-  /// What to load next; nothing: the engine has what it should.
+  /// What to load next; nothing if the engine runs the version that it should.
   std::optional<decide::LoadPlan> Plan() const;
+  /// When this replica starts its load under `plan`.
   TimePoint Turn(const decide::LoadPlan& plan) const;
+  /// The version that the engine runs; 0: none, or not known.
   uint64_t Loaded() const;
 
   TargetState& m_state;
@@ -60,14 +72,19 @@
   ChunkFetcher& m_fetcher;
   const std::function<void()> m_tell;
   const std::function<double()> m_fullness;
+  /// The last status of the engine; empty if the last query failed.
   std::optional<model::EngineReport> m_report;
   ChunkStager m_stager;
+  /// The newest version for which the staging area was searched; 0: none since
+  /// the engine started.
   uint64_t m_adopted = 0;
-  /// Its turn to load comes soon.
+  /// The scheduled load starts soon.
   bool m_closing = false;
+  /// The replica takes no calls, as it drains before a load or loads.
   bool m_stopped_calls = false;
-  /// When each version came whole; those that aren't are absent.
+  /// When each version became complete; incomplete versions are absent.
   std::map<uint64_t, TimePoint> m_whole_at;
+  /// The state at the last call of `m_tell` from `Run`.
   links::ReplicaNews m_told;
 };
 
--- a/src/libverbenalead/target/entry_follower.h
+++ b/src/libverbenalead/target/entry_follower.h
@@ -6,16 +6,17 @@
 
 namespace verbenalead::target {
 
-/// An entry that wants to know how the replica is.
+/// An entry that uses the replica or subscribed to its state.
 struct EntryFollower {
-  /// It is told until then, unless it asks again.
+  /// End of the subscription; each request of the entry extends it.
   TimePoint m_until{};
-  /// What it has at the replica, and when it said so.
+  /// Calls of the entry at the replica, and when the entry reported them.
   links::ReplicaCalls m_calls;
   TimePoint m_calls_at{};
-  /// It was denied a place since it was told anything: calls wait there.
+  /// The entry was denied a slot after the last update to it, so calls may be
+  /// waiting at the entry for a free slot.
   bool m_denied = false;
-  /// What it was told last.
+  /// The last update sent to the entry.
   links::ReplicaNews m_told;
 };
 
--- a/src/libverbenalead/target/place_granter.cc
+++ b/src/libverbenalead/target/place_granter.cc
@@ -3,7 +3,7 @@
 namespace verbenalead::target {
 namespace {
 
-/// How long the calls of an entry count that tells nothing more.
+/// Time after the last report of an entry until its calls no longer count.
 constexpr Duration kCallsHold = 2500ms;
 
 }  // namespace
@@ -69,7 +69,8 @@
   follower.m_calls = news.m_calls;
   follower.m_calls_at = Now();
   GrantWaiting();
-  // Calls wait at those that were denied a place.
+  // Entries that were denied a slot may have calls waiting, so they are
+  // notified of the change at once.
   Tell([](const EntryFollower& other, const links::ReplicaNews&) {
     return other.m_denied;
   });
@@ -90,7 +91,7 @@
 }
 
 void PlaceGranter::ForgetSilent(TimePoint now) {
-  // An entry that died told nothing of the end of its calls.
+  // An entry that died does not report the end of its calls.
   for (auto& [entry, follower] : m_entries) {
     if (follower.m_calls_at + kCallsHold <= now)
       follower.m_calls = {};
--- a/src/libverbenalead/target/place_granter.h
+++ b/src/libverbenalead/target/place_granter.h
@@ -11,11 +11,13 @@
 
 namespace verbenalead::target {
 
-/// Grants entries places at the replica on this host, and tells them how it is
-/// and what the others have there. Not safe for concurrent use.
+/// Grants slots at the replica on this host to entries, and sends entries the
+/// state of the replica and the calls of the other entries there. Each entry
+/// only knows its own calls; without a single granter, several entries would
+/// use the same slot. Not safe for concurrent use.
 class PlaceGranter {
  public:
-  /// `engine_news` tells how the replica is, but for its calls.
+  /// `engine_news` returns the state of the replica, without its calls.
   PlaceGranter(TargetState& state,
                links::Datagrams& datagrams,
                std::function<links::ReplicaNews()> engine_news)
@@ -23,33 +25,37 @@
         m_datagrams(datagrams),
         m_engine_news(std::move(engine_news)) {}
 
-  /// Grants a place if the replica has room for one more call, or lets it wait.
+  /// Answers a request for a slot: granted if the replica can take one more
+  /// call, else queued or denied.
   void Grant(const Endpoint& entry, const links::PlaceRequest& request);
-  /// An entry doesn't want a place any more.
+  /// Cancels a queued request for a slot.
   void Withdraw(const Endpoint& entry, uint64_t ticket);
-  /// What an entry has at the replica now.
+  /// Records the current calls of an entry at the replica.
   void TakeCalls(const Endpoint& entry, const links::CallNews& news);
-  /// `entry` wants to be told until then.
+  /// Subscribes `entry` to updates until `until`.
   void Follow(const Endpoint& entry, TimePoint until);
 
-  /// The engine's state has changed: all who follow have to know at once.
+  /// Sends an update to all subscribed entries, as after a change of the
+  /// engine's state.
   void TellAll();
-  /// Tells those who follow what has changed for them.
+  /// Sends an update to the subscribed entries for which the state differs from
+  /// the last update sent.
   void TellChanges();
-  /// Forgets entries that went away, and what they had here.
+  /// Drops the calls of entries that have stopped reporting, grants the slots
+  /// that become free, and removes entries without calls and subscription.
   void ForgetSilent(TimePoint now);
 
-  /// What all entries together have at the replica.
+  /// The calls of all entries at the replica.
   links::ReplicaCalls Calls() const;
 
  private:
   links::ReplicaNews NewsFor(const EntryFollower& follower) const;
   decide::ReplicaLoad Load() const;
-  /// Counts one call more for `follower`.
+  /// Adds a granted call to the calls of `follower`.
   static void CountGranted(EntryFollower& follower, uint32_t prompt_tokens);
-  /// Grants places that are free to calls that wait.
+  /// Grants free slots to queued requests.
   void GrantWaiting();
-  /// Tells the followers that `which` picks.
+  /// Sends an update to the subscribed entries that `which` selects.
   template <typename Which>
   void Tell(Which which);
 
--- a/src/libverbenalead/target/place_granter_test.cc
+++ b/src/libverbenalead/target/place_granter_test.cc
@@ -35,9 +35,10 @@
     CPPUNIT_ASSERT_EQUAL(kSlots, m_granter->Calls().m_calls);
   }
 
-  // Callers wait 0.7 s for their first event after a target process was killed:
-  // the new one knows of no calls and would grant all places once more. Each
-  // question tells what its entry has there, so that it needs no other memory.
+  // Guards against a first event that is 0.7 s late after a target process was
+  // killed: the new process knows of no calls and would grant all slots again.
+  // Each request states the calls of its entry at the replica, so that the
+  // process needs no stored state.
   void LearnsAfterARestartWhatEntriesHaveHere() {
     Ask(kEntry, 2);
     Ask(kOther, 1);
@@ -45,8 +46,9 @@
     CPPUNIT_ASSERT_EQUAL(kSlots, m_granter->Calls().m_calls);
   }
 
-  // Places stay empty: an entry died and tells nothing of the end of its calls.
-  // They count for 2.5 s after its last word.
+  // Guards against slots that stay unused because an entry died and does not
+  // report the end of its calls. Its calls count for 2.5 s after its last
+  // report.
   void ForgetsWhatADeadEntryHad() {
     Ask(kEntry, 3);
     m_granter->ForgetSilent(Now() + 1s);
@@ -62,7 +64,7 @@
   }
 
  private:
-  /// `entry` has `calls` here and asks for one place more.
+  /// `entry`, which has `calls` at the replica, requests one more slot.
   void Ask(const Endpoint& entry, uint32_t calls) {
     links::PlaceRequest request;
     request.m_calls.m_calls = calls;
--- a/src/libverbenalead/target/platform_target.cc
+++ b/src/libverbenalead/target/platform_target.cc
@@ -26,18 +26,20 @@
 namespace asio = boost::asio;
 
 constexpr Duration kConnectTimeout = 300ms;
-/// While draws fill the origin's link, answers to new connections wait behind
-/// them.
+/// While origin fetches fill the origin's link, the replies to new connections
+/// are queued behind them.
 constexpr Duration kOriginConnectTimeout = 1s;
 constexpr double kPercent = 100;
-/// How often those who follow are told what changed, and all anew.
+/// Interval of the rounds in which subscribers are sent changes.
 constexpr Duration kNewsInterval = 50ms;
+/// In one of this many rounds, subscribers are sent the whole state even if it
+/// has not changed, as datagrams can be lost.
 constexpr uint64_t kRoundsToTellAll = 20;
-/// Of so many rounds, near entries are told what changed in one.
+/// In one of this many rounds, entries of this data centre are sent changes.
 constexpr uint64_t kRoundsToTellChanges = 2;
-/// How often hosts are asked for their chunk news, and how long such a question
-/// holds.
+/// Interval at which subscriptions to the chunk updates of hosts are renewed.
 constexpr Duration kFollowInterval = 500ms;
+/// Lifetime of a subscription to this host that is not renewed.
 constexpr Duration kFollowHold = 5s;
 
 http::ClientOptions Connections() {
@@ -46,8 +48,9 @@
   return options;
 }
 
-/// The origin takes few connections of all hosts together; kept ones of 45
-/// hosts left no room for the 31 that came later.
+/// The origin accepts few connections of all hosts together, so connections to
+/// it are not kept. Kept connections of 45 hosts left none for 31 hosts that
+/// connected later.
 http::ClientOptions OriginConnections() {
   http::ClientOptions options = Connections();
   options.m_keep = false;
@@ -114,10 +117,11 @@
     }
   }
 
-  /// Whether `entry` speaks of the replica on this host. Entries know the list
-  /// of replicas sooner than this process, which takes it over from one that
-  /// knows another replica: it has started anew, and a target that doesn't
-  /// answer for it leaves the entries to guess.
+  /// Whether `replica`, named in a message of `entry`, is the replica on this
+  /// host. If not, reads the list of replicas from `entry`: the replica may
+  /// have restarted under a new id, which entries learn before this process.
+  /// Until this process knows the new id, it grants no slots at the replica,
+  /// and entries have no information about it.
   bool IsOwn(const Endpoint& entry, const std::string& replica) {
     const model::Replica* own = OwnReplica(m_state);
     if (own && own->m_id == replica)
@@ -137,7 +141,8 @@
       return;
     }
     m_rows.TakeTold(sender, request);
-    // Far entries learn of this replica from their near ones.
+    // Entries elsewhere learn the state of this replica from the entries of
+    // this data centre.
     if (request.m_near) {
       m_places.Follow(sender, until);
       m_pool_fullness = request.m_fullness_percent / kPercent;
@@ -163,6 +168,7 @@
           Endpoint(member.m_name, m_state.m_options.m_peers.port()), news);
   }
 
+  /// A value that changes when chunks arrive or a newer version is added.
   uint64_t HeldChunks() const {
     uint64_t held = 0;
     for (const auto& [version, cached] : m_state.m_cache.versions())
@@ -170,6 +176,7 @@
     return held;
   }
 
+  /// Sends updates to the subscribed hosts and entries. Doesn't return.
   Awaitable<void> SendNews() {
     uint64_t told = 0;
     uint64_t round = 0;
@@ -193,6 +200,8 @@
     }
   }
 
+  /// Subscribes to the chunk updates of the hosts that the transfers need: to
+  /// new ones at once, to all every `kFollowInterval`. Doesn't return.
   Awaitable<void> FollowHosts() {
     std::set<std::string> asked;
     TimePoint ask_all{};
@@ -222,8 +231,9 @@
         break;
       LogLine("reload").With("changed", false).Info();
     }
-    // Nothing of ours is under way for callers; a load that was ordered goes on
-    // in the engine, and the next process finds it there.
+    // No caller depends on this process, so there is nothing to drain. A load
+    // that was ordered continues in the engine, and the next target process
+    // finds it there.
     LogLine("stopping").Info();
     m_threads.Stop();
   }
@@ -244,10 +254,10 @@
   http::Server m_chunk_server;
   http::Server m_metrics;
   asio::signal_set m_signals;
-  /// The part of the places of this service that is taken, by the last word of
-  /// a near entry.
+  /// Share of the slots of this service that are in use, 0 to 1, as last
+  /// reported by an entry of this data centre.
   double m_pool_fullness = 1;
-  /// Who wants news, until when.
+  /// Hosts that subscribed to chunk updates, and when the subscription ends.
   std::map<Endpoint, TimePoint> m_chunk_followers;
 };
 
--- a/src/libverbenalead/target/platform_target.h
+++ b/src/libverbenalead/target/platform_target.h
@@ -7,14 +7,15 @@
 
 namespace verbenalead::target {
 
-/// The process beside a replica on the users' platform: fetches weights, passes
-/// them on, and is the only one to give the replica orders.
+/// The target process on the users' platform, which runs on the host of a
+/// replica. It fetches weights, serves them to other hosts, and is the only
+/// process that orders the replica to load weights.
 class PlatformTarget {
  public:
   explicit PlatformTarget(const Settings& settings);
   ~PlatformTarget();
 
-  /// Runs until the process is told to stop. Returns the exit code.
+  /// Runs until the process receives a signal to stop. Returns the exit code.
   int Run();
 
  private:
--- a/src/libverbenalead/target/routed_client.h
+++ b/src/libverbenalead/target/routed_client.h
@@ -11,8 +11,9 @@
 
 namespace verbenalead::target {
 
-/// Stands for other processes in tests: answers by address and path, and keeps
-/// what it was asked. What it has no answer for is refused with 404.
+/// Simulates other processes in tests: returns a prepared response by address
+/// and path, and records the requests. A request without a prepared response
+/// gets status 404.
 class RoutedClient : public wire::Client {
  public:
   Awaitable<AsyncResult<std::unique_ptr<wire::ResponseReader>>>
@@ -28,10 +29,11 @@
         std::make_unique<wire::FixedReader>(std::move(response)));
   }
 
-  /// By address and path, without the query.
+  /// Responses by address and path, without the query.
   std::map<std::string, wire::Response> m_answers;
+  /// Address and path of each request, without the query.
   std::vector<std::string> m_asked;
-  /// The whole paths of the requests.
+  /// Path and query of each request.
   std::vector<std::string> m_targets;
 };
 
--- a/src/libverbenalead/target/row_source.cc
+++ b/src/libverbenalead/target/row_source.cc
@@ -14,17 +14,20 @@
 namespace verbenalead::target {
 namespace {
 
-/// Least time between two questions for the list of replicas. Hosts that have
-/// left must not be waited for: chunks that they were to draw from the origin
-/// come late, from the next host in turn.
+/// Least time between two reads of the list of replicas. The list has to be
+/// recent, so that transfers do not wait for hosts that have left: chunks that
+/// such a host was to fetch from the origin arrive late, by the next host in
+/// the order.
 constexpr Duration kReplicasInterval = 300ms;
-/// Entries that are asked at once after a start, and the pause until the next
-/// try: they may have started too, and know the tables half a second later.
+/// Entries that are asked in a row after a start. Each entry is asked this many
+/// times before the list of entries is read again, with a pause between the
+/// rounds: the entries may have started at the same time and know the tables
+/// half a second later.
 constexpr size_t kEntriesTried = 3;
 constexpr size_t kTriesForEntry = 2;
 constexpr Duration kLearnPause = 200ms;
-/// How often a process beside a replica without an engine asks whether it has
-/// one now.
+/// Interval at which a process whose replica has no engine checks whether it
+/// has one now.
 constexpr Duration kIdleInterval = 10s;
 
 }  // namespace
@@ -78,8 +81,8 @@
   std::vector<Endpoint> near;
   size_t tries = 0;
   while (!m_changes.m_known) {
-    // Each is asked twice, as it may have just started; who is there may have
-    // changed after that.
+    // Each entry is asked twice, as it may have just started. After that the
+    // list of entries is read again, as it may have changed.
     if (tries >= kTriesForEntry * near.size()) {
       near = co_await NearEntries();
       tries = 0;
@@ -127,9 +130,10 @@
       decide::NoteAwaited(m_changes, Now());
     co_return false;
   }
-  // Turns and transfers need to know who is there. Hosts that all took the
-  // list over again with each declaration filled the link of the entry that
-  // tells them, and heard of new weights late.
+  // The schedules of loads and transfers depend on the list of replicas. It is
+  // read only if it differs: when all hosts read the list again with each
+  // declaration, they filled the link of the entry that announces it and
+  // learned of new weights late.
   if (with_replicas && RunsEngine(m_state, relayed->m_rows))
     co_await TakeOverReplicas(entry);
   TakeOperatorRows(relayed->m_rows, relayed->m_ages);
@@ -151,7 +155,8 @@
     LogLine("rows_not_relayed").With(relayed.error()).Info();
     co_return;
   }
-  // Entries don't all know the newest list at the same moment.
+  // Entries do not learn the newest list at the same time, so this one may be
+  // older than the list known here.
   if (relayed->m_rows.m_revision < m_replica_rows.revision())
     co_return;
   TakeReplicaRows(m_state, relayed->m_rows, true);
--- a/src/libverbenalead/target/row_source.h
+++ b/src/libverbenalead/target/row_source.h
@@ -13,12 +13,13 @@
 
 namespace verbenalead::target {
 
-/// Brings a target process what it needs of the operator's table, and the list
-/// of replicas: from an entry that tells them, or from the store where none
-/// does. Not safe for concurrent use.
+/// Keeps the rows of the operator's table and the list of replicas of a target
+/// process up to date. They are read from an entry that announces them, or from
+/// the store if no entry does: if each target process read them from the store,
+/// the store's links would be full for seconds. Not safe for concurrent use.
 class RowSource {
  public:
-  /// `store` and `entries` outlive this.
+  /// `store` and `entries` must outlive this object.
   RowSource(const boost::asio::any_io_executor& executor,
             TargetState& state,
             platform::Store& store,
@@ -26,30 +27,36 @@
 
   void Start();
 
-  /// An entry tells what it knows.
+  /// Handles an announcement of the revisions that `entry` knows; reads its
+  /// rows if they are newer.
   void TakeTold(const Endpoint& entry, const links::FollowRequest& request);
-  /// The entry knows another list of replicas.
+  /// Reads the list of replicas from `entry`, whose list differs from the one
+  /// known here. Calls in quick succession are dropped.
   void FetchReplicas(const Endpoint& entry);
 
  private:
-  /// Finds entries by their rows in the store, and takes over from one of them.
+  /// Runs after the start until the rows are known: finds entries by their rows
+  /// in the store, and reads the operator's rows and the list of replicas from
+  /// one of them.
   Awaitable<void> LearnFirst();
-  /// Entries of this data centre, in any order.
+  /// The entries of this data centre, in random order.
   Awaitable<std::vector<Endpoint>> NearEntries();
-  /// Takes over from `entry`; false: it can't tell. `with_replicas`: its list
-  /// of replicas as well.
+  /// Reads the operator's rows from `entry`; returns false if that failed.
+  /// `with_replicas`: reads the list of replicas as well.
   Awaitable<bool> TakeOver(Endpoint entry, bool with_replicas);
+  /// As `TakeOver`, with `m_fetching` set meanwhile so that announcements do
+  /// not start a second read.
   Awaitable<void> TakeOverOnce(Endpoint entry, bool with_replicas);
   Awaitable<void> TakeOverReplicas(Endpoint entry);
   void TakeOperatorRows(const platform::Rows& rows,
                         const std::map<std::string, Duration>& ages);
   links::FollowPace Pace() const;
-  /// The replica on this host has no engine, so that this process has nothing
-  /// to do and needs neither weights nor the list of replicas.
+  /// Whether the replica on this host has no engine. This process then has
+  /// nothing to do and needs neither weights nor the list of replicas.
   ///
-  /// Failure: no entry tells such a process anything. Symptom: it reads both
-  /// tables from the store after each start, 1 MB where there are 3,000
-  /// replicas, over the links that entries need then.
+  /// Entries send no announcements to such a process. Without this check it
+  /// would read both tables from the store after each start, 1 MB with 3,000
+  /// replicas, over links that entries need at that time.
   bool IsIdle() const;
 
   TargetState& m_state;
@@ -59,9 +66,12 @@
   links::TableFollower m_operator_rows;
   links::TableFollower m_replica_rows;
   decide::ChangeWatch m_changes;
-  /// 0 to 1: when this host turns to the store, among those that start with it.
+  /// Random value from 0 to 1 that spreads the reads from the store of hosts
+  /// that start at the same time.
   const double m_spread;
+  /// A read that an announcement started is in progress.
   bool m_fetching = false;
+  /// Earliest time of the next read of the list of replicas on request.
   TimePoint m_next_replicas{};
 };
 
--- a/src/libverbenalead/target/row_source_test.cc
+++ b/src/libverbenalead/target/row_source_test.cc
@@ -48,9 +48,10 @@
     m_http->m_answers["store/rows-get"] = EntryRows({"10.0.0.1"});
   }
 
-  // Callers get no answer for 20 s: all processes were killed, and each host
-  // reads 390 KB from the store over one link. It takes what it needs over from
-  // an entry of its data centre, and asks the store for the entries there only.
+  // Guards against callers without a response for 20 s after all processes were
+  // killed, because each host reads 390 KB from the store over one link. A
+  // target reads its rows from an entry of its data centre, and from the store
+  // only the list of entries there.
   void AfterAStartItTakesOverFromANearEntry() {
     Tells("10.0.0.1", 5, 3s);
     m_rows->Start();
@@ -58,7 +59,8 @@
     CPPUNIT_ASSERT(m_state->m_engine);
     CPPUNIT_ASSERT_EQUAL(48U, m_state->m_engine->m_chunks);
     CPPUNIT_ASSERT_EQUAL(size_t{1}, m_state->m_replicas.size());
-    // Turns count from the declaration, not from when it is heard of.
+    // Loads are scheduled from the time of the declaration, not from the time
+    // at which this process learns of it.
     CPPUNIT_ASSERT(Now() - m_state->m_declared.at(2) >= Duration(3s));
     CPPUNIT_ASSERT_EQUAL(std::ptrdiff_t{1},
                          std::count(m_http->m_asked.begin(),
@@ -76,9 +78,9 @@
     CPPUNIT_ASSERT(m_state->m_engine);
   }
 
-  // Entries know the tables later after a start of everything: the processes
-  // beside plain replicas, which no entry tells anything, read both from the
-  // store over the links that entries need.
+  // Guards against entries that learn the tables late after all processes
+  // started, because target processes whose replica has no engine, and which
+  // get no announcements, read both tables over the links that entries need.
   void WithoutAnEngineTheStoreIsLeftAlone() {
     Tells("10.0.0.1", 5, 0s, kPlainConfig);
     m_rows->Start();
@@ -105,7 +107,7 @@
     m_rows->TakeTold(Endpoint("10.0.0.1", 2), request);
     m_io->restart();
     m_io->run_for(20ms);
-    // Nothing new but another list of replicas.
+    // Only the list of replicas differs from the one known here.
     CPPUNIT_ASSERT(m_http->m_asked ==
                    std::vector<std::string>({"10.0.0.1/v1/replica-rows"}));
     m_http->m_asked.clear();
@@ -117,9 +119,9 @@
                          m_http->m_asked.at(0));
   }
 
-  // Hosts hear of new weights late: all of a data centre took over the
-  // list of replicas with them, 80 KB each over the link of one entry. It is
-  // the one that they have.
+  // Guards against hosts that learn of new weights late, because all hosts of a
+  // data centre read the list of replicas with them, 80 KB each over the link
+  // of one entry. A list that is known already must not be read again.
   void AKnownListOfReplicasIsNotTakenOverAgain() {
     Tells("10.0.0.1", 5, 0s);
     m_rows->Start();
@@ -137,7 +139,7 @@
   }
 
  private:
-  /// The store's answer about entries on these hosts.
+  /// The store's response to a read of the table of entries.
   static wire::Response EntryRows(const std::vector<std::string>& hosts) {
     std::string rows;
     for (const std::string& host : hosts) {
@@ -151,7 +153,8 @@
         200, R"({"ver":9,"now_ms":1000,"rows":[)" + rows + "]}");
   }
 
-  /// An entry tells its rows, of which the declaration is `age` old.
+  /// Prepares the responses of the entry on `host`, with a declaration of
+  /// weights that is `age` old.
   void Tells(const std::string& host,
              uint64_t revision,
              Duration age,
--- a/src/libverbenalead/target/staging_engine.h
+++ b/src/libverbenalead/target/staging_engine.h
@@ -10,7 +10,7 @@
 
 namespace verbenalead::target {
 
-/// Stands for an engine's staging area in tests.
+/// Simulates an engine's staging area in tests.
 class StagingEngine : public wire::Client {
  public:
   Awaitable<AsyncResult<std::unique_ptr<wire::ResponseReader>>>
@@ -33,10 +33,11 @@
         std::make_unique<wire::FixedReader>(std::move(response)));
   }
 
-  /// By chunk number.
+  /// Staged bytes by chunk number.
   std::map<std::string, std::string> m_chunks;
   int m_puts = 0;
   int m_reads = 0;
+  /// Connections fail.
   bool m_down = false;
 };
 
--- a/src/libverbenalead/target/target_options.h
+++ b/src/libverbenalead/target/target_options.h
@@ -15,13 +15,15 @@
   /// The service of the replica on this host.
   std::string m_service;
   Endpoint m_engine;
-  /// For datagrams and, by HTTP, for chunks; all targets use the same port.
+  /// Listening address for datagrams and, over HTTP, for chunks. All targets
+  /// use the same port.
   Endpoint m_peers;
   Endpoint m_metrics;
   Endpoint m_store;
-  /// Bytes a second of this host's link.
+  /// Rate of this host's link in bytes per second.
   uint64_t m_link_rate = 0;
-  /// Time within which new weights must be in force.
+  /// Time from the declaration of new weights within which all replicas that
+  /// take calls must use them.
   Duration m_weights_bound{};
 };
 
--- a/src/libverbenalead/target/target_rows.cc
+++ b/src/libverbenalead/target/target_rows.cc
@@ -13,6 +13,7 @@
 namespace verbenalead::target {
 namespace {
 
+/// Applies a newer configuration; logs and ignores a malformed one.
 void TakeConfig(TargetState& state, const std::string& text) {
   auto config = CatchFailure([&] { return platform::DecodeConfig(text); });
   if (!config) {
@@ -37,6 +38,7 @@
       .Info();
 }
 
+/// Records the declaration of a version of this host's model, made `age` ago.
 void TakeWeights(TargetState& state, const std::string& text, Duration age) {
   const auto declared = platform::DecodeWeights(text);
   if (!declared) {
@@ -68,7 +70,7 @@
 void TakeOperatorRows(TargetState& state,
                       const platform::Rows& rows,
                       const std::map<std::string, Duration>& ages) {
-  // The configuration first: it says which model this host runs.
+  // The configuration comes first, as it defines which model this host runs.
   for (const platform::Row& row : rows.m_rows) {
     if (!row.m_deleted && row.m_key == platform::kConfigKey)
       TakeConfig(state, row.m_value);
@@ -88,7 +90,7 @@
       continue;
     auto config =
         CatchFailure([&] { return platform::DecodeConfig(row.m_value); });
-    // TakeOperatorRows says why it can't be read.
+    // TakeOperatorRows logs why the configuration is malformed.
     if (!config)
       return false;
     return std::any_of(config->m_services.begin(), config->m_services.end(),
--- a/src/libverbenalead/target/target_rows.h
+++ b/src/libverbenalead/target/target_rows.h
@@ -9,16 +9,18 @@
 
 namespace verbenalead::target {
 
-/// Takes the operator's rows in. `ages`: how long ago declarations of weights
-/// were made, at least, by key.
+/// Applies the operator's rows to `state`. `ages`: by key, the least time since
+/// a declaration of weights was made.
 void TakeOperatorRows(TargetState& state,
                       const platform::Rows& rows,
                       const std::map<std::string, Duration>& ages);
 
-/// Whether by `rows` of the operator the replica on this host has an engine.
+/// Whether the replica on this host has an engine according to the operator's
+/// `rows`.
 bool RunsEngine(const TargetState& state, const platform::Rows& rows);
 
-/// Takes the rows of replicas in.
+/// Applies rows of replicas to `state`. `whole`: `rows` is the complete table
+/// and replaces all that is known; else it holds changes only.
 void TakeReplicaRows(TargetState& state,
                      const platform::Rows& rows,
                      bool whole);
--- a/src/libverbenalead/target/target_state.h
+++ b/src/libverbenalead/target/target_state.h
@@ -14,7 +14,7 @@
 
 namespace verbenalead::target {
 
-/// All that a target process believes. Belongs to its one thread.
+/// The state of a target process. Only its one thread may access it.
 struct TargetState {
   explicit TargetState(TargetOptions options) : m_options(std::move(options)) {}
 
@@ -22,25 +22,27 @@
   Metrics m_metrics;
   std::mt19937_64 m_random{std::random_device{}()};
   uint64_t m_config_version = 0;
-  /// Of the service on this host; absent: nothing is known yet.
+  /// Engine profile of the service on this host; absent if the configuration is
+  /// not known yet or the service has no engine.
   std::optional<model::EngineProfile> m_engine;
   Endpoint m_origin;
   uint64_t m_origin_rate = 0;
-  /// When we saw each version to be declared.
+  /// When each version was declared, as estimated on this host.
   std::map<uint64_t, TimePoint> m_declared;
-  /// Replicas that the store lists, by id, malformed rows left out.
+  /// Replicas that the store lists, by id, without malformed rows.
   std::map<std::string, model::Replica> m_listed;
-  /// Those of them that live.
+  /// `m_listed` without outdated rows, whose address another replica has taken
+  /// over (`decide::LiveReplicas`).
   std::map<std::string, model::Replica> m_replicas;
   ChunkCache m_cache;
 };
 
-/// The newest version that was declared, or the first one while none was.
+/// The newest declared version, or version 1 if none was declared.
 inline uint64_t NewestVersion(const TargetState& state) {
   return state.m_declared.empty() ? 1 : state.m_declared.rbegin()->first;
 }
 
-/// The replica on this host as the store lists it, or null.
+/// The replica on this host as listed in the store; null if it is not listed.
 const model::Replica* OwnReplica(const TargetState& state);
 
 }  // namespace verbenalead::target
--- a/src/libverbenalead/target/transfer_members.h
+++ b/src/libverbenalead/target/transfer_members.h
@@ -8,7 +8,8 @@
 
 namespace verbenalead::target {
 
-/// The hosts that exchange weights with this one.
+/// The other hosts of the service, with which this host exchanges weights.
+/// Hosts whose replica is leaving are not included.
 std::vector<decide::TransferMember> OtherMembers(const TargetState& state);
 
 }  // namespace verbenalead::target
--- a/src/libverbenalead/target/upload_gate.cc
+++ b/src/libverbenalead/target/upload_gate.cc
@@ -7,7 +7,9 @@
 namespace verbenalead::target {
 namespace {
 
-/// How often a waiting upload looks whether those under way are held up.
+/// Interval at which a waiting upload checks whether the current uploads are
+/// slowed down by their receivers (`decide::kHeldUpUpload`), so that it may
+/// begin.
 constexpr Duration kLook = 100ms;
 
 }  // namespace
--- a/src/libverbenalead/target/upload_gate.h
+++ b/src/libverbenalead/target/upload_gate.h
@@ -10,7 +10,7 @@
 
 namespace verbenalead::target {
 
-/// Holds uploads until it is their turn (`decide::UploadTurns`). Not safe for
+/// Suspends uploads until `decide::UploadTurns` admits them. Not safe for
 /// concurrent use.
 ///
 ///     const uint64_t id = gate.NewId();
@@ -20,18 +20,21 @@
 class UploadGate {
  public:
   uint64_t NewId() { return ++m_last_id; }
-  /// Returns when the upload may begin. `request.m_id` is set by this.
+  /// Returns when the upload may begin. Sets `request.m_id` to `id`.
   Awaitable<void> Wait(uint64_t id,
                        uint64_t version,
                        decide::UploadRequest request);
-  /// The upload is over, or was given up.
+  /// Must be called when the upload has ended or was abandoned, also while it
+  /// still waits; otherwise the uploads behind it begin late.
   void End(uint64_t id);
 
  private:
+  /// Resumes the waiting uploads that may begin now.
   void Admit();
 
   decide::UploadTurns m_turns;
   uint64_t m_last_id = 0;
+  /// Waiting uploads by id; cancelling the timer resumes the upload.
   std::map<uint64_t, std::shared_ptr<boost::asio::steady_timer>> m_waiting;
 };
 
