--- a/src/libverbenalead/target/chunk_cache.cc
+++ b/src/libverbenalead/target/chunk_cache.cc
@@ -7,14 +7,15 @@
 
 /// The version that engines run and the one that is to replace it: a host that
 /// is behind may still request the former.
-constexpr size_t kVersionsKept = 2;
+constexpr size_t kMaxVersions = 2;
 
 using Chunk = CachedVersion::Chunk;
 
 /// Numbers of the chunks of `version` that `which` selects; none if `version`
 /// is null.
 template <typename Which>
-std::vector<uint32_t> NumbersOf(const CachedVersion* version, Which which) {
+std::vector<uint32_t> FindChunkNumbers(const CachedVersion* version,
+                                       Which which) {
   std::vector<uint32_t> numbers;
   if (!version)
     return numbers;
@@ -48,7 +49,7 @@
   for (size_t number = 0; number < digests.size(); ++number)
     cached.m_chunks[number].m_digest = digests[number];
   m_versions.emplace(version, std::move(cached));
-  while (m_versions.size() > kVersionsKept)
+  while (m_versions.size() > kMaxVersions)
     m_versions.erase(m_versions.begin());
 }
 
@@ -74,11 +75,11 @@
 }
 
 std::vector<uint32_t> ChunkCache::Held(uint64_t version) const {
-  return NumbersOf(Find(version), IsHere);
+  return FindChunkNumbers(Find(version), IsHere);
 }
 
 std::vector<uint32_t> ChunkCache::Unstaged(uint64_t version) const {
-  return NumbersOf(Find(version), [](const Chunk& chunk) {
+  return FindChunkNumbers(Find(version), [](const Chunk& chunk) {
     return chunk.m_bytes && !chunk.m_staged;
   });
 }
--- a/src/libverbenalead/target/chunk_cache_test.cc
+++ b/src/libverbenalead/target/chunk_cache_test.cc
@@ -7,15 +7,15 @@
 
 class ChunkCacheTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ChunkCacheTest);
-  CPPUNIT_TEST(TakesOnlyWhatIsDeclared);
+  CPPUNIT_TEST(AcceptsOnlyDeclaredChunks);
   CPPUNIT_TEST(NeverMixesVersions);
-  CPPUNIT_TEST(KeepsTheTwoNewest);
-  CPPUNIT_TEST(StagedChunksLeaveMemory);
-  CPPUNIT_TEST(ASpoiltStagedChunkIsMissing);
+  CPPUNIT_TEST(KeepsTwoNewestVersions);
+  CPPUNIT_TEST(ReleasesMemoryOfStagedChunks);
+  CPPUNIT_TEST(CorruptStagedChunkIsMissing);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void TakesOnlyWhatIsDeclared() {
+  void AcceptsOnlyDeclaredChunks() {
     ChunkCache cache;
     cache.Begin(1, {Sha256("a"), Sha256("b")});
     CPPUNIT_ASSERT(!cache.Put(1, 0, "spoilt"));
@@ -40,7 +40,7 @@
     CPPUNIT_ASSERT(!cache.Complete(2));
   }
 
-  void KeepsTheTwoNewest() {
+  void KeepsTwoNewestVersions() {
     ChunkCache cache;
     for (uint64_t version : {1, 3, 2, 4})
       cache.Begin(version, {Sha256("x")});
@@ -50,7 +50,7 @@
 
   // The staging area holds one chunk per chunk number. A chunk of one version
   // that was overwritten by that of the other must not be reported as held.
-  void StagedChunksLeaveMemory() {
+  void ReleasesMemoryOfStagedChunks() {
     ChunkCache cache;
     cache.Begin(1, {Sha256("old")});
     cache.Begin(2, {Sha256("new")});
@@ -67,7 +67,7 @@
   // Guards against tokens generated from corrupt weights: a staged chunk can
   // become corrupt without any write. Once it was read back it must count as
   // missing, so that it is fetched again.
-  void ASpoiltStagedChunkIsMissing() {
+  void CorruptStagedChunkIsMissing() {
     ChunkCache cache;
     cache.Begin(1, {Sha256("right")});
     CPPUNIT_ASSERT(cache.CheckStaged(1, 0, "right"));
--- a/src/libverbenalead/target/chunk_fetcher.cc
+++ b/src/libverbenalead/target/chunk_fetcher.cc
@@ -22,14 +22,14 @@
 /// Most concurrent fetches from other hosts. A sending host limits its rate and
 /// serves several hosts; fetches from five hosts together keep the downlink
 /// busy, at 42 ms per chunk and 9.4 Mbit/s.
-constexpr uint32_t kMostFetches = 5;
+constexpr uint32_t kMaxFetches = 5;
 /// Most concurrent fetches of a version that is fetched ahead. The rest of the
 /// older version mostly waits for other hosts, so the link has capacity left.
-constexpr uint32_t kAheadFetches = 2;
+constexpr uint32_t kMaxFetchesAhead = 2;
 /// This host's link counts as slow if a chunk takes longer than this factor
-/// times the time of `kMostFetches` concurrent chunks at the link's rate. A
+/// times the time of `kMaxFetches` concurrent chunks at the link's rate. A
 /// chunk from a busy host takes twice its usual time.
-constexpr int kNarrow = 2;
+constexpr int kSlowLinkFactor = 2;
 /// An origin fetch that was not announced within this time after it was due is
 /// taken over by the next host: all hosts must have the complete version within
 /// 8 s.
@@ -37,13 +37,13 @@
 /// Longest backoff of origin fetches. After an outage of the origin the missing
 /// chunks delay all hosts, so the hosts that fetch them retry often; only few
 /// hosts do.
-constexpr Duration kLongestOriginPause = 500ms;
+constexpr Duration kMaxOriginBackoff = 500ms;
 /// Time from the declaration of a version until its first origin fetch is due.
 /// Hosts learn of the version and obtain its digests within this time.
-constexpr Duration kDrawsBegin = 150ms;
+constexpr Duration kOriginFetchDelay = 150ms;
 /// A version that was declared longer ago than this is held by other hosts, so
 /// its origin fetches are due at once.
-constexpr Duration kNewVersion = 1s;
+constexpr Duration kNewVersionAge = 1s;
 /// Share of this host's link used for transfers; the rest is left to live
 /// calls.
 constexpr double kLinkShare = 0.8;
@@ -53,22 +53,22 @@
 constexpr Duration kAskTimeout = 1s;
 /// Time to wait for the response header, as requests are queued at the sending
 /// host. The transfer cancels the fetch sooner if other hosts respond faster.
-constexpr Duration kTurnTimeout = 4s;
+constexpr Duration kResponseHeaderTimeout = 4s;
 constexpr Duration kOriginTimeout = 3s;
 constexpr Duration kMembersInterval = 500ms;
 /// A transfer that received no chunk for this time, ten times the duration of
 /// a chunk, has stalled.
-constexpr Duration kProgress = 500ms;
+constexpr Duration kStallTimeout = 500ms;
 /// Most concurrent origin fetches of all hosts together. With fewer, the
 /// origin's link is idle until the next host learns that a fetch has ended.
-constexpr uint32_t kDrawsAtOnce = 8;
+constexpr uint32_t kMaxOriginFetches = 8;
 /// Interval between announcements of an origin fetch in progress.
-constexpr Duration kTellDrawsInterval = 250ms;
+constexpr Duration kAnnouncementInterval = 250ms;
 /// After this many chunks from the origin that do not match their digests, the
 /// digests themselves are considered wrong.
-constexpr uint32_t kMismatchesToDoubt = 3;
+constexpr uint32_t kMaxOriginMismatches = 3;
 
-Failure GivenUp(const std::string& host) {
+Failure CancelledFailure(const std::string& host) {
   return Failure{FailureCode::kCancelled, "fetch chunk", host, "given up"};
 }
 
@@ -80,26 +80,27 @@
   links.m_origin = state.m_origin_rate;
   decide::TransferLimits limits = decide::LimitsFor(
       links, decide::TransferPreference::kTimeFirst, kOriginBudgetPercent);
-  limits.m_max_fetches = kMostFetches;
+  limits.m_max_fetches = kMaxFetches;
   const double chunk_seconds = static_cast<double>(links.m_chunk_bytes) /
                                static_cast<double>(links.m_host);
-  limits.m_slow_wait = std::chrono::duration_cast<Duration>(
-      std::chrono::duration<double>(chunk_seconds * kMostFetches * kNarrow));
+  limits.m_slow_wait =
+      std::chrono::duration_cast<Duration>(std::chrono::duration<double>(
+          chunk_seconds * kMaxFetches * kSlowLinkFactor));
   limits.m_patience = kPatience;
-  limits.m_draws_at_once = kDrawsAtOnce;
-  limits.m_max_origin_back_off = kLongestOriginPause;
+  limits.m_draws_at_once = kMaxOriginFetches;
+  limits.m_max_origin_back_off = kMaxOriginBackoff;
   return limits;
 }
 
 /// When the first origin fetch of `version` is due.
-TimePoint ScheduleOf(const TargetState& state,
-                     uint64_t version,
-                     TimePoint now) {
+TimePoint FirstOriginFetchTime(const TargetState& state,
+                               uint64_t version,
+                               TimePoint now) {
   const auto declared = state.m_declared.find(version);
   if (declared == state.m_declared.end() ||
-      declared->second + kNewVersion < now)
+      declared->second + kNewVersionAge < now)
     return now;
-  return declared->second + kDrawsBegin;
+  return declared->second + kOriginFetchDelay;
 }
 
 }  // namespace
@@ -123,7 +124,7 @@
   decide::TransferState m_core;
   asio::steady_timer m_wake;
   TimePoint m_next_members{};
-  TimePoint m_next_telling{};
+  TimePoint m_next_announcement{};
   std::map<uint32_t, std::shared_ptr<Arrival>> m_fetches;
   std::vector<std::string> m_followed;
   uint32_t m_origin_mismatches = 0;
@@ -132,7 +133,7 @@
   uint64_t m_from_near = 0;
   uint64_t m_from_far = 0;
   bool m_stopped = false;
-  TimePoint m_last_chunk{};
+  TimePoint m_last_chunk_at{};
 };
 
 ChunkFetcher::ChunkFetcher(
@@ -153,7 +154,7 @@
 }
 
 bool ChunkFetcher::progressing() const {
-  return m_transfer && Now() - m_transfer->m_last_chunk < kProgress;
+  return m_transfer && Now() - m_transfer->m_last_chunk_at < kStallTimeout;
 }
 
 bool ChunkFetcher::IsDrawn() const {
@@ -243,7 +244,7 @@
     return;
   news.m_report.m_drawn = std::move(drawn);
   m_tell_draws(news);
-  transfer.m_next_telling = Now() + kTellDrawsInterval;
+  transfer.m_next_announcement = Now() + kAnnouncementInterval;
 }
 
 std::shared_ptr<ChunkFetcher::Transfer> ChunkFetcher::Begin(
@@ -256,12 +257,12 @@
       {m_state.m_options.m_peers.address(), m_state.m_options.m_data_center,
        m_state.m_options.m_data_center},
       m_state.m_engine->m_chunks, limits, Now(),
-      ScheduleOf(m_state, version, Now()));
+      FirstOriginFetchTime(m_state, version, Now()));
   for (uint32_t chunk : m_state.m_cache.Held(version))
     decide::ChunkArrived(transfer->m_core, chunk, Now());
   LogLine("transfer_begun")
       .With("version", version)
-      .With("ahead", limits.m_max_fetches == kAheadFetches)
+      .With("ahead", limits.m_max_fetches == kMaxFetchesAhead)
       .Info();
   return transfer;
 }
@@ -270,7 +271,7 @@
                                   asio::any_io_executor executor) {
   const TimePoint begun = Now();
   while (!transfer->m_stopped && !decide::IsComplete(transfer->m_core) &&
-         transfer->m_origin_mismatches < kMismatchesToDoubt) {
+         transfer->m_origin_mismatches < kMaxOriginMismatches) {
     UpdateMembers(*transfer);
     DoStep(transfer, executor);
     transfer->m_wake.expires_after(decide::kTransferTick);
@@ -279,7 +280,7 @@
         asio::redirect_error(asio::use_awaitable, ignored));
   }
   transfer->CancelAll();
-  if (transfer->m_origin_mismatches >= kMismatchesToDoubt) {
+  if (transfer->m_origin_mismatches >= kMaxOriginMismatches) {
     LogLine("digests_doubted").With("version", transfer->m_version).Warn();
     m_state.m_cache.Drop(transfer->m_version);
   }
@@ -324,16 +325,16 @@
     co_return;
   m_ahead_version = version;
   const auto executor = co_await asio::this_coro::executor;
-  const uint64_t before = this->version();
-  const bool learned = co_await m_digests.Learn(version);
-  const auto waits = [&] {
-    return m_ahead_version == version && this->version() == before;
+  const uint64_t previous = this->version();
+  const bool has_digests = co_await m_digests.Learn(version);
+  const auto is_current = [&] {
+    return m_ahead_version == version && this->version() == previous;
   };
-  while (learned && waits() && !IsDrawn())
+  while (has_digests && is_current() && !IsDrawn())
     co_await Sleep(decide::kTransferTick);
-  if (learned && waits() && !m_ahead) {
+  if (has_digests && is_current() && !m_ahead) {
     decide::TransferLimits limits = LimitsOf(m_state);
-    limits.m_max_fetches = kAheadFetches;
+    limits.m_max_fetches = kMaxFetchesAhead;
     const auto transfer = Begin(version, limits, executor);
     m_ahead = transfer;
     co_await Run(transfer, executor);
@@ -380,16 +381,16 @@
     std::erase(transfer->m_followed, name);
   for (const std::string& name : actions.m_follows)
     transfer->m_followed.push_back(name);
-  bool draws = false;
+  bool starts_origin_fetch = false;
   for (const decide::FetchChunk& fetch : actions.m_fetches) {
-    draws |= fetch.m_source.IsOrigin();
+    starts_origin_fetch |= fetch.m_source.IsOrigin();
     auto arrival = std::make_shared<Arrival>();
     transfer->m_fetches[fetch.m_chunk] = arrival;
     Spawn(executor,
           FetchChunk(transfer, fetch.m_chunk, fetch.m_source.m_host, arrival),
           "fetch_chunk");
   }
-  if (draws || Now() >= transfer->m_next_telling)
+  if (starts_origin_fetch || Now() >= transfer->m_next_announcement)
     TellDraws(*transfer, {});
 }
 
@@ -411,7 +412,7 @@
     co_return opened.error();
   wire::ResponseReader& reader = **opened;
   if (arrival->m_cancelled)
-    co_return GivenUp(host);
+    co_return CancelledFailure(host);
   arrival->m_reader = &reader;
   auto bytes = co_await ReadChunkFrom(transfer, chunk, host, reader);
   arrival->m_reader = nullptr;
@@ -423,7 +424,7 @@
     uint32_t chunk,
     std::string host,
     wire::ResponseReader& reader) {
-  const auto head = co_await reader.ReadHead(Now() + kTurnTimeout);
+  const auto head = co_await reader.ReadHead(Now() + kResponseHeaderTimeout);
   if (!head)
     co_return head.error();
   if (head->m_status != 200) {
@@ -488,7 +489,7 @@
     } else {
       ++transfer->m_from_far;
     }
-    transfer->m_last_chunk = Now();
+    transfer->m_last_chunk_at = Now();
     decide::ChunkArrived(transfer->m_core, chunk, Now());
     if (from_origin)
       TellDraws(*transfer, std::vector<uint32_t>(1, chunk));
--- a/src/libverbenalead/target/chunk_server.cc
+++ b/src/libverbenalead/target/chunk_server.cc
@@ -11,13 +11,14 @@
 /// While there are live calls, chunks are sent in pieces of this many bytes, at
 /// this share of the link's rate. Events of live streams use the same link and
 /// would be delayed behind whole chunks.
-constexpr size_t kUploadPiece = 4096;
+constexpr size_t kUploadPieceBytes = 4096;
 constexpr double kUploadShare = 0.8;
 /// Unused time that the pacer may make up for.
 constexpr Duration kUploadCredit = 20ms;
 
 /// Reads the fields about the requesting host from a request for `chunk`.
-decide::UploadRequest UploadOf(const wire::Request& request, uint32_t chunk) {
+decide::UploadRequest ParseUploadRequest(const wire::Request& request,
+                                         uint32_t chunk) {
   decide::UploadRequest upload;
   upload.m_chunk = chunk;
   upload.m_far = wire::QueryValue(request, kFarField) == "1";
@@ -55,7 +56,8 @@
     co_return;
   }
   const uint64_t id = m_gate.NewId();
-  co_await m_gate.Wait(id, name->m_version, UploadOf(request, name->m_chunk));
+  co_await m_gate.Wait(id, name->m_version,
+                       ParseUploadRequest(request, name->m_chunk));
   if (!caller.gone())
     co_await Upload(*name, caller);
   m_gate.End(id);
@@ -71,8 +73,8 @@
   wire::ResponseHead head(200, {{"content-type", "application/octet-stream"}});
   if (!co_await caller.Start(std::move(head)))
     co_return;
-  for (size_t begin = 0; begin < bytes->size(); begin += kUploadPiece) {
-    std::string piece = bytes->substr(begin, kUploadPiece);
+  for (size_t begin = 0; begin < bytes->size(); begin += kUploadPieceBytes) {
+    std::string piece = bytes->substr(begin, kUploadPieceBytes);
     // Without live calls there are no events that the chunks could delay.
     if (m_has_calls())
       co_await m_upload.Take(piece.size());
--- a/src/libverbenalead/target/chunk_stager.cc
+++ b/src/libverbenalead/target/chunk_stager.cc
@@ -8,7 +8,7 @@
 /// A version that `Adopt` read back within this time is not read again before
 /// the load. A second read would keep the replica out of service for longer
 /// after a power failure.
-constexpr Duration kFreshlyRead = 1s;
+constexpr Duration kMaxVerificationAge = 1s;
 
 }  // namespace
 
@@ -72,7 +72,7 @@
 }
 
 Awaitable<bool> ChunkStager::Verify(uint64_t version) {
-  if (m_found_version == version && Now() - m_found_at < kFreshlyRead &&
+  if (m_found_version == version && Now() - m_found_at < kMaxVerificationAge &&
       m_state.m_cache.Staged(version))
     co_return true;
   const std::string model = m_state.m_engine->m_model;
--- a/src/libverbenalead/target/chunk_stager_test.cc
+++ b/src/libverbenalead/target/chunk_stager_test.cc
@@ -23,11 +23,11 @@
 
 class ChunkStagerTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ChunkStagerTest);
-  CPPUNIT_TEST(AProcessThatStartsAnewFindsWhatWasStaged);
-  CPPUNIT_TEST(ASpoiltChunkIsFoundBeforeTheLoad);
-  CPPUNIT_TEST(ANewerVersionWaitsWhileTheOlderOneIsNeeded);
-  CPPUNIT_TEST(AnEngineThatIsDownLosesNothing);
-  CPPUNIT_TEST(WhatWasJustAdoptedIsNotReadAgain);
+  CPPUNIT_TEST(RestartedProcessFindsStagedChunks);
+  CPPUNIT_TEST(FindsCorruptChunkBeforeLoad);
+  CPPUNIT_TEST(KeepsOlderVersionWhileNeeded);
+  CPPUNIT_TEST(KeepsChunksWhileEngineIsDown);
+  CPPUNIT_TEST(DoesNotReadAdoptedVersionAgain);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -41,7 +41,7 @@
   // Guards against new weights that are 3 s late on a host whose target process
   // was killed during the transfer and fetches all chunks again. Each chunk is
   // staged when it arrives, so that the next process fetches only the rest.
-  void AProcessThatStartsAnewFindsWhatWasStaged() {
+  void RestartedProcessFindsStagedChunks() {
     Take(2, kNew, 3);
     Run(m_stager->Stage(2, 1));
     CPPUNIT_ASSERT_EQUAL(3, m_http->m_puts);
@@ -54,7 +54,7 @@
   // Guards against tokens generated from corrupt weights: a chunk becomes
   // corrupt after it was staged. The check before the load must find it, and it
   // has to be fetched again.
-  void ASpoiltChunkIsFoundBeforeTheLoad() {
+  void FindsCorruptChunkBeforeLoad() {
     Take(2, kNew, 4);
     Run(m_stager->Stage(2, 1));
     CPPUNIT_ASSERT(Verify(2));
@@ -69,7 +69,7 @@
   // Guards against a service without usable replicas after the deadline of
   // version 2: the first chunks of version 3 overwrite those of version 2 in
   // the staging area, and the rest of version 3 does not arrive.
-  void ANewerVersionWaitsWhileTheOlderOneIsNeeded() {
+  void KeepsOlderVersionWhileNeeded() {
     Take(2, kOld, 4);
     Run(m_stager->Stage(2, 1));
     Take(3, kNew, 3);
@@ -81,7 +81,7 @@
     CPPUNIT_ASSERT(!m_state->m_cache.Complete(2));
   }
 
-  void AnEngineThatIsDownLosesNothing() {
+  void KeepsChunksWhileEngineIsDown() {
     Take(2, kNew, 4);
     m_http->m_down = true;
     Run(m_stager->Stage(2, 1));
@@ -93,7 +93,7 @@
   // necessary after a power failure, because its chunks are read back to see
   // which are staged, and again before the load. An incomplete version, and one
   // after a restart of the engine, must still be read.
-  void WhatWasJustAdoptedIsNotReadAgain() {
+  void DoesNotReadAdoptedVersionAgain() {
     Take(2, kNew, 4);
     Run(m_stager->Stage(2, 1));
     Restart();
@@ -138,11 +138,11 @@
     io.run();
   }
 
-  Awaitable<void> NoteVerified(uint64_t version) {
+  Awaitable<void> RecordVerification(uint64_t version) {
     m_verified = co_await m_stager->Verify(version);
   }
   bool Verify(uint64_t version) {
-    Run(NoteVerified(version));
+    Run(RecordVerification(version));
     return m_verified;
   }
 
--- a/src/libverbenalead/target/digest_learner.cc
+++ b/src/libverbenalead/target/digest_learner.cc
@@ -13,12 +13,12 @@
 constexpr Duration kOriginTimeout = 3s;
 /// Number of hosts that are asked, among those first in line at the origin
 /// (`decide::kDigestReaders`).
-constexpr size_t kHostsAsked = 2;
+constexpr size_t kMaxHostsAsked = 2;
 constexpr Duration kDigestsTimeout = 300ms;
-constexpr int kDigestTries = 3;
+constexpr int kMaxOriginAttempts = 3;
 /// Bounds of the random pause after a failure to obtain the digests.
-constexpr Duration kLeastDigestsPause = 80ms;
-constexpr Duration kMostDigestsPause = 160ms;
+constexpr Duration kMinRetryPause = 80ms;
+constexpr Duration kMaxRetryPause = 160ms;
 
 /// An answer that two sources gave, or that the origin gave twice.
 std::optional<std::vector<Digest>> FindAgreed(
@@ -41,12 +41,12 @@
   if (Now() < m_next)
     co_return false;
   const std::vector<std::string> order = Order(version);
-  const auto place = static_cast<size_t>(
+  const auto rank = static_cast<size_t>(
       std::find(order.begin(), order.end(), Self()) - order.begin());
   std::vector<std::vector<Digest>> answers =
       co_await ReadFromHosts(version, order);
   auto agreed = FindAgreed(answers);
-  if (!agreed && Now() - since >= decide::DigestPatience(place))
+  if (!agreed && Now() - since >= decide::DigestPatience(rank))
     agreed = co_await ReadFromOrigin(version, std::move(answers));
   if (agreed) {
     m_state.m_cache.Begin(version, *agreed);
@@ -54,8 +54,8 @@
     co_return true;
   }
   m_next = Now() + Duration(std::uniform_int_distribution<int64_t>(
-                       kLeastDigestsPause.count(),
-                       kMostDigestsPause.count())(m_state.m_random));
+                       kMinRetryPause.count(),
+                       kMaxRetryPause.count())(m_state.m_random));
   co_return false;
 }
 
@@ -73,7 +73,7 @@
 Awaitable<std::optional<std::vector<Digest>>> DigestLearner::ReadFromOrigin(
     uint64_t version,
     std::vector<std::vector<Digest>> answers) {
-  for (int tries = 0; tries < kDigestTries; ++tries) {
+  for (int attempts = 0; attempts < kMaxOriginAttempts; ++attempts) {
     auto digests = co_await m_origin.ReadDigests(
         m_state.m_origin, m_state.m_engine->m_model, version,
         Now() + kOriginTimeout);
@@ -100,8 +100,8 @@
   hosts.resize(std::min(hosts.size(), decide::kDigestReaders));
   std::erase(hosts, Self());
   std::shuffle(hosts.begin(), hosts.end(), m_state.m_random);
-  if (hosts.size() > kHostsAsked)
-    hosts.resize(kHostsAsked);
+  if (hosts.size() > kMaxHostsAsked)
+    hosts.resize(kMaxHostsAsked);
   for (const std::string& host : hosts) {
     wire::Request request;
     request.m_path = DigestsPath(m_state.m_engine->m_model, version);
--- a/src/libverbenalead/target/engine_keeper.cc
+++ b/src/libverbenalead/target/engine_keeper.cc
@@ -13,12 +13,12 @@
 /// Interval between status queries to the engine. Queries from the same host
 /// are answered at once and cost nothing. Entries learn of a change within this
 /// interval plus the one-way network delay.
-constexpr Duration kLookInterval = 100ms;
+constexpr Duration kEnginePollInterval = 100ms;
 /// The last replica starts to load this long before the deadline for new
 /// weights. From 0.6 s before the deadline on, entries send no calls to a
 /// replica with older weights. Such a replica may load after the deadline, as
 /// no call starts there any more.
-constexpr Duration kBoundMargin = 700ms;
+constexpr Duration kDeadlineMargin = 700ms;
 /// Time from the scheduled start of a load to its end: calls finish or are
 /// aborted, and the load takes 0.3 s.
 constexpr Duration kOutage = 1000ms;
@@ -31,10 +31,10 @@
 /// Estimate of the time until all hosts have all chunks: the time of a copy of
 /// the weights over a host's link and over the origin's link, times these
 /// factors, and a time per doubling of the number of hosts.
-constexpr double kLinkCopies = 1.25;
-constexpr double kOriginCopies = 0.45;
-constexpr Duration kForEachDoubling = 130ms;
-constexpr Duration kLoadPoll = 25ms;
+constexpr double kLinkCopyFactor = 1.25;
+constexpr double kOriginCopyFactor = 0.45;
+constexpr Duration kTimePerDoubling = 130ms;
+constexpr Duration kLoadPollInterval = 25ms;
 
 /// Time of a copy of the weights over a link; zero if its rate is not known.
 Duration CopyTime(const model::EngineProfile& engine, uint64_t rate) {
@@ -50,20 +50,21 @@
 Duration SpreadTime(const TargetState& state) {
   const double hosts =
       static_cast<double>(std::max<size_t>(2, state.m_replicas.size()));
-  return std::chrono::duration_cast<Duration>(kForEachDoubling *
+  return std::chrono::duration_cast<Duration>(kTimePerDoubling *
                                               std::log2(hosts));
 }
 
 Duration TransferTime(const TargetState& state) {
   const Duration link = CopyTime(*state.m_engine, state.m_options.m_link_rate);
   const Duration origin = CopyTime(*state.m_engine, state.m_origin_rate);
-  return std::chrono::duration_cast<Duration>(link * kLinkCopies +
-                                              origin * kOriginCopies) +
+  return std::chrono::duration_cast<Duration>(link * kLinkCopyFactor +
+                                              origin * kOriginCopyFactor) +
          SpreadTime(state);
 }
 
-decide::LoadTimes TimesOf(const TargetState& state) {
-  return {state.m_options.m_weights_bound - kBoundMargin, TransferTime(state)};
+decide::LoadTimes LoadTimesOf(const TargetState& state) {
+  return {state.m_options.m_weights_bound - kDeadlineMargin,
+          TransferTime(state)};
 }
 
 }  // namespace
@@ -89,7 +90,7 @@
       m_told = news;
       m_tell();
     }
-    co_await Sleep(kLookInterval);
+    co_await Sleep(kEnginePollInterval);
   }
 }
 
@@ -145,7 +146,7 @@
 }
 
 std::optional<decide::LoadPlan> EngineKeeper::Plan() const {
-  const decide::LoadTimes times = TimesOf(m_state);
+  const decide::LoadTimes times = LoadTimesOf(m_state);
   std::map<uint64_t, decide::DeclaredVersion> declared;
   for (const auto& [version, when] : m_state.m_declared) {
     // Even a few missing chunks have to be fetched from the origin and spread
@@ -264,7 +265,7 @@
 Awaitable<void> EngineKeeper::LetCallsEnd(TimePoint end) {
   while (m_report && m_report->m_active + m_report->m_queued > 0 &&
          Now() < end) {
-    co_await Sleep(kLoadPoll);
+    co_await Sleep(kLoadPollInterval);
     NoteReport(co_await m_engine.Report());
   }
 }
@@ -297,7 +298,7 @@
   line.Info();
   const TimePoint until = Now() + m_state.m_engine->m_load + kOutage;
   do {
-    co_await Sleep(kLoadPoll);
+    co_await Sleep(kLoadPollInterval);
     NoteReport(co_await m_engine.Report());
   } while (m_report && m_report->m_loading && Now() < until);
 }
--- a/src/libverbenalead/target/place_granter.cc
+++ b/src/libverbenalead/target/place_granter.cc
@@ -4,7 +4,7 @@
 namespace {
 
 /// Time after the last report of an entry until its calls no longer count.
-constexpr Duration kCallsHold = 2500ms;
+constexpr Duration kCallReportLifetime = 2500ms;
 
 }  // namespace
 
@@ -93,7 +93,7 @@
 void PlaceGranter::ForgetSilent(TimePoint now) {
   // An entry that died does not report the end of its calls.
   for (auto& [entry, follower] : m_entries) {
-    if (follower.m_calls_at + kCallsHold <= now)
+    if (follower.m_calls_at + kCallReportLifetime <= now)
       follower.m_calls = {};
   }
   GrantWaiting();
--- a/src/libverbenalead/target/place_granter_test.cc
+++ b/src/libverbenalead/target/place_granter_test.cc
@@ -13,10 +13,10 @@
 
 class PlaceGranterTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(PlaceGranterTest);
-  CPPUNIT_TEST(GrantsNoMorePlacesThanThereAre);
-  CPPUNIT_TEST(LearnsAfterARestartWhatEntriesHaveHere);
-  CPPUNIT_TEST(ForgetsWhatADeadEntryHad);
-  CPPUNIT_TEST(GrantsNothingWhileTheEngineLoads);
+  CPPUNIT_TEST(GrantsNoMoreThanAvailableSlots);
+  CPPUNIT_TEST(LearnsCallsOfEntriesAfterRestart);
+  CPPUNIT_TEST(DropsCallsOfDeadEntry);
+  CPPUNIT_TEST(GrantsNothingWhileLoading);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -29,7 +29,7 @@
                                                [this] { return m_news; });
   }
 
-  void GrantsNoMorePlacesThanThereAre() {
+  void GrantsNoMoreThanAvailableSlots() {
     for (uint32_t call = 0; call < kSlots + 2; ++call)
       Ask(kEntry, std::min(call, kSlots));
     CPPUNIT_ASSERT_EQUAL(kSlots, m_granter->Calls().m_calls);
@@ -39,7 +39,7 @@
   // killed: the new process knows of no calls and would grant all slots again.
   // Each request states the calls of its entry at the replica, so that the
   // process needs no stored state.
-  void LearnsAfterARestartWhatEntriesHaveHere() {
+  void LearnsCallsOfEntriesAfterRestart() {
     Ask(kEntry, 2);
     Ask(kOther, 1);
     Ask(kOther, 1);
@@ -49,7 +49,7 @@
   // Guards against slots that stay unused because an entry died and does not
   // report the end of its calls. Its calls count for 2.5 s after its last
   // report.
-  void ForgetsWhatADeadEntryHad() {
+  void DropsCallsOfDeadEntry() {
     Ask(kEntry, 3);
     m_granter->ForgetSilent(Now() + 1s);
     CPPUNIT_ASSERT_EQUAL(kSlots, m_granter->Calls().m_calls);
@@ -57,7 +57,7 @@
     CPPUNIT_ASSERT_EQUAL(0U, m_granter->Calls().m_calls);
   }
 
-  void GrantsNothingWhileTheEngineLoads() {
+  void GrantsNothingWhileLoading() {
     m_news.m_loading = true;
     Ask(kEntry, 0);
     CPPUNIT_ASSERT_EQUAL(0U, m_granter->Calls().m_calls);
--- a/src/libverbenalead/target/platform_target.cc
+++ b/src/libverbenalead/target/platform_target.cc
@@ -36,11 +36,11 @@
 /// has not changed, as datagrams can be lost.
 constexpr uint64_t kRoundsToTellAll = 20;
 /// In one of this many rounds, entries of this data centre are sent changes.
-constexpr uint64_t kRoundsToTellChanges = 2;
+constexpr uint64_t kRoundsPerChangeUpdate = 2;
 /// Interval at which subscriptions to the chunk updates of hosts are renewed.
 constexpr Duration kFollowInterval = 500ms;
 /// Lifetime of a subscription to this host that is not renewed.
-constexpr Duration kFollowHold = 5s;
+constexpr Duration kSubscriptionLifetime = 5s;
 
 http::ClientOptions Connections() {
   http::ClientOptions options;
@@ -100,7 +100,7 @@
 
   void TakeMessage(const Endpoint& sender, const links::Message& message) {
     if (const auto* follow = std::get_if<links::FollowRequest>(&message)) {
-      TakeFollower(sender, *follow);
+      HandleFollowRequest(sender, *follow);
     } else if (const auto* calls = std::get_if<links::CallNews>(&message)) {
       if (IsOwn(sender, calls->m_replica))
         m_places.TakeCalls(sender, *calls);
@@ -130,14 +130,14 @@
     return false;
   }
 
-  void TakeFollower(const Endpoint& sender,
-                    const links::FollowRequest& request) {
-    const TimePoint until = Now() + kFollowHold;
+  void HandleFollowRequest(const Endpoint& sender,
+                           const links::FollowRequest& request) {
+    const TimePoint until = Now() + kSubscriptionLifetime;
     if (request.m_chunks) {
-      const bool known = m_chunk_followers.contains(sender);
-      m_chunk_followers[sender] = until;
+      const bool known = m_chunk_subscribers.contains(sender);
+      m_chunk_subscribers[sender] = until;
       if (!known)
-        TellChunks(sender);
+        SendChunkUpdate(sender);
       return;
     }
     m_rows.TakeTold(sender, request);
@@ -149,7 +149,7 @@
     }
   }
 
-  void TellChunks(const Endpoint& to) {
+  void SendChunkUpdate(const Endpoint& to) {
     if (!m_state.m_engine)
       return;
     for (const auto& [version, cached] : m_state.m_cache.versions()) {
@@ -178,24 +178,24 @@
 
   /// Sends updates to the subscribed hosts and entries. Doesn't return.
   Awaitable<void> SendNews() {
-    uint64_t told = 0;
+    uint64_t last_sent = 0;
     uint64_t round = 0;
     while (true) {
       co_await Sleep(kNewsInterval);
       const TimePoint now = Now();
-      std::erase_if(m_chunk_followers, [now](const auto& follower) {
+      std::erase_if(m_chunk_subscribers, [now](const auto& follower) {
         return follower.second <= now;
       });
       m_places.ForgetSilent(now);
       const bool all = ++round % kRoundsToTellAll == 0;
-      if (HeldChunks() != told || all) {
-        told = HeldChunks();
-        for (const auto& [host, until] : m_chunk_followers)
-          TellChunks(host);
+      if (HeldChunks() != last_sent || all) {
+        last_sent = HeldChunks();
+        for (const auto& [host, until] : m_chunk_subscribers)
+          SendChunkUpdate(host);
       }
       if (all)
         m_places.TellAll();
-      else if (round % kRoundsToTellChanges == 0)
+      else if (round % kRoundsPerChangeUpdate == 0)
         m_places.TellChanges();
     }
   }
@@ -203,23 +203,23 @@
   /// Subscribes to the chunk updates of the hosts that the transfers need: to
   /// new ones at once, to all every `kFollowInterval`. Doesn't return.
   Awaitable<void> FollowHosts() {
-    std::set<std::string> asked;
-    TimePoint ask_all{};
+    std::set<std::string> subscribed;
+    TimePoint next_renewal{};
     while (true) {
-      const bool all = ask_all <= Now();
+      const bool all = next_renewal <= Now();
       if (all)
-        ask_all = Now() + kFollowInterval;
-      std::set<std::string> followed;
+        next_renewal = Now() + kFollowInterval;
+      std::set<std::string> needed;
       for (const std::string& host : m_fetcher.Followed()) {
-        followed.insert(host);
-        if (!all && asked.contains(host))
+        needed.insert(host);
+        if (!all && subscribed.contains(host))
           continue;
         links::FollowRequest request;
         request.m_chunks = true;
         m_datagrams.Send(Endpoint(host, m_state.m_options.m_peers.port()),
                          request);
       }
-      asked = std::move(followed);
+      subscribed = std::move(needed);
       co_await Sleep(kNewsInterval);
     }
   }
@@ -258,7 +258,7 @@
   /// reported by an entry of this data centre.
   double m_pool_fullness = 1;
   /// Hosts that subscribed to chunk updates, and when the subscription ends.
-  std::map<Endpoint, TimePoint> m_chunk_followers;
+  std::map<Endpoint, TimePoint> m_chunk_subscribers;
 };
 
 PlatformTarget::PlatformTarget(const Settings& settings)
--- a/src/libverbenalead/target/row_source.cc
+++ b/src/libverbenalead/target/row_source.cc
@@ -18,17 +18,17 @@
 /// recent, so that transfers do not wait for hosts that have left: chunks that
 /// such a host was to fetch from the origin arrive late, by the next host in
 /// the order.
-constexpr Duration kReplicasInterval = 300ms;
+constexpr Duration kReplicaReadInterval = 300ms;
 /// Entries that are asked in a row after a start. Each entry is asked this many
 /// times before the list of entries is read again, with a pause between the
 /// rounds: the entries may have started at the same time and know the tables
 /// half a second later.
-constexpr size_t kEntriesTried = 3;
-constexpr size_t kTriesForEntry = 2;
-constexpr Duration kLearnPause = 200ms;
+constexpr size_t kEntriesPerRound = 3;
+constexpr size_t kAttemptsPerEntry = 2;
+constexpr Duration kRoundPause = 200ms;
 /// Interval at which a process whose replica has no engine checks whether it
 /// has one now.
-constexpr Duration kIdleInterval = 10s;
+constexpr Duration kIdleCheckInterval = 10s;
 
 }  // namespace
 
@@ -78,36 +78,37 @@
 }
 
 Awaitable<void> RowSource::LearnFirst() {
-  std::vector<Endpoint> near;
-  size_t tries = 0;
+  std::vector<Endpoint> local_entries;
+  size_t attempts = 0;
   while (!m_changes.m_known) {
     // Each entry is asked twice, as it may have just started. After that the
     // list of entries is read again, as it may have changed.
-    if (tries >= kTriesForEntry * near.size()) {
-      near = co_await NearEntries();
-      tries = 0;
+    if (attempts >= kAttemptsPerEntry * local_entries.size()) {
+      local_entries = co_await NearEntries();
+      attempts = 0;
     }
-    bool learned = false;
-    for (size_t tried = 0; tried < kEntriesTried && !near.empty() &&
-                           !m_changes.m_known && !learned;
+    bool received = false;
+    for (size_t tried = 0; tried < kEntriesPerRound && !local_entries.empty() &&
+                           !m_changes.m_known && !received;
          ++tried) {
-      ++tries;
-      std::rotate(near.begin(), near.begin() + 1, near.end());
-      learned = co_await TakeOver(near.back(), true);
+      ++attempts;
+      std::rotate(local_entries.begin(), local_entries.begin() + 1,
+                  local_entries.end());
+      received = co_await TakeOver(local_entries.back(), true);
     }
-    if (learned)
-      tries = 0;
-    co_await Sleep(IsIdle() ? kIdleInterval : kLearnPause);
+    if (received)
+      attempts = 0;
+    co_await Sleep(IsIdle() ? kIdleCheckInterval : kRoundPause);
   }
 }
 
 Awaitable<std::vector<Endpoint>> RowSource::NearEntries() {
-  std::vector<Endpoint> near;
+  std::vector<Endpoint> local_entries;
   const auto rows = co_await m_store.ReadTable(platform::kEntryTable,
                                                m_state.m_options.m_data_center);
   if (!rows) {
     LogLine("entries_not_read").With(rows.error()).Warn();
-    co_return near;
+    co_return local_entries;
   }
   for (const platform::Row& row : rows->m_rows) {
     auto message =
@@ -115,10 +116,10 @@
     const auto* entry =
         message ? std::get_if<links::EntryNews>(&*message) : nullptr;
     if (entry)
-      near.push_back(entry->m_address.m_peers);
+      local_entries.push_back(entry->m_address.m_peers);
   }
-  std::shuffle(near.begin(), near.end(), m_state.m_random);
-  co_return near;
+  std::shuffle(local_entries.begin(), local_entries.end(), m_state.m_random);
+  co_return local_entries;
 }
 
 Awaitable<bool> RowSource::TakeOver(Endpoint entry, bool with_replicas) {
@@ -148,7 +149,7 @@
 }
 
 Awaitable<void> RowSource::TakeOverReplicas(Endpoint entry) {
-  m_next_replicas = Now() + kReplicasInterval;
+  m_next_replicas = Now() + kReplicaReadInterval;
   const auto relayed =
       co_await links::FetchRows(m_entries, entry, links::kReplicaRowsPath);
   if (!relayed) {
@@ -189,7 +190,7 @@
 void RowSource::FetchReplicas(const Endpoint& entry) {
   if (Now() < m_next_replicas)
     return;
-  m_next_replicas = Now() + kReplicasInterval;
+  m_next_replicas = Now() + kReplicaReadInterval;
   Spawn(m_executor, TakeOverReplicas(entry), "take_over_replicas");
 }
 
--- a/src/libverbenalead/target/row_source_test.cc
+++ b/src/libverbenalead/target/row_source_test.cc
@@ -18,20 +18,20 @@
 constexpr char kConfig[] =
     R"({"version":7,"services":[{"name":"pool","engine":{"slots":16,)"
     R"("chunks":48,"models":[{"name":"m"}]}}]})";
-constexpr char kPlainConfig[] =
+constexpr char kConfigWithoutEngine[] =
     R"({"version":7,"services":[{"name":"pool","engine":null}]})";
-constexpr char kDeclared[] = R"({"model":"m","version":2})";
+constexpr char kDeclaration[] = R"({"model":"m","version":2})";
 constexpr char kReplica[] =
     R"({"service":"pool","address":"10.0.1.1:80","zone":"a","slots":4,)"
     R"("state":"ready"})";
 
 class RowSourceTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RowSourceTest);
-  CPPUNIT_TEST(AfterAStartItTakesOverFromANearEntry);
-  CPPUNIT_TEST(AnEntryThatKnowsNothingYetIsPassedOver);
-  CPPUNIT_TEST(WithoutAnEngineTheStoreIsLeftAlone);
-  CPPUNIT_TEST(NewWeightsAreTakenOverFromWhoTells);
-  CPPUNIT_TEST(AKnownListOfReplicasIsNotTakenOverAgain);
+  CPPUNIT_TEST(ReadsRowsFromLocalEntryAfterStart);
+  CPPUNIT_TEST(SkipsEntryWithoutRows);
+  CPPUNIT_TEST(DoesNotReadStoreWithoutEngine);
+  CPPUNIT_TEST(ReadsNewWeightsFromAnnouncingEntry);
+  CPPUNIT_TEST(DoesNotReadKnownReplicasAgain);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -52,7 +52,7 @@
   // killed, because each host reads 390 KB from the store over one link. A
   // target reads its rows from an entry of its data centre, and from the store
   // only the list of entries there.
-  void AfterAStartItTakesOverFromANearEntry() {
+  void ReadsRowsFromLocalEntryAfterStart() {
     Tells("10.0.0.1", 5, 3s);
     m_rows->Start();
     m_io->run_for(100ms);
@@ -65,12 +65,12 @@
     CPPUNIT_ASSERT_EQUAL(std::ptrdiff_t{1},
                          std::count(m_http->m_asked.begin(),
                                     m_http->m_asked.end(), "store/rows-get"));
-    const std::string& question = m_http->m_targets.front();
-    CPPUNIT_ASSERT(question.find(platform::kEntryTable) != std::string::npos);
-    CPPUNIT_ASSERT(question.find("part=a") != std::string::npos);
+    const std::string& query = m_http->m_targets.front();
+    CPPUNIT_ASSERT(query.find(platform::kEntryTable) != std::string::npos);
+    CPPUNIT_ASSERT(query.find("part=a") != std::string::npos);
   }
 
-  void AnEntryThatKnowsNothingYetIsPassedOver() {
+  void SkipsEntryWithoutRows() {
     m_http->m_answers["store/rows-get"] = EntryRows({"10.0.0.1", "10.0.0.2"});
     Tells("10.0.0.2", 5, 0s);
     m_rows->Start();
@@ -81,8 +81,8 @@
   // Guards against entries that learn the tables late after all processes
   // started, because target processes whose replica has no engine, and which
   // get no announcements, read both tables over the links that entries need.
-  void WithoutAnEngineTheStoreIsLeftAlone() {
-    Tells("10.0.0.1", 5, 0s, kPlainConfig);
+  void DoesNotReadStoreWithoutEngine() {
+    Tells("10.0.0.1", 5, 0s, kConfigWithoutEngine);
     m_rows->Start();
     m_io->run_for(6s);
     CPPUNIT_ASSERT(m_state->m_config_version > 0);
@@ -95,7 +95,7 @@
                    "10.0.0.1/v1/replica-rows"));
   }
 
-  void NewWeightsAreTakenOverFromWhoTells() {
+  void ReadsNewWeightsFromAnnouncingEntry() {
     Tells("10.0.0.1", 5, 0s);
     m_rows->Start();
     m_io->run_for(400ms);
@@ -122,7 +122,7 @@
   // Guards against hosts that learn of new weights late, because all hosts of a
   // data centre read the list of replicas with them, 80 KB each over the link
   // of one entry. A list that is known already must not be read again.
-  void AKnownListOfReplicasIsNotTakenOverAgain() {
+  void DoesNotReadKnownReplicasAgain() {
     Tells("10.0.0.1", 5, 0s);
     m_rows->Start();
     m_io->run_for(400ms);
@@ -161,7 +161,7 @@
              const std::string& config = kConfig) {
     const std::map<std::string, platform::Row> operator_rows = {
         {"config", {"config", config, 1, false}},
-        {"version/m", {"version/m", kDeclared, revision, false}}};
+        {"version/m", {"version/m", kDeclaration, revision, false}}};
     const links::RelayFacts facts = {100s, 100s + age, std::nullopt};
     m_http->m_answers[host + links::kTargetRowsPath] =
         wire::Response(200, links::EncodeFacts(facts),
