--- a/src/libverbenalead/target/chunk_server.cc
+++ b/src/libverbenalead/target/chunk_server.cc
@@ -8,9 +8,9 @@
 namespace verbenalead::target {
 namespace {
 
-/// While there are live calls, chunks are sent in pieces of this many bytes, at
-/// this share of the link's rate. Events of live streams use the same link and
-/// would be delayed behind whole chunks.
+/// Chunks are sent in pieces of this many bytes, and while there are live calls
+/// at this share of the link's rate. Events of live streams use the same link
+/// and would be delayed behind whole chunks.
 constexpr size_t kUploadPieceBytes = 4096;
 constexpr double kUploadShare = 0.8;
 /// Unused time that the pacer may make up for.
--- a/src/libverbenalead/target/chunk_stager.h
+++ b/src/libverbenalead/target/chunk_stager.h
@@ -28,7 +28,7 @@
   /// Reads all staged chunks of `version` back and returns whether each of them
   /// matches its digest. Staged chunks can become corrupt without any write;
   /// such a chunk is removed from the cache and has to be fetched again. A
-  /// version that `Adopt` has just read back is not read a second time.
+  /// version that `Adopt` has just read back completely is not read again.
   Awaitable<bool> Verify(uint64_t version);
   /// Must be called after the engine restarted: chunks that it had staged may
   /// be lost.
--- a/src/libverbenalead/target/engine_keeper.cc
+++ b/src/libverbenalead/target/engine_keeper.cc
@@ -161,8 +161,8 @@
   }
   if (auto plan = decide::PlanLoad(times, declared, Loaded()))
     return plan;
-  // The engine has no weights: it loads the newest version, which is the first
-  // one before any declaration.
+  // The engine has no weights, or does not answer. Before any declaration,
+  // engines run version 1, which `NewestVersion` then returns.
   if (Loaded() == 0)
     return decide::LoadPlan{NewestVersion(m_state), Now(), Now()};
   return std::nullopt;
--- a/src/libverbenalead/target/row_source.cc
+++ b/src/libverbenalead/target/row_source.cc
@@ -16,13 +16,13 @@
 
 /// Least time between two reads of the list of replicas. The list has to be
 /// recent, so that transfers do not wait for hosts that have left: chunks that
-/// such a host was to fetch from the origin arrive late, by the next host in
-/// the order.
+/// such a host was to fetch from the origin are fetched late, by the next host
+/// in the order.
 constexpr Duration kReplicaReadInterval = 300ms;
-/// Entries that are asked in a row after a start. Each entry is asked this many
-/// times before the list of entries is read again, with a pause between the
-/// rounds: the entries may have started at the same time and know the tables
-/// half a second later.
+/// After a start, this many entries are asked per round, with a pause between
+/// rounds. Each entry is asked this many times before the list of entries is
+/// read again. The repetition is needed as the entries may have started at the
+/// same time, and then know the tables half a second later.
 constexpr size_t kEntriesPerRound = 3;
 constexpr size_t kAttemptsPerEntry = 2;
 constexpr Duration kRoundPause = 200ms;
