--- a/src/libverbenalead/target/chunk_fetcher.cc
+++ b/src/libverbenalead/target/chunk_fetcher.cc
@@ -505,8 +505,9 @@
       .With("chunk", uint64_t{chunk})
       .With("version", transfer->m_version)
       .With("source", from_origin ? "origin" : host)
-      .With("reason", corrupt ? "the bytes do not match the declared digest"
-                              : ToString(bytes.error()))
+      .With("reason",
+            corrupt ? "the bytes do not have the declared digest or length"
+                    : ToString(bytes.error()))
       .Info();
   decide::ChunkFailed(transfer->m_core, chunk, corrupt, Now(),
                       m_state.m_random);
