--- a/src/libverbenalead/target/chunk_cache.cc
+++ b/src/libverbenalead/target/chunk_cache.cc
@@ -5,15 +5,17 @@
 namespace verbenalead::target {
 namespace {
 
-/// The version that engines run and the one that is to replace it; a late host
-/// may still want the former.
-constexpr size_t kVersionsKept = 2;
+/// The version that engines run and the one that is to replace it: a host that
+/// is behind may still request the former.
+constexpr size_t kMaxVersions = 2;
 
 using Chunk = CachedVersion::Chunk;
 
-/// Numbers of the chunks of `version`, or none, that `which` picks.
+/// Numbers of the chunks of `version` that `which` selects; none if `version`
+/// is null.
 template <typename Which>
-std::vector<uint32_t> NumbersOf(const CachedVersion* version, Which which) {
+std::vector<uint32_t> FindChunkNumbers(const CachedVersion* version,
+                                       Which which) {
   std::vector<uint32_t> numbers;
   if (!version)
     return numbers;
@@ -47,7 +49,7 @@
   for (size_t number = 0; number < digests.size(); ++number)
     cached.m_chunks[number].m_digest = digests[number];
   m_versions.emplace(version, std::move(cached));
-  while (m_versions.size() > kVersionsKept)
+  while (m_versions.size() > kMaxVersions)
     m_versions.erase(m_versions.begin());
 }
 
@@ -73,11 +75,11 @@
 }
 
 std::vector<uint32_t> ChunkCache::Held(uint64_t version) const {
-  return NumbersOf(Find(version), IsHere);
+  return FindChunkNumbers(Find(version), IsHere);
 }
 
 std::vector<uint32_t> ChunkCache::Unstaged(uint64_t version) const {
-  return NumbersOf(Find(version), [](const Chunk& chunk) {
+  return FindChunkNumbers(Find(version), [](const Chunk& chunk) {
     return chunk.m_bytes && !chunk.m_staged;
   });
 }
@@ -92,7 +94,8 @@
 }
 
 void ChunkCache::NoteStaged(uint64_t version, uint32_t chunk) {
-  // There is one place for each chunk number of a model.
+  // The staging area holds one chunk per chunk number, so staging a chunk
+  // overwrites that of the other version.
   for (auto& [other, cached] : m_versions) {
     if (chunk < cached.m_chunks.size())
       cached.m_chunks[chunk].m_staged = false;
--- a/src/libverbenalead/target/chunk_cache_test.cc
+++ b/src/libverbenalead/target/chunk_cache_test.cc
@@ -7,15 +7,15 @@
 
 class ChunkCacheTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ChunkCacheTest);
-  CPPUNIT_TEST(TakesOnlyWhatIsDeclared);
+  CPPUNIT_TEST(AcceptsOnlyDeclaredChunks);
   CPPUNIT_TEST(NeverMixesVersions);
-  CPPUNIT_TEST(KeepsTheTwoNewest);
-  CPPUNIT_TEST(StagedChunksLeaveMemory);
-  CPPUNIT_TEST(ASpoiltStagedChunkIsMissing);
+  CPPUNIT_TEST(KeepsTwoNewestVersions);
+  CPPUNIT_TEST(ReleasesMemoryOfStagedChunks);
+  CPPUNIT_TEST(CorruptStagedChunkIsMissing);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void TakesOnlyWhatIsDeclared() {
+  void AcceptsOnlyDeclaredChunks() {
     ChunkCache cache;
     cache.Begin(1, {Sha256("a"), Sha256("b")});
     CPPUNIT_ASSERT(!cache.Put(1, 0, "spoilt"));
@@ -28,8 +28,9 @@
     CPPUNIT_ASSERT(cache.Complete(1));
   }
 
-  // Tokens would be made from two versions at once: a chunk of the older
-  // version comes late, while the newer one is under way. It is refused there.
+  // Guards against tokens generated from a mix of two versions: a chunk of the
+  // older version that arrives late, while the newer one is fetched, must not
+  // be stored in the newer one.
   void NeverMixesVersions() {
     ChunkCache cache;
     cache.Begin(1, {Sha256("old")});
@@ -39,7 +40,7 @@
     CPPUNIT_ASSERT(!cache.Complete(2));
   }
 
-  void KeepsTheTwoNewest() {
+  void KeepsTwoNewestVersions() {
     ChunkCache cache;
     for (uint64_t version : {1, 3, 2, 4})
       cache.Begin(version, {Sha256("x")});
@@ -47,9 +48,9 @@
     CPPUNIT_ASSERT(cache.Find(3) && cache.Find(4));
   }
 
-  // One place for each number: what is staged of one version is gone for the
-  // other, and is never told to be here.
-  void StagedChunksLeaveMemory() {
+  // The staging area holds one chunk per chunk number. A chunk of one version
+  // that was overwritten by that of the other must not be reported as held.
+  void ReleasesMemoryOfStagedChunks() {
     ChunkCache cache;
     cache.Begin(1, {Sha256("old")});
     cache.Begin(2, {Sha256("new")});
@@ -63,9 +64,10 @@
     CPPUNIT_ASSERT(cache.Staged(2) && !cache.Complete(1));
   }
 
-  // Tokens would be made from spoilt weights: a staged chunk goes bad by
-  // itself. Read back, it is found missing, and has to come anew.
-  void ASpoiltStagedChunkIsMissing() {
+  // Guards against tokens generated from corrupt weights: a staged chunk can
+  // become corrupt without any write. Once it was read back it must count as
+  // missing, so that it is fetched again.
+  void CorruptStagedChunkIsMissing() {
     ChunkCache cache;
     cache.Begin(1, {Sha256("right")});
     CPPUNIT_ASSERT(cache.CheckStaged(1, 0, "right"));
--- a/src/libverbenalead/target/chunk_fetcher.cc
+++ b/src/libverbenalead/target/chunk_fetcher.cc
@@ -19,49 +19,56 @@
 
 namespace asio = boost::asio;
 
-/// Chunks under way from other hosts at once. A host that sends paces itself
-/// and serves several; five from different hosts keep the downlink, 42 ms a
-/// chunk at 9.4 Mbit/s, busy meanwhile.
-constexpr uint32_t kMostFetches = 5;
-/// The same for a version that comes in ahead: what is left of the older one is
-/// waited for more than fetched.
-constexpr uint32_t kAheadFetches = 2;
-/// A link on which that many chunks take this many times their time has become
-/// narrow. Where hosts that send are busy, chunks take twice their time.
-constexpr int kNarrow = 2;
-/// A draw that hasn't been seen this long after it was due is taken over by the
-/// next host: the whole of a version must be everywhere within 8 s.
+/// Most concurrent fetches from other hosts. A sending host limits its rate and
+/// serves several hosts; fetches from five hosts together keep the downlink
+/// busy, at 42 ms per chunk and 9.4 Mbit/s.
+constexpr uint32_t kMaxFetches = 5;
+/// Most concurrent fetches of a version that is fetched ahead. The rest of the
+/// older version mostly waits for other hosts, so the link has capacity left.
+constexpr uint32_t kMaxFetchesAhead = 2;
+/// This host's link counts as slow if a chunk takes longer than this factor
+/// times the time of `kMaxFetches` concurrent chunks at the link's rate. A
+/// chunk from a busy host takes twice its usual time.
+constexpr int kSlowLinkFactor = 2;
+/// An origin fetch that was not announced within this time after it was due is
+/// taken over by the next host: all hosts must have the complete version within
+/// 8 s.
 constexpr Duration kPatience = 1s;
-/// After an outage of the origin the chunks that are missing hold up all hosts,
-/// so those that draw them ask often; few of them do.
-constexpr Duration kLongestOriginPause = 500ms;
-/// Hosts hear of a version and learn its digests within this time. Draws are
-/// due from then on, by the time of the declaration.
-constexpr Duration kDrawsBegin = 150ms;
-/// A version that was declared longer ago is held by other hosts.
-constexpr Duration kNewVersion = 1s;
-/// Live calls get the rest of the link.
+/// Longest backoff of origin fetches. After an outage of the origin the missing
+/// chunks delay all hosts, so the hosts that fetch them retry often; only few
+/// hosts do.
+constexpr Duration kMaxOriginBackoff = 500ms;
+/// Time from the declaration of a version until its first origin fetch is due.
+/// Hosts learn of the version and obtain its digests within this time.
+constexpr Duration kOriginFetchDelay = 150ms;
+/// A version that was declared longer ago than this is held by other hosts, so
+/// its origin fetches are due at once.
+constexpr Duration kNewVersionAge = 1s;
+/// Share of this host's link used for transfers; the rest is left to live
+/// calls.
 constexpr double kLinkShare = 0.8;
-/// Copies of a version drawn from the origin, in percent: it is paid by byte.
+/// Most bytes that all hosts together fetch from the origin, in percent of the
+/// size of a version. The origin charges by the byte.
 constexpr uint32_t kOriginBudgetPercent = 103;
 constexpr Duration kAskTimeout = 1s;
-/// A chunk waits for its turn at the host that sends it. The transfer gives it
-/// up sooner where others answer faster.
-constexpr Duration kTurnTimeout = 4s;
+/// Time to wait for the response header, as requests are queued at the sending
+/// host. The transfer cancels the fetch sooner if other hosts respond faster.
+constexpr Duration kResponseHeaderTimeout = 4s;
 constexpr Duration kOriginTimeout = 3s;
 constexpr Duration kMembersInterval = 500ms;
-/// A transfer without a chunk for so long, ten times the time of one, stands
-/// still.
-constexpr Duration kProgress = 500ms;
-/// Draws of all hosts that share the origin's link: with fewer it stands idle
-/// while the next host hears that one has ended.
-constexpr uint32_t kDrawsAtOnce = 8;
-/// How often others are told again of draws that go on.
-constexpr Duration kTellDrawsInterval = 250ms;
-/// Chunks from the origin that don't fit the digests before these are doubted.
-constexpr uint32_t kMismatchesToDoubt = 3;
-
-Failure GivenUp(const std::string& host) {
+/// A transfer that received no chunk for this time, ten times the duration of
+/// a chunk, has stalled.
+constexpr Duration kStallTimeout = 500ms;
+/// Most concurrent origin fetches of all hosts together. With fewer, the
+/// origin's link is idle until the next host learns that a fetch has ended.
+constexpr uint32_t kMaxOriginFetches = 8;
+/// Interval between announcements of an origin fetch in progress.
+constexpr Duration kAnnouncementInterval = 250ms;
+/// After this many chunks from the origin that do not match their digests, the
+/// digests themselves are considered wrong.
+constexpr uint32_t kMaxOriginMismatches = 3;
+
+Failure CancelledFailure(const std::string& host) {
   return Failure{FailureCode::kCancelled, "fetch chunk", host, "given up"};
 }
 
@@ -73,26 +80,27 @@
   links.m_origin = state.m_origin_rate;
   decide::TransferLimits limits = decide::LimitsFor(
       links, decide::TransferPreference::kTimeFirst, kOriginBudgetPercent);
-  limits.m_max_fetches = kMostFetches;
+  limits.m_max_fetches = kMaxFetches;
   const double chunk_seconds = static_cast<double>(links.m_chunk_bytes) /
                                static_cast<double>(links.m_host);
-  limits.m_slow_wait = std::chrono::duration_cast<Duration>(
-      std::chrono::duration<double>(chunk_seconds * kMostFetches * kNarrow));
+  limits.m_slow_wait =
+      std::chrono::duration_cast<Duration>(std::chrono::duration<double>(
+          chunk_seconds * kMaxFetches * kSlowLinkFactor));
   limits.m_patience = kPatience;
-  limits.m_draws_at_once = kDrawsAtOnce;
-  limits.m_max_origin_back_off = kLongestOriginPause;
+  limits.m_draws_at_once = kMaxOriginFetches;
+  limits.m_max_origin_back_off = kMaxOriginBackoff;
   return limits;
 }
 
-/// When the draws of `version` begin.
-TimePoint ScheduleOf(const TargetState& state,
-                     uint64_t version,
-                     TimePoint now) {
+/// When the first origin fetch of `version` is due.
+TimePoint FirstOriginFetchTime(const TargetState& state,
+                               uint64_t version,
+                               TimePoint now) {
   const auto declared = state.m_declared.find(version);
   if (declared == state.m_declared.end() ||
-      declared->second + kNewVersion < now)
+      declared->second + kNewVersionAge < now)
     return now;
-  return declared->second + kDrawsBegin;
+  return declared->second + kOriginFetchDelay;
 }
 
 }  // namespace
@@ -100,8 +108,8 @@
 struct ChunkFetcher::Transfer {
   explicit Transfer(const asio::any_io_executor& executor) : m_wake(executor) {}
 
-  /// The host that sends the chunk is told by the end of the connection, and
-  /// its link is free for others.
+  /// Cancels a fetch. Closing the connection makes the sending host stop, so
+  /// that its link is free for other hosts.
   static void Cancel(Arrival& arrival) {
     arrival.m_cancelled = true;
     if (arrival.m_reader)
@@ -116,16 +124,16 @@
   decide::TransferState m_core;
   asio::steady_timer m_wake;
   TimePoint m_next_members{};
-  TimePoint m_next_telling{};
+  TimePoint m_next_announcement{};
   std::map<uint32_t, std::shared_ptr<Arrival>> m_fetches;
   std::vector<std::string> m_followed;
   uint32_t m_origin_mismatches = 0;
-  /// Chunks kept, by where they came from.
+  /// Chunks added to the cache, by source.
   uint64_t m_from_origin = 0;
   uint64_t m_from_near = 0;
   uint64_t m_from_far = 0;
   bool m_stopped = false;
-  TimePoint m_last_chunk{};
+  TimePoint m_last_chunk_at{};
 };
 
 ChunkFetcher::ChunkFetcher(
@@ -146,7 +154,7 @@
 }
 
 bool ChunkFetcher::progressing() const {
-  return m_transfer && Now() - m_transfer->m_last_chunk < kProgress;
+  return m_transfer && Now() - m_transfer->m_last_chunk_at < kStallTimeout;
 }
 
 bool ChunkFetcher::IsDrawn() const {
@@ -189,7 +197,7 @@
     LogLine("bad_draw_news")
         .With("peer", news.m_report.m_host)
         .With("version", news.m_version)
-        .With("reason", "it names chunks that the version doesn't have")
+        .With("reason", "chunk number out of range for the version")
         .Warn();
     return;
   }
@@ -197,7 +205,7 @@
     if (!transfer || transfer->m_version != news.m_version)
       continue;
     decide::HostDraws(transfer->m_core, news.m_report, Now());
-    // There is room for the next draw.
+    // A fetch has ended, so the next one may start on the origin's link.
     if (!news.m_report.m_drawn.empty())
       transfer->m_wake.cancel();
   }
@@ -236,7 +244,7 @@
     return;
   news.m_report.m_drawn = std::move(drawn);
   m_tell_draws(news);
-  transfer.m_next_telling = Now() + kTellDrawsInterval;
+  transfer.m_next_announcement = Now() + kAnnouncementInterval;
 }
 
 std::shared_ptr<ChunkFetcher::Transfer> ChunkFetcher::Begin(
@@ -249,12 +257,12 @@
       {m_state.m_options.m_peers.address(), m_state.m_options.m_data_center,
        m_state.m_options.m_data_center},
       m_state.m_engine->m_chunks, limits, Now(),
-      ScheduleOf(m_state, version, Now()));
+      FirstOriginFetchTime(m_state, version, Now()));
   for (uint32_t chunk : m_state.m_cache.Held(version))
     decide::ChunkArrived(transfer->m_core, chunk, Now());
   LogLine("transfer_begun")
       .With("version", version)
-      .With("ahead", limits.m_max_fetches == kAheadFetches)
+      .With("ahead", limits.m_max_fetches == kMaxFetchesAhead)
       .Info();
   return transfer;
 }
@@ -263,7 +271,7 @@
                                   asio::any_io_executor executor) {
   const TimePoint begun = Now();
   while (!transfer->m_stopped && !decide::IsComplete(transfer->m_core) &&
-         transfer->m_origin_mismatches < kMismatchesToDoubt) {
+         transfer->m_origin_mismatches < kMaxOriginMismatches) {
     UpdateMembers(*transfer);
     DoStep(transfer, executor);
     transfer->m_wake.expires_after(decide::kTransferTick);
@@ -272,7 +280,7 @@
         asio::redirect_error(asio::use_awaitable, ignored));
   }
   transfer->CancelAll();
-  if (transfer->m_origin_mismatches >= kMismatchesToDoubt) {
+  if (transfer->m_origin_mismatches >= kMaxOriginMismatches) {
     LogLine("digests_doubted").With("version", transfer->m_version).Warn();
     m_state.m_cache.Drop(transfer->m_version);
   }
@@ -290,7 +298,8 @@
   const auto executor = co_await asio::this_coro::executor;
   StopTransfer(m_transfer);
   if (m_ahead && m_ahead->m_version == version) {
-    // What it draws goes on, and what is known of others' draws stays known.
+    // Continuing the transfer keeps its origin fetches and what is known of the
+    // origin fetches of other hosts.
     m_transfer = std::move(m_ahead);
     m_ahead.reset();
     decide::SetLimits(m_transfer->m_core, LimitsOf(m_state));
@@ -316,16 +325,16 @@
     co_return;
   m_ahead_version = version;
   const auto executor = co_await asio::this_coro::executor;
-  const uint64_t before = this->version();
-  const bool learned = co_await m_digests.Learn(version);
-  const auto waits = [&] {
-    return m_ahead_version == version && this->version() == before;
+  const uint64_t previous = this->version();
+  const bool has_digests = co_await m_digests.Learn(version);
+  const auto is_current = [&] {
+    return m_ahead_version == version && this->version() == previous;
   };
-  while (learned && waits() && !IsDrawn())
+  while (has_digests && is_current() && !IsDrawn())
     co_await Sleep(decide::kTransferTick);
-  if (learned && waits() && !m_ahead) {
+  if (has_digests && is_current() && !m_ahead) {
     decide::TransferLimits limits = LimitsOf(m_state);
-    limits.m_max_fetches = kAheadFetches;
+    limits.m_max_fetches = kMaxFetchesAhead;
     const auto transfer = Begin(version, limits, executor);
     m_ahead = transfer;
     co_await Run(transfer, executor);
@@ -372,16 +381,16 @@
     std::erase(transfer->m_followed, name);
   for (const std::string& name : actions.m_follows)
     transfer->m_followed.push_back(name);
-  bool draws = false;
+  bool starts_origin_fetch = false;
   for (const decide::FetchChunk& fetch : actions.m_fetches) {
-    draws |= fetch.m_source.IsOrigin();
+    starts_origin_fetch |= fetch.m_source.IsOrigin();
     auto arrival = std::make_shared<Arrival>();
     transfer->m_fetches[fetch.m_chunk] = arrival;
     Spawn(executor,
           FetchChunk(transfer, fetch.m_chunk, fetch.m_source.m_host, arrival),
           "fetch_chunk");
   }
-  if (draws || Now() >= transfer->m_next_telling)
+  if (starts_origin_fetch || Now() >= transfer->m_next_announcement)
     TellDraws(*transfer, {});
 }
 
@@ -403,7 +412,7 @@
     co_return opened.error();
   wire::ResponseReader& reader = **opened;
   if (arrival->m_cancelled)
-    co_return GivenUp(host);
+    co_return CancelledFailure(host);
   arrival->m_reader = &reader;
   auto bytes = co_await ReadChunkFrom(transfer, chunk, host, reader);
   arrival->m_reader = nullptr;
@@ -415,7 +424,7 @@
     uint32_t chunk,
     std::string host,
     wire::ResponseReader& reader) {
-  const auto head = co_await reader.ReadHead(Now() + kTurnTimeout);
+  const auto head = co_await reader.ReadHead(Now() + kResponseHeaderTimeout);
   if (!head)
     co_return head.error();
   if (head->m_status != 200) {
@@ -462,7 +471,7 @@
       bytes.has_value() &&
       m_state.m_cache.Put(transfer->m_version, chunk, std::move(*bytes));
   if (arrival->m_cancelled) {
-    // Another transfer of this version may have begun meanwhile.
+    // Another transfer of this version may have started since.
     if (kept && m_transfer && m_transfer->m_version == transfer->m_version)
       decide::ChunkArrived(m_transfer->m_core, chunk, Now());
     co_return;
@@ -480,7 +489,7 @@
     } else {
       ++transfer->m_from_far;
     }
-    transfer->m_last_chunk = Now();
+    transfer->m_last_chunk_at = Now();
     decide::ChunkArrived(transfer->m_core, chunk, Now());
     if (from_origin)
       TellDraws(*transfer, std::vector<uint32_t>(1, chunk));
@@ -496,8 +505,9 @@
       .With("chunk", uint64_t{chunk})
       .With("version", transfer->m_version)
       .With("source", from_origin ? "origin" : host)
-      .With("reason", corrupt ? "the bytes are not the declared ones"
-                              : ToString(bytes.error()))
+      .With("reason",
+            corrupt ? "the bytes do not have the declared digest or length"
+                    : ToString(bytes.error()))
       .Info();
   decide::ChunkFailed(transfer->m_core, chunk, corrupt, Now(),
                       m_state.m_random);
--- a/src/libverbenalead/target/chunk_server.cc
+++ b/src/libverbenalead/target/chunk_server.cc
@@ -8,15 +8,17 @@
 namespace verbenalead::target {
 namespace {
 
-/// Chunks go out in pieces of this size at this part of the link's rate. Events
-/// of live streams leave by the same link, and would be late behind whole
-/// chunks.
-constexpr size_t kUploadPiece = 4096;
+/// Chunks are sent in pieces of this many bytes, and while there are live calls
+/// at this share of the link's rate. Events of live streams use the same link
+/// and would be delayed behind whole chunks.
+constexpr size_t kUploadPieceBytes = 4096;
 constexpr double kUploadShare = 0.8;
+/// Unused time that the pacer may make up for.
 constexpr Duration kUploadCredit = 20ms;
 
-/// What a request for `chunk` says of its sender.
-decide::UploadRequest UploadOf(const wire::Request& request, uint32_t chunk) {
+/// Reads the fields about the requesting host from a request for `chunk`.
+decide::UploadRequest ParseUploadRequest(const wire::Request& request,
+                                         uint32_t chunk) {
   decide::UploadRequest upload;
   upload.m_chunk = chunk;
   upload.m_far = wire::QueryValue(request, kFarField) == "1";
@@ -54,7 +56,8 @@
     co_return;
   }
   const uint64_t id = m_gate.NewId();
-  co_await m_gate.Wait(id, name->m_version, UploadOf(request, name->m_chunk));
+  co_await m_gate.Wait(id, name->m_version,
+                       ParseUploadRequest(request, name->m_chunk));
   if (!caller.gone())
     co_await Upload(*name, caller);
   m_gate.End(id);
@@ -70,9 +73,9 @@
   wire::ResponseHead head(200, {{"content-type", "application/octet-stream"}});
   if (!co_await caller.Start(std::move(head)))
     co_return;
-  for (size_t begin = 0; begin < bytes->size(); begin += kUploadPiece) {
-    std::string piece = bytes->substr(begin, kUploadPiece);
-    // With no calls there is nothing that chunks could hold up.
+  for (size_t begin = 0; begin < bytes->size(); begin += kUploadPieceBytes) {
+    std::string piece = bytes->substr(begin, kUploadPieceBytes);
+    // Without live calls there are no events that the chunks could delay.
     if (m_has_calls())
       co_await m_upload.Take(piece.size());
     if (!co_await caller.Write(std::move(piece)))
@@ -106,7 +109,7 @@
 
 Awaitable<std::shared_ptr<const std::string>> ChunkServer::ReadChunk(
     ChunkName name) {
-  // It may have gone while it waited for its turn.
+  // The version may have been removed while the upload waited.
   const CachedVersion* cached = m_state.m_cache.Find(name.m_version);
   if (!cached)
     co_return nullptr;
--- a/src/libverbenalead/target/platform_target.cc
+++ b/src/libverbenalead/target/platform_target.cc
@@ -26,19 +26,21 @@
 namespace asio = boost::asio;
 
 constexpr Duration kConnectTimeout = 300ms;
-/// While draws fill the origin's link, answers to new connections wait behind
-/// them.
+/// While origin fetches fill the origin's link, the replies to new connections
+/// are queued behind them.
 constexpr Duration kOriginConnectTimeout = 1s;
 constexpr double kPercent = 100;
-/// How often those who follow are told what changed, and all anew.
+/// Interval of the rounds in which subscribers are sent changes.
 constexpr Duration kNewsInterval = 50ms;
+/// In one of this many rounds, subscribers are sent the whole state even if it
+/// has not changed, as datagrams can be lost.
 constexpr uint64_t kRoundsToTellAll = 20;
-/// Of so many rounds, near entries are told what changed in one.
-constexpr uint64_t kRoundsToTellChanges = 2;
-/// How often hosts are asked for their chunk news, and how long such a question
-/// holds.
+/// In one of this many rounds, entries of this data centre are sent changes.
+constexpr uint64_t kRoundsPerChangeUpdate = 2;
+/// Interval at which subscriptions to the chunk updates of hosts are renewed.
 constexpr Duration kFollowInterval = 500ms;
-constexpr Duration kFollowHold = 5s;
+/// Lifetime of a subscription to this host that is not renewed.
+constexpr Duration kSubscriptionLifetime = 5s;
 
 http::ClientOptions Connections() {
   http::ClientOptions options;
@@ -46,8 +48,9 @@
   return options;
 }
 
-/// The origin takes few connections of all hosts together; kept ones of 45
-/// hosts left no room for the 31 that came later.
+/// The origin accepts few connections of all hosts together, so connections to
+/// it are not kept. Kept connections of 45 hosts left none for 31 hosts that
+/// connected later.
 http::ClientOptions OriginConnections() {
   http::ClientOptions options = Connections();
   options.m_keep = false;
@@ -97,7 +100,7 @@
 
   void TakeMessage(const Endpoint& sender, const links::Message& message) {
     if (const auto* follow = std::get_if<links::FollowRequest>(&message)) {
-      TakeFollower(sender, *follow);
+      HandleFollowRequest(sender, *follow);
     } else if (const auto* calls = std::get_if<links::CallNews>(&message)) {
       if (IsOwn(sender, calls->m_replica))
         m_places.TakeCalls(sender, *calls);
@@ -114,10 +117,11 @@
     }
   }
 
-  /// Whether `entry` speaks of the replica on this host. Entries know the list
-  /// of replicas sooner than this process, which takes it over from one that
-  /// knows another replica: it has started anew, and a target that doesn't
-  /// answer for it leaves the entries to guess.
+  /// Whether `replica`, named in a message of `entry`, is the replica on this
+  /// host. If not, reads the list of replicas from `entry`: the replica may
+  /// have restarted under a new id, which entries learn before this process.
+  /// Until this process knows the new id, it grants no slots at the replica,
+  /// and entries have no information about it.
   bool IsOwn(const Endpoint& entry, const std::string& replica) {
     const model::Replica* own = OwnReplica(m_state);
     if (own && own->m_id == replica)
@@ -126,25 +130,26 @@
     return false;
   }
 
-  void TakeFollower(const Endpoint& sender,
-                    const links::FollowRequest& request) {
-    const TimePoint until = Now() + kFollowHold;
+  void HandleFollowRequest(const Endpoint& sender,
+                           const links::FollowRequest& request) {
+    const TimePoint until = Now() + kSubscriptionLifetime;
     if (request.m_chunks) {
-      const bool known = m_chunk_followers.contains(sender);
-      m_chunk_followers[sender] = until;
+      const bool known = m_chunk_subscribers.contains(sender);
+      m_chunk_subscribers[sender] = until;
       if (!known)
-        TellChunks(sender);
+        SendChunkUpdate(sender);
       return;
     }
     m_rows.TakeTold(sender, request);
-    // Far entries learn of this replica from their near ones.
+    // Entries elsewhere learn the state of this replica from the entries of
+    // this data centre.
     if (request.m_near) {
       m_places.Follow(sender, until);
       m_pool_fullness = request.m_fullness_percent / kPercent;
     }
   }
 
-  void TellChunks(const Endpoint& to) {
+  void SendChunkUpdate(const Endpoint& to) {
     if (!m_state.m_engine)
       return;
     for (const auto& [version, cached] : m_state.m_cache.versions()) {
@@ -163,6 +168,7 @@
           Endpoint(member.m_name, m_state.m_options.m_peers.port()), news);
   }
 
+  /// A value that changes when chunks arrive or a newer version is added.
   uint64_t HeldChunks() const {
     uint64_t held = 0;
     for (const auto& [version, cached] : m_state.m_cache.versions())
@@ -170,47 +176,50 @@
     return held;
   }
 
+  /// Sends updates to the subscribed hosts and entries. Doesn't return.
   Awaitable<void> SendNews() {
-    uint64_t told = 0;
+    uint64_t last_sent = 0;
     uint64_t round = 0;
     while (true) {
       co_await Sleep(kNewsInterval);
       const TimePoint now = Now();
-      std::erase_if(m_chunk_followers, [now](const auto& follower) {
+      std::erase_if(m_chunk_subscribers, [now](const auto& follower) {
         return follower.second <= now;
       });
       m_places.ForgetSilent(now);
       const bool all = ++round % kRoundsToTellAll == 0;
-      if (HeldChunks() != told || all) {
-        told = HeldChunks();
-        for (const auto& [host, until] : m_chunk_followers)
-          TellChunks(host);
+      if (HeldChunks() != last_sent || all) {
+        last_sent = HeldChunks();
+        for (const auto& [host, until] : m_chunk_subscribers)
+          SendChunkUpdate(host);
       }
       if (all)
         m_places.TellAll();
-      else if (round % kRoundsToTellChanges == 0)
+      else if (round % kRoundsPerChangeUpdate == 0)
         m_places.TellChanges();
     }
   }
 
+  /// Subscribes to the chunk updates of the hosts that the transfers need: to
+  /// new ones at once, to all every `kFollowInterval`. Doesn't return.
   Awaitable<void> FollowHosts() {
-    std::set<std::string> asked;
-    TimePoint ask_all{};
+    std::set<std::string> subscribed;
+    TimePoint next_renewal{};
     while (true) {
-      const bool all = ask_all <= Now();
+      const bool all = next_renewal <= Now();
       if (all)
-        ask_all = Now() + kFollowInterval;
-      std::set<std::string> followed;
+        next_renewal = Now() + kFollowInterval;
+      std::set<std::string> needed;
       for (const std::string& host : m_fetcher.Followed()) {
-        followed.insert(host);
-        if (!all && asked.contains(host))
+        needed.insert(host);
+        if (!all && subscribed.contains(host))
           continue;
         links::FollowRequest request;
         request.m_chunks = true;
         m_datagrams.Send(Endpoint(host, m_state.m_options.m_peers.port()),
                          request);
       }
-      asked = std::move(followed);
+      subscribed = std::move(needed);
       co_await Sleep(kNewsInterval);
     }
   }
@@ -222,8 +231,9 @@
         break;
       LogLine("reload").With("changed", false).Info();
     }
-    // Nothing of ours is under way for callers; a load that was ordered goes on
-    // in the engine, and the next process finds it there.
+    // No caller depends on this process, so there is nothing to drain. A load
+    // that was ordered continues in the engine, and the next target process
+    // finds it there.
     LogLine("stopping").Info();
     m_threads.Stop();
   }
@@ -244,11 +254,11 @@
   http::Server m_chunk_server;
   http::Server m_metrics;
   asio::signal_set m_signals;
-  /// The part of the places of this service that is taken, by the last word of
-  /// a near entry.
+  /// Share of the slots of this service that are in use, 0 to 1, as last
+  /// reported by an entry of this data centre.
   double m_pool_fullness = 1;
-  /// Who wants news, until when.
-  std::map<Endpoint, TimePoint> m_chunk_followers;
+  /// Hosts that subscribed to chunk updates, and when the subscription ends.
+  std::map<Endpoint, TimePoint> m_chunk_subscribers;
 };
 
 PlatformTarget::PlatformTarget(const Settings& settings)
--- a/src/libverbenalead/target/row_source.cc
+++ b/src/libverbenalead/target/row_source.cc
@@ -14,18 +14,21 @@
 namespace verbenalead::target {
 namespace {
 
-/// Least time between two questions for the list of replicas. Hosts that have
-/// left must not be waited for: chunks that they were to draw from the origin
-/// come late, from the next host in turn.
-constexpr Duration kReplicasInterval = 300ms;
-/// Entries that are asked at once after a start, and the pause until the next
-/// try: they may have started too, and know the tables half a second later.
-constexpr size_t kEntriesTried = 3;
-constexpr size_t kTriesForEntry = 2;
-constexpr Duration kLearnPause = 200ms;
-/// How often a process beside a replica without an engine asks whether it has
-/// one now.
-constexpr Duration kIdleInterval = 10s;
+/// Least time between two reads of the list of replicas. The list has to be
+/// recent, so that transfers do not wait for hosts that have left: chunks that
+/// such a host was to fetch from the origin are fetched late, by the next host
+/// in the order.
+constexpr Duration kReplicaReadInterval = 300ms;
+/// After a start, this many entries are asked per round, with a pause between
+/// rounds. Each entry is asked this many times before the list of entries is
+/// read again. The repetition is needed as the entries may have started at the
+/// same time, and then know the tables half a second later.
+constexpr size_t kEntriesPerRound = 3;
+constexpr size_t kAttemptsPerEntry = 2;
+constexpr Duration kRoundPause = 200ms;
+/// Interval at which a process whose replica has no engine checks whether it
+/// has one now.
+constexpr Duration kIdleCheckInterval = 10s;
 
 }  // namespace
 
@@ -75,36 +78,37 @@
 }
 
 Awaitable<void> RowSource::LearnFirst() {
-  std::vector<Endpoint> near;
-  size_t tries = 0;
+  std::vector<Endpoint> local_entries;
+  size_t attempts = 0;
   while (!m_changes.m_known) {
-    // Each is asked twice, as it may have just started; who is there may have
-    // changed after that.
-    if (tries >= kTriesForEntry * near.size()) {
-      near = co_await NearEntries();
-      tries = 0;
+    // Each entry is asked twice, as it may have just started. After that the
+    // list of entries is read again, as it may have changed.
+    if (attempts >= kAttemptsPerEntry * local_entries.size()) {
+      local_entries = co_await NearEntries();
+      attempts = 0;
     }
-    bool learned = false;
-    for (size_t tried = 0; tried < kEntriesTried && !near.empty() &&
-                           !m_changes.m_known && !learned;
+    bool received = false;
+    for (size_t tried = 0; tried < kEntriesPerRound && !local_entries.empty() &&
+                           !m_changes.m_known && !received;
          ++tried) {
-      ++tries;
-      std::rotate(near.begin(), near.begin() + 1, near.end());
-      learned = co_await TakeOver(near.back(), true);
+      ++attempts;
+      std::rotate(local_entries.begin(), local_entries.begin() + 1,
+                  local_entries.end());
+      received = co_await TakeOver(local_entries.back(), true);
     }
-    if (learned)
-      tries = 0;
-    co_await Sleep(IsIdle() ? kIdleInterval : kLearnPause);
+    if (received)
+      attempts = 0;
+    co_await Sleep(IsIdle() ? kIdleCheckInterval : kRoundPause);
   }
 }
 
 Awaitable<std::vector<Endpoint>> RowSource::NearEntries() {
-  std::vector<Endpoint> near;
+  std::vector<Endpoint> local_entries;
   const auto rows = co_await m_store.ReadTable(platform::kEntryTable,
                                                m_state.m_options.m_data_center);
   if (!rows) {
     LogLine("entries_not_read").With(rows.error()).Warn();
-    co_return near;
+    co_return local_entries;
   }
   for (const platform::Row& row : rows->m_rows) {
     auto message =
@@ -112,10 +116,10 @@
     const auto* entry =
         message ? std::get_if<links::EntryNews>(&*message) : nullptr;
     if (entry)
-      near.push_back(entry->m_address.m_peers);
+      local_entries.push_back(entry->m_address.m_peers);
   }
-  std::shuffle(near.begin(), near.end(), m_state.m_random);
-  co_return near;
+  std::shuffle(local_entries.begin(), local_entries.end(), m_state.m_random);
+  co_return local_entries;
 }
 
 Awaitable<bool> RowSource::TakeOver(Endpoint entry, bool with_replicas) {
@@ -127,9 +131,10 @@
       decide::NoteAwaited(m_changes, Now());
     co_return false;
   }
-  // Turns and transfers need to know who is there. Hosts that all took the
-  // list over again with each declaration filled the link of the entry that
-  // tells them, and heard of new weights late.
+  // The schedules of loads and transfers depend on the list of replicas. It is
+  // read only if it differs: when all hosts read the list again with each
+  // declaration, they filled the link of the entry that announces it and
+  // learned of new weights late.
   if (with_replicas && RunsEngine(m_state, relayed->m_rows))
     co_await TakeOverReplicas(entry);
   TakeOperatorRows(relayed->m_rows, relayed->m_ages);
@@ -144,14 +149,15 @@
 }
 
 Awaitable<void> RowSource::TakeOverReplicas(Endpoint entry) {
-  m_next_replicas = Now() + kReplicasInterval;
+  m_next_replicas = Now() + kReplicaReadInterval;
   const auto relayed =
       co_await links::FetchRows(m_entries, entry, links::kReplicaRowsPath);
   if (!relayed) {
     LogLine("rows_not_relayed").With(relayed.error()).Info();
     co_return;
   }
-  // Entries don't all know the newest list at the same moment.
+  // Entries do not learn the newest list at the same time, so this one may be
+  // older than the list known here.
   if (relayed->m_rows.m_revision < m_replica_rows.revision())
     co_return;
   TakeReplicaRows(m_state, relayed->m_rows, true);
@@ -184,7 +190,7 @@
 void RowSource::FetchReplicas(const Endpoint& entry) {
   if (Now() < m_next_replicas)
     return;
-  m_next_replicas = Now() + kReplicasInterval;
+  m_next_replicas = Now() + kReplicaReadInterval;
   Spawn(m_executor, TakeOverReplicas(entry), "take_over_replicas");
 }
 
