--- a/src/libverbenalead/platform/answer_facts.h
+++ b/src/libverbenalead/platform/answer_facts.h
@@ -7,14 +7,17 @@
 
 namespace verbenalead::platform {
 
-/// What a replica's answer says beside its status.
+/// What the header fields of a replica's answer state, beside its status: which
+/// request it answers, whether that request ran, and with which weights. An
+/// entry uses it to discard answers to other requests and to decide on retries.
 struct AnswerFacts {
-  /// The request that it answers; empty: it doesn't say.
+  /// Id of the request that the answer belongs to; empty if not stated.
   std::string m_request_id;
   /// The replica states that it did not run the request and never will.
   bool m_not_run = false;
-  /// It bears the replica's signature.
+  /// The answer carries the header field with the replica's signature.
   bool m_signed = false;
+  /// Version of the weights that the replica used; absent if not stated.
   std::optional<uint64_t> m_weights;
 
   friend bool operator==(const AnswerFacts&, const AnswerFacts&) = default;
--- a/src/libverbenalead/platform/call_headers.cc
+++ b/src/libverbenalead/platform/call_headers.cc
@@ -8,16 +8,17 @@
 namespace verbenalead::platform {
 namespace {
 
-/// Fields that speak of one connection only (RFC 9110, 7.6.1), and the length,
-/// which is set anew for the next one.
+/// Header fields that apply to one connection only and must not be forwarded
+/// (RFC 9110, 7.6.1), and the content length, which is set again for the next
+/// connection.
 constexpr std::array<const char*, 9> kConnectionFields = {
     "connection", "keep-alive",        "proxy-connection",
     "te",         "transfer-encoding", "upgrade",
     "trailer",    "content-length",    "expect"};
 
-constexpr int kStatusNotReached = 421;
+constexpr int kMisdirected = 421;
 
-std::optional<uint64_t> ReadWhole(std::string_view text) {
+std::optional<uint64_t> ParseUnsigned(std::string_view text) {
   uint64_t value = 0;
   const auto [end, error] =
       std::from_chars(text.data(), text.data() + text.size(), value);
@@ -26,7 +27,7 @@
   return value;
 }
 
-uint32_t Bounded(uint64_t value) {
+uint32_t ClampTokens(uint64_t value) {
   constexpr uint64_t kLargest = 1'000'000'000;
   return static_cast<uint32_t>(std::min(value, kLargest));
 }
@@ -48,16 +49,17 @@
   call.m_host = WithoutPort(wire::Get(request.m_headers, "host"));
   call.m_path = wire::PathOf(request);
   call.m_key = wire::Get(request.m_headers, kKey);
-  if (const auto left = ReadWhole(wire::Get(request.m_headers, kTimeLeft)))
+  if (const auto left = ParseUnsigned(wire::Get(request.m_headers, kTimeLeft)))
     call.m_time_left = std::chrono::milliseconds(*left);
   const std::string usage = wire::Get(request.m_headers, kTokenUsage);
-  call.m_prompt_tokens = Bounded(ReadWhole(usage).value_or(0));
+  call.m_prompt_tokens = ClampTokens(ParseUnsigned(usage).value_or(0));
   const size_t comma = usage.find(',');
   uint64_t output = 0;
   if (comma != std::string::npos)
-    output = ReadWhole(std::string_view(usage).substr(comma + 1)).value_or(0);
-  const auto hint = ReadWhole(wire::Get(request.m_headers, kLengthHint));
-  call.m_output_tokens = Bounded(hint.value_or(output));
+    output =
+        ParseUnsigned(std::string_view(usage).substr(comma + 1)).value_or(0);
+  const auto hint = ParseUnsigned(wire::Get(request.m_headers, kLengthHint));
+  call.m_output_tokens = ClampTokens(hint.value_or(output));
   call.m_last_event = wire::Get(request.m_headers, kLastEventId);
   return call;
 }
@@ -67,7 +69,8 @@
   wire::Request out = request;
   DropConnectionFields(out.m_headers);
   out.m_headers.erase(kKey);
-  // A caller may not choose any of these.
+  // Callers must not set these: they name the organisation, the replica, the
+  // weights and the rank in the replica's queue.
   for (const char* name :
        {kOrganisation, kExpectReplica, kExpectWeights, kQueueRank})
     out.m_headers.erase(name);
@@ -88,10 +91,10 @@
 AnswerFacts DecodeAnswer(const wire::ResponseHead& head) {
   AnswerFacts facts;
   facts.m_request_id = wire::Get(head.m_headers, kRequestId);
-  facts.m_not_run = head.m_headers.contains(kNotExecuted) ||
-                    head.m_status == kStatusNotReached;
+  facts.m_not_run =
+      head.m_headers.contains(kNotExecuted) || head.m_status == kMisdirected;
   facts.m_signed = head.m_headers.contains(kStamp);
-  facts.m_weights = ReadWhole(wire::Get(head.m_headers, kWeightVersion));
+  facts.m_weights = ParseUnsigned(wire::Get(head.m_headers, kWeightVersion));
   return facts;
 }
 
--- a/src/libverbenalead/platform/call_headers.h
+++ b/src/libverbenalead/platform/call_headers.h
@@ -9,20 +9,24 @@
 
 namespace verbenalead::platform {
 
-/// What `request` says of itself.
+/// Reads the properties of a call from a caller's request. Header fields that
+/// are absent or malformed leave the defaults.
 model::InboundCall DecodeCall(const wire::Request& request);
 
-/// `request` as it goes on to a replica: method, path, query and body as they
-/// came, without the caller's key and without what concerns its connection.
+/// Returns the request to send to a replica: method, path, query and body of
+/// `request` unchanged, without the caller's key, without the header fields of
+/// the caller's connection, and with the fields of `call`.
 wire::Request EncodeForReplica(const wire::Request& request,
                                const ForwardedCall& call);
 
 AnswerFacts DecodeAnswer(const wire::ResponseHead& head);
 
-/// `head` as it goes back to the caller.
+/// Returns `head` without the header fields of the replica's connection, to be
+/// sent to the caller.
 wire::ResponseHead EncodeForCaller(wire::ResponseHead head);
 
-/// An answer of our own. `retry_after` of zero: none is told.
+/// Returns an answer of the entry itself that refuses a call. Without a
+/// `retry-after` field if `retry_after` is zero.
 wire::Response EncodeRefusal(int status,
                              const std::string& call_id,
                              const std::string& reason,
--- a/src/libverbenalead/platform/call_headers_test.cc
+++ b/src/libverbenalead/platform/call_headers_test.cc
@@ -7,7 +7,7 @@
 namespace verbenalead::platform {
 namespace {
 
-wire::Request CallersRequest() {
+wire::Request CallerRequest() {
   wire::Request request;
   request.m_method = "POST";
   request.m_path = "/p/1?x=2";
@@ -28,16 +28,16 @@
 
 class CallHeadersTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(CallHeadersTest);
-  CPPUNIT_TEST(ReadsACall);
-  CPPUNIT_TEST(PassesOnWhatIsTheCallersAndNoMore);
-  CPPUNIT_TEST(GoesOnAfterTheLastEvent);
-  CPPUNIT_TEST(KnowsWhatDidNotRun);
-  CPPUNIT_TEST(TellsWhenToComeBack);
+  CPPUNIT_TEST(DecodesCall);
+  CPPUNIT_TEST(ForwardsOnlyPermittedFields);
+  CPPUNIT_TEST(ForwardsLastEventId);
+  CPPUNIT_TEST(DetectsRequestsThatDidNotRun);
+  CPPUNIT_TEST(SetsRetryAfter);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void ReadsACall() {
-    const model::InboundCall call = DecodeCall(CallersRequest());
+  void DecodesCall() {
+    const model::InboundCall call = DecodeCall(CallerRequest());
     CPPUNIT_ASSERT_EQUAL(std::string("h.example"), call.m_host);
     CPPUNIT_ASSERT_EQUAL(std::string("/p/1"), call.m_path);
     CPPUNIT_ASSERT(call.m_time_left == Duration(6s));
@@ -45,14 +45,15 @@
     CPPUNIT_ASSERT_EQUAL(uint32_t{80}, call.m_output_tokens);
   }
 
-  // A caller could act as another organisation, or name its replica, if its own
-  // fields of these names went on; and its key must not leave the entry.
-  void PassesOnWhatIsTheCallersAndNoMore() {
+  // Guards against callers that act as another organisation or choose their
+  // replica, which they could if the entry forwarded their header fields of
+  // these names. Also, the caller's key must not leave the entry.
+  void ForwardsOnlyPermittedFields() {
     ForwardedCall call;
     call.m_replica = "i-1";
     call.m_time_left = 5s;
     call.m_organisation = "acme";
-    const wire::Request out = EncodeForReplica(CallersRequest(), call);
+    const wire::Request out = EncodeForReplica(CallerRequest(), call);
     CPPUNIT_ASSERT_EQUAL(std::string("/p/1?x=2"), out.m_path);
     CPPUNIT_ASSERT_EQUAL(std::string("body"), out.m_body);
     const wire::Headers expected = {
@@ -63,8 +64,8 @@
     CPPUNIT_ASSERT(expected == out.m_headers);
   }
 
-  void GoesOnAfterTheLastEvent() {
-    wire::Request request = CallersRequest();
+  void ForwardsLastEventId() {
+    wire::Request request = CallerRequest();
     request.m_headers[kLastEventId] = "12";
     ForwardedCall call;
     CPPUNIT_ASSERT_EQUAL(
@@ -76,14 +77,14 @@
         wire::Get(EncodeForReplica(request, call).m_headers, kLastEventId));
   }
 
-  void KnowsWhatDidNotRun() {
+  void DetectsRequestsThatDidNotRun() {
     CPPUNIT_ASSERT(DecodeAnswer({503, {{kNotExecuted, "1"}}}).m_not_run);
     CPPUNIT_ASSERT(DecodeAnswer({421, {}}).m_not_run);
     CPPUNIT_ASSERT(!DecodeAnswer({503, {}}).m_not_run);
     CPPUNIT_ASSERT(!DecodeAnswer({500, {{kStamp, "s"}}}).m_not_run);
   }
 
-  void TellsWhenToComeBack() {
+  void SetsRetryAfter() {
     const wire::Response response = EncodeRefusal(503, "abc", "full", 1250ms);
     CPPUNIT_ASSERT_EQUAL(std::string("1.25"),
                          wire::Get(response.m_headers, "retry-after"));
--- a/src/libverbenalead/platform/config_services.h
+++ b/src/libverbenalead/platform/config_services.h
@@ -6,9 +6,9 @@
 
 namespace verbenalead::platform {
 
-/// The operator's configuration without its routes and organisations: what a
-/// target process needs of it, 3 KB of 390. Text that can't be read is returned
-/// as it is, for whoever decodes it to refuse.
+/// Returns the operator's configuration without its routes and organisations,
+/// which a target process doesn't need; that leaves 3 KB of 390. Text that
+/// can't be parsed is returned unchanged, so that its decoder rejects it.
 std::string ServicesOnly(std::string_view config);
 
 }  // namespace verbenalead::platform
--- a/src/libverbenalead/platform/config_services_test.cc
+++ b/src/libverbenalead/platform/config_services_test.cc
@@ -10,12 +10,12 @@
 
 class ConfigServicesTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ConfigServicesTest);
-  CPPUNIT_TEST(KeepsWhatATargetNeeds);
-  CPPUNIT_TEST(LeavesWhatCannotBeReadToTheDecoder);
+  CPPUNIT_TEST(KeepsServicesOnly);
+  CPPUNIT_TEST(ReturnsMalformedTextUnchanged);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void KeepsWhatATargetNeeds() {
+  void KeepsServicesOnly() {
     const std::string config =
         R"({"version":7,"routes":[{"host":"h","prefix":"/","service":"s"}],)"
         R"("tenants":[{"name":"acme","api_keys":["secret"]}],)"
@@ -31,7 +31,7 @@
     CPPUNIT_ASSERT(part->m_services == whole->m_services);
   }
 
-  void LeavesWhatCannotBeReadToTheDecoder() {
+  void ReturnsMalformedTextUnchanged() {
     for (const char* text : {"", "[]", "{\"version\":"})
       CPPUNIT_ASSERT_EQUAL(std::string(text), ServicesOnly(text));
   }
--- a/src/libverbenalead/platform/decode_config.cc
+++ b/src/libverbenalead/platform/decode_config.cc
@@ -24,7 +24,7 @@
     return model::CallKind::kIdempotent;
   if (kind == "streaming")
     return model::CallKind::kStream;
-  // What isn't known is never repeated.
+  // Calls of an unknown kind are never retried, since a second run may do harm.
   return model::CallKind::kAtMostOnce;
 }
 
@@ -82,7 +82,7 @@
   model::EngineProfile profile;
   profile.m_slots =
       static_cast<uint32_t>(ReadCount(*engine, "slots").value_or(1));
-  // Prompt tokens a second, though the name doesn't say of what.
+  // `read_per_s` is in prompt tokens per second.
   profile.m_prefill_rate = ReadNumber(*engine, "read_per_s").value_or(0);
   profile.m_step = ReadMilliseconds(*engine, "step_ms").value_or(Duration());
   profile.m_stride =
@@ -95,8 +95,9 @@
       models && !models->empty() ? models->front().if_object() : nullptr;
   if (first) {
     profile.m_model = ReadText(*first, "name").value_or("");
-    // The time of a load from staged weights; `load_s` beside it is the time of
-    // a load without staging, which this platform's deployments don't use.
+    // `warm_s` is the duration of a load from staged weights. The field
+    // `load_s` beside it is for loads without staging, which deployments of
+    // this platform don't use.
     profile.m_load =
         std::chrono::duration_cast<Duration>(std::chrono::duration<double>(
             ReadNumber(*first, "warm_s").value_or(0)));
@@ -156,7 +157,8 @@
     config.m_idle_timeout = *time;
 }
 
-/// Decodes each member of the list `name`; one that can't be read fails.
+/// Decodes each member of the list `name`. Fails if any of them can't be read;
+/// a missing list counts as empty.
 template <typename T, typename Decode>
 Result<std::vector<T>> DecodeList(const json::object& object,
                                   const char* name,
--- a/src/libverbenalead/platform/decode_config.h
+++ b/src/libverbenalead/platform/decode_config.h
@@ -8,8 +8,8 @@
 
 namespace verbenalead::platform {
 
-/// Reads the operator's configuration. Fails with kInvalid, naming what can't
-/// be read.
+/// Decodes the operator's configuration. Fails with kInvalid and names the part
+/// that can't be read.
 Result<model::RoutingConfig> DecodeConfig(std::string_view json);
 
 }  // namespace verbenalead::platform
--- a/src/libverbenalead/platform/decode_replica.cc
+++ b/src/libverbenalead/platform/decode_replica.cc
@@ -17,12 +17,13 @@
       Failure{FailureCode::kInvalid, step, peer, what});
 }
 
-/// Models and the versions of their weights; false where the list is wrong.
+/// Reads the models and the versions of their weights; returns false if the
+/// list is malformed.
 bool ReadWeights(const json::object& object,
                  std::map<std::string, uint64_t>& weights) {
   const json::value* value = object.if_contains("models");
   if (!value)
-    return true;  // A plain service has none.
+    return true;  // Replicas of a service without an engine have no models.
   const json::array* models = value->if_array();
   if (!models)
     return false;
@@ -83,7 +84,8 @@
   if (!sequence || !busy || !ReadWeights(*object, report.m_weights))
     return Unreadable(kStep, "", "a field is missing or has another type");
   report.m_started_ms = ReadCount(*object, "born").value_or(0);
-  // `busy` speaks of orders, not of requests; `sequence` counts orders.
+  // Both fields are about load orders, not about requests: `busy` is set while
+  // an order is carried out, and `sequence` counts the orders.
   report.m_loading = *busy;
   report.m_orders = *sequence;
   report.m_queued =
--- a/src/libverbenalead/platform/decode_replica.h
+++ b/src/libverbenalead/platform/decode_replica.h
@@ -10,13 +10,14 @@
 
 namespace verbenalead::platform {
 
-/// Reads what the replica `id` wrote of itself. Fails with kInvalid where the
-/// text names no replica to use: fields missing or of another type, a state
-/// that isn't known, or bytes that can't be read.
+/// Decodes the row of the replica `id` in the table of replicas. Fails with
+/// kInvalid if the row doesn't describe a usable replica: fields are missing or
+/// have another type, the state is unknown, or the text isn't JSON. Other
+/// programs write to the table too, so such rows are expected.
 Result<model::Replica> DecodeReplica(const std::string& id,
                                      std::string_view json);
 
-/// Reads an engine's own answer about its state. Fails with kInvalid.
+/// Decodes an engine's report of its state. Fails with kInvalid.
 Result<model::EngineReport> DecodeReport(std::string_view json);
 
 }  // namespace verbenalead::platform
--- a/src/libverbenalead/platform/decode_test.cc
+++ b/src/libverbenalead/platform/decode_test.cc
@@ -27,19 +27,19 @@
 
 class DecodeTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(DecodeTest);
-  CPPUNIT_TEST(ReadsAReplica);
-  CPPUNIT_TEST(ARowOfAnotherWriterNamesNoReplica);
-  CPPUNIT_TEST(AnyBytesAreReadOrRefused);
-  CPPUNIT_TEST(ReadsAReport);
-  CPPUNIT_TEST(ReadsAConfiguration);
-  CPPUNIT_TEST(UnknownKindsRunOnce);
-  CPPUNIT_TEST(ABadRouteSpoilsTheVersion);
-  CPPUNIT_TEST(ReadsDeclaredWeights);
-  CPPUNIT_TEST(Base64GoesBothWays);
+  CPPUNIT_TEST(DecodesReplica);
+  CPPUNIT_TEST(RejectsMalformedReplicaRows);
+  CPPUNIT_TEST(DecodesOrRejectsAnyBytes);
+  CPPUNIT_TEST(DecodesReport);
+  CPPUNIT_TEST(DecodesConfiguration);
+  CPPUNIT_TEST(UnknownKindsRunAtMostOnce);
+  CPPUNIT_TEST(RejectsConfigurationWithBadRoute);
+  CPPUNIT_TEST(DecodesDeclaredWeights);
+  CPPUNIT_TEST(RoundTripsBase64);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void ReadsAReplica() {
+  void DecodesReplica() {
     const auto replica = Replica(kReplica);
     CPPUNIT_ASSERT(replica.has_value());
     CPPUNIT_ASSERT_EQUAL(std::string("i-1"), replica->m_id);
@@ -49,9 +49,9 @@
     CPPUNIT_ASSERT(!replica->m_leaving);
   }
 
-  // Another writer leaves rows in the table of replicas. Each of them names no
-  // replica to use; that is said once, and the others hold.
-  void ARowOfAnotherWriterNamesNoReplica() {
+  // Guards against malformed rows that another program wrote to the table of
+  // replicas. None of them may be taken for a usable replica.
+  void RejectsMalformedReplicaRows() {
     const std::string good = kReplica;
     const std::string bad[] = {
         "",
@@ -72,7 +72,7 @@
       CPPUNIT_ASSERT_MESSAGE(text, !Replica(text).has_value());
   }
 
-  void AnyBytesAreReadOrRefused() {
+  void DecodesOrRejectsAnyBytes() {
     const bool held = rc::check("any bytes", [](const std::string& noise) {
       std::string text = kReplica;
       const size_t at = *rc::gen::inRange<size_t>(0, text.size());
@@ -85,7 +85,7 @@
     CPPUNIT_ASSERT(held);
   }
 
-  void ReadsAReport() {
+  void DecodesReport() {
     const auto report = CatchFailure([] {
       return DecodeReport(
           R"({"stage":"both","models":[{"name":"m","version":3}],"busy":true,)"
@@ -98,7 +98,7 @@
     CPPUNIT_ASSERT_EQUAL(uint64_t{3}, report->m_weights.at("m"));
   }
 
-  void ReadsAConfiguration() {
+  void DecodesConfiguration() {
     const auto config = CatchFailure([] {
       return DecodeConfig(
           R"({"version":7,"routes":[{"name":"r","host":"h","prefix":"/p/",)"
@@ -129,7 +129,7 @@
     CPPUNIT_ASSERT(config->m_organisations.at(0).m_urgency == 0);
   }
 
-  void UnknownKindsRunOnce() {
+  void UnknownKindsRunAtMostOnce() {
     const auto config = CatchFailure([] {
       return DecodeConfig(
           R"({"version":1,"routes":[{"host":"h","prefix":"/","service":"a",)"
@@ -139,20 +139,20 @@
                    model::CallKind::kAtMostOnce);
   }
 
-  void ABadRouteSpoilsTheVersion() {
+  void RejectsConfigurationWithBadRoute() {
     CPPUNIT_ASSERT(!CatchFailure([] {
                       return DecodeConfig(
                           R"({"version":1,"routes":[{"host":"h"}]})");
                     }).has_value());
   }
 
-  void ReadsDeclaredWeights() {
+  void DecodesDeclaredWeights() {
     CPPUNIT_ASSERT(DecodeWeights(R"({"model":"m","version":2})") ==
                    (DeclaredWeights{"m", 2}));
     CPPUNIT_ASSERT(!DecodeWeights(R"({"model":"m"})"));
   }
 
-  void Base64GoesBothWays() {
+  void RoundTripsBase64() {
     const bool held = rc::check("base64", [](const std::string& bytes) {
       RC_ASSERT(*CatchFailure([&] {
         return DecodeBase64(EncodeBase64(bytes));
--- a/src/libverbenalead/platform/decode_weights.h
+++ b/src/libverbenalead/platform/decode_weights.h
@@ -7,7 +7,8 @@
 
 namespace verbenalead::platform {
 
-/// A version of a model's weights that the operator declares.
+/// The version of a model's weights that the operator has declared as the one
+/// to serve.
 struct DeclaredWeights {
   std::string m_model;
   uint64_t m_version = 0;
@@ -16,7 +17,7 @@
                          const DeclaredWeights&) = default;
 };
 
-/// Nothing where `text` can't be read.
+/// Returns nothing if `text` can't be decoded.
 std::optional<DeclaredWeights> DecodeWeights(std::string_view text);
 
 }  // namespace verbenalead::platform
--- a/src/libverbenalead/platform/directory_calls.h
+++ b/src/libverbenalead/platform/directory_calls.h
@@ -13,13 +13,15 @@
 
 inline constexpr char kReadinessPath[] = "/readyz";
 inline constexpr char kDirectoryPath[] = "/resolve";
-/// Addresses in one answer.
+/// Most addresses in one answer.
 inline constexpr size_t kMostAddresses = 64;
 
-/// The data centre of the caller that asks for addresses; empty: it tells none.
+/// Returns the data centre named in a caller's request for addresses; empty if
+/// it names none.
 std::string CallerDataCenter(const wire::Request& request);
 
-/// Tells a caller where to connect, and for how long that holds.
+/// Returns the answer with the addresses to which a caller may connect and the
+/// time for which they are valid.
 wire::Response EncodeAddresses(const std::vector<Endpoint>& addresses,
                                Duration valid_for);
 
--- a/src/libverbenalead/platform/engine_client.cc
+++ b/src/libverbenalead/platform/engine_client.cc
@@ -10,8 +10,8 @@
 
 namespace json = boost::json;
 
-/// The engine is on the own host and answers within a few ms; one that says
-/// nothing for so long is down or stands still.
+/// The engine is on the same host and answers within a few ms. One that doesn't
+/// answer for this long is down or hangs.
 constexpr Duration kTimeout = 1s;
 
 constexpr int kOk = 200;
--- a/src/libverbenalead/platform/engine_client.h
+++ b/src/libverbenalead/platform/engine_client.h
@@ -10,7 +10,7 @@
 
 namespace verbenalead::platform {
 
-/// The calls to the engine on the own host. Each has a timeout of its own.
+/// Client of the engine on the same host. Each call has a timeout of its own.
 class EngineClient {
  public:
   EngineClient(wire::Client& http, Endpoint endpoint)
@@ -19,18 +19,20 @@
   const Endpoint& endpoint() const { return m_endpoint; }
 
   Awaitable<AsyncResult<model::EngineReport>> Report();
-  /// Stages one chunk of a model's weights; an earlier one is overwritten. The
-  /// engine checks nothing.
+  /// Stages one chunk of a model's weights and overwrites an earlier one with
+  /// this number. The engine doesn't verify the bytes.
   Awaitable<AsyncResult<bool>> Stage(std::string model,
                                      uint32_t chunk,
                                      std::string bytes);
-  /// Reads a staged chunk back; kNotFound where there is none.
+  /// Reads a staged chunk; fails with kNotFound if there is none.
   Awaitable<AsyncResult<std::string>> ReadStaged(std::string model,
                                                  uint32_t chunk);
-  /// Orders the engine to load what is staged as `version`. Requests that still
-  /// run are broken off. `orders`: how many orders it must have begun so far.
-  /// kConflict: the order doesn't fit its state. A timeout leaves open whether
-  /// the order was accepted.
+  /// Orders the engine to load the staged chunks as `version`. The engine
+  /// aborts requests that still run. `orders` is the number of orders that the
+  /// engine must have begun so far; an engine that has begun another number
+  /// rejects the order. Fails with kConflict if the order doesn't fit the
+  /// engine's state. After a timeout, the order may or may not have been
+  /// accepted.
   Awaitable<AsyncResult<bool>> Load(std::string model,
                                     uint64_t version,
                                     uint64_t orders);
--- a/src/libverbenalead/platform/forwarded_call.h
+++ b/src/libverbenalead/platform/forwarded_call.h
@@ -9,18 +9,19 @@
 
 namespace verbenalead::platform {
 
-/// What the entry adds to a caller's request for one replica.
+/// What an entry adds to a caller's request when it forwards it to a replica.
 struct ForwardedCall {
   std::string m_replica;
-  /// How long the replica may take.
+  /// Time that the replica has to answer.
   Duration m_time_left{};
-  /// Empty: the call has no organisation.
+  /// Empty if the call has no organisation.
   std::string m_organisation;
   /// Only a replica with these weights may run it.
   std::optional<uint64_t> m_weights;
-  /// Place in the replica's queue, 0 to 9; absent: as the replica likes.
+  /// Rank in the replica's queue, 0 (first) to 9; absent: the replica's
+  /// default.
   std::optional<int> m_queue_rank;
-  /// Go on after this event; empty: as the caller asked.
+  /// Resume the stream after this event; empty: as in the caller's request.
   std::string m_last_event;
 
   friend bool operator==(const ForwardedCall&, const ForwardedCall&) = default;
--- a/src/libverbenalead/platform/json_read.cc
+++ b/src/libverbenalead/platform/json_read.cc
@@ -32,7 +32,7 @@
 
 std::optional<uint64_t> ReadCount(const json::object& object,
                                   std::string_view name) {
-  constexpr double kLargest = 9e15;  // Whole numbers are exact up to here.
+  constexpr double kLargest = 9e15;  // A double holds all smaller integers.
   const auto number = ReadNumber(object, name);
   if (!number || *number < 0 || *number > kLargest ||
       *number != std::floor(*number))
@@ -50,7 +50,8 @@
 
 std::optional<Duration> ReadMilliseconds(const json::object& object,
                                          std::string_view name) {
-  // More than a century, and well within what Duration holds.
+  // More than a century, and well within the range of Duration. Larger numbers
+  // would overflow the conversion below.
   constexpr double kLargest = 4e12;
   const auto number = ReadNumber(object, name);
   if (!number || !(std::abs(*number) <= kLargest))
--- a/src/libverbenalead/platform/origin_client.h
+++ b/src/libverbenalead/platform/origin_client.h
@@ -11,13 +11,15 @@
 
 namespace verbenalead::platform {
 
-/// The calls to the origin of weights. All that it sends is paid for and may be
-/// wrong or cut off.
+/// Client of the origin of weights. Each byte that the origin sends is paid
+/// for, and its answers may be corrupt or truncated, so callers verify digests
+/// and avoid fetching a chunk twice.
 class OriginClient {
  public:
   explicit OriginClient(wire::Client& http) : m_http(http) {}
 
-  /// The digest of each chunk. kNotFound: the version is too old to be had.
+  /// Reads the digest of each chunk of a version. Fails with kNotFound if the
+  /// origin doesn't have the version, for example because it is too old.
   Awaitable<AsyncResult<std::vector<Digest>>> ReadDigests(Endpoint origin,
                                                           std::string model,
                                                           uint64_t version,
--- a/src/libverbenalead/platform/row.h
+++ b/src/libverbenalead/platform/row.h
@@ -9,7 +9,7 @@
 /// One row of a table in the platform's store.
 struct Row {
   std::string m_key;
-  /// The decoded bytes; empty where `m_deleted`.
+  /// The value, decoded from base64; empty if `m_deleted`.
   std::string m_value;
   uint64_t m_revision = 0;
   bool m_deleted = false;
--- a/src/libverbenalead/platform/rows.h
+++ b/src/libverbenalead/platform/rows.h
@@ -9,14 +9,15 @@
 
 namespace verbenalead::platform {
 
-/// What the store answered about a table.
+/// Rows of a table as returned by one read of the store.
 struct Rows {
   std::vector<Row> m_rows;
   /// The store's newest revision when it answered.
   uint64_t m_revision = 0;
   /// The store's steady clock when it answered.
   Duration m_store_time{};
-  /// Our clock that counts suspension, right before the question was sent.
+  /// The local boot clock, which also counts time of suspension, right before
+  /// the request was sent.
   Duration m_asked_at{};
 };
 
--- a/src/libverbenalead/platform/store.cc
+++ b/src/libverbenalead/platform/store.cc
@@ -13,12 +13,14 @@
 
 namespace json = boost::json;
 
-/// Longest wait for an answer beyond the time that the store was asked to wait.
-/// An answer takes 4 ms; one that is 60 times slower must still get through.
+/// Longest wait for an answer beyond the time that the store was asked to wait,
+/// and longest pause within an answer. An answer usually takes 4 ms; one that
+/// takes 60 times as long must still be accepted.
 constexpr Duration kAnswerTimeout = 800ms;
 
-/// Longest time for a whole answer once it comes.
-constexpr Duration kLongestAnswer = 8s;
+/// Longest time for a whole answer, beyond the time that the store was asked to
+/// wait.
+constexpr Duration kTotalTimeout = 8s;
 
 constexpr int kOk = 200;
 constexpr int kPreconditionFailed = 412;
@@ -42,8 +44,8 @@
                  "status " + std::to_string(status)};
 }
 
-/// A row, or nothing where it can't be read: other writers may leave anything
-/// in a table, and one bad row must not hide the others.
+/// Returns a row, or nothing if it has no key. Other programs may write
+/// arbitrary rows to a table, and a malformed one must not hide the others.
 std::optional<Row> ReadRow(const json::value& value) {
   const json::object* object = value.if_object();
   if (!object)
@@ -139,8 +141,10 @@
     auto page = co_await Read(std::move(path), Duration(), &has_more);
     if (!page)
       co_return page.error();
-    // Rows of later pages may be newer than the first page's revision: what
-    // changed after that is read again by whoever follows, which is harmless.
+    // Rows of later pages may be newer than the revision of the first page.
+    // Returning the first page's revision makes the follower read the changes
+    // after it again, which is harmless; with a later one it would miss changes
+    // of rows on earlier pages.
     if (from.empty()) {
       all.m_asked_at = page->m_asked_at;
       all.m_store_time = page->m_store_time;
@@ -191,7 +195,7 @@
   const std::string step = "GET " + wire::PathOf(request);
   const Duration asked_at = BootNow();
   const wire::ProgressTimeouts timeouts = {
-      wait + kAnswerTimeout, kAnswerTimeout, wait + kLongestAnswer};
+      wait + kAnswerTimeout, kAnswerTimeout, wait + kTotalTimeout};
   auto response = co_await wire::FetchByProgress(m_http, m_endpoint,
                                                  std::move(request), timeouts);
   if (!response)
--- a/src/libverbenalead/platform/store.h
+++ b/src/libverbenalead/platform/store.h
@@ -13,13 +13,14 @@
 
 namespace verbenalead::platform {
 
-/// The client of the platform's store. Each call is one request and has a
-/// timeout of its own, since an open connection may be silent for good. Calls
-/// are never repeated here: whoever asks knows how urgent the answer is.
+/// Client of the platform's store. Each request has a timeout of its own, since
+/// an open connection may stay silent forever. Requests are never retried here,
+/// because only the caller knows how urgent the answer is.
 ///
-/// Failures: kRefused means that nothing was done (the store turned the call
-/// away); kNotFound from ReadChanges means that the history is gone; all others
-/// leave a write's effect open.
+/// Failures: kRefused means that the store rejected the request and did
+/// nothing; kConflict from Remove means that the row has another revision;
+/// kNotFound from ReadChanges means that the store no longer has the history of
+/// changes. After any other failure, a write may or may not have taken effect.
 class Store {
  public:
   Store(wire::Client& http, Endpoint endpoint)
@@ -27,27 +28,29 @@
 
   const Endpoint& endpoint() const { return m_endpoint; }
 
-  /// All rows of `part` of `table`; most tables have only the unnamed part.
+  /// Reads all rows of `part` of `table`, page by page; most tables have only
+  /// the unnamed part.
   Awaitable<AsyncResult<Rows>> ReadTable(std::string table,
                                          std::string part = "");
-  /// The parts of `table` that hold rows, the first thousand.
+  /// Returns the first thousand parts of `table` that hold rows.
   Awaitable<AsyncResult<std::vector<std::string>>> ListParts(std::string table);
-  /// What changed in `table` after `revision`; waits up to `wait` for a change.
+  /// Reads the changes of `table` after `revision`; the store waits up to
+  /// `wait` for a change.
   Awaitable<AsyncResult<Rows>> ReadChanges(std::string table,
                                            uint64_t revision,
                                            Duration wait);
-  /// Writes one row whatever stands there.
+  /// Writes one row unconditionally.
   Awaitable<AsyncResult<bool>> Write(std::string table,
                                      std::string part,
                                      std::string key,
                                      std::string value);
-  /// Removes a row that still has `revision`.
+  /// Removes a row if its revision still is `revision`.
   Awaitable<AsyncResult<bool>> Remove(std::string table,
                                       std::string key,
                                       uint64_t revision);
 
  private:
-  /// One answer; `has_more` tells that a table didn't fit into it.
+  /// Reads one page; `has_more` is set if the table has further rows.
   Awaitable<AsyncResult<Rows>> Read(std::string path,
                                     Duration wait,
                                     bool* has_more);
--- a/src/libverbenalead/platform/store_test.cc
+++ b/src/libverbenalead/platform/store_test.cc
@@ -11,8 +11,8 @@
 namespace verbenalead::platform {
 namespace {
 
-/// Answers that are no list of rows, or one with parts that can't be read.
-const std::vector<std::string> kOddAnswers = {
+/// Answers that aren't a list of rows, or whose members can't be read.
+const std::vector<std::string> kMalformedAnswers = {
     "",
     "null",
     "[]",
@@ -30,22 +30,22 @@
 
 class StoreTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(StoreTest);
-  CPPUNIT_TEST(ATimeBetweenTwoMillisecondsIsRead);
-  CPPUNIT_TEST(NoAnswerEndsTheProcess);
+  CPPUNIT_TEST(ReadsFractionalMilliseconds);
+  CPPUNIT_TEST(MalformedAnswersDoNotThrow);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void ATimeBetweenTwoMillisecondsIsRead() {
+  void ReadsFractionalMilliseconds() {
     const auto rows = Read("{\"ver\":7,\"now_ms\":12.5,\"rows\":[]}");
     CPPUNIT_ASSERT(rows);
     CPPUNIT_ASSERT_EQUAL(uint64_t{7}, rows->m_revision);
     CPPUNIT_ASSERT_EQUAL(int64_t{12}, ToMilliseconds(rows->m_store_time));
   }
 
-  // An exception that leaves the loop that reads a table ends its process, and
-  // all processes read the same table.
-  void NoAnswerEndsTheProcess() {
-    for (const std::string& answer : kOddAnswers)
+  // Guards against a crash of all processes: they read the same tables, and an
+  // exception that escapes the loop that reads a table ends the process.
+  void MalformedAnswersDoNotThrow() {
+    for (const std::string& answer : kMalformedAnswers)
       CPPUNIT_ASSERT_NO_THROW_MESSAGE(answer, Read(answer));
   }
 
