--- a/src/libverbenalead/daemon/claim_keeper.cc
+++ b/src/libverbenalead/daemon/claim_keeper.cc
@@ -29,12 +29,12 @@
 constexpr char kPartition[] = "claim";
 /// A claim waits no longer than this for the table: the caller of an urgent
 /// call is better served by "not run, come back" than by silence.
-constexpr Duration kClaimPatience = 3s;
+constexpr Duration kClaimTimeout = 3s;
 /// For how long an answer waits until its outcome is recorded. A healthy table
 /// takes a tenth of it. Beyond, the caller gets its answer, and the record
 /// follows: until then a repeated call is told that the key is held.
-constexpr Duration kEndPatience = 250ms;
-constexpr Duration kEndDeadline = std::chrono::seconds(60);
+constexpr Duration kEndWaitLimit = 250ms;
+constexpr Duration kEndTimeout = std::chrono::seconds(60);
 /// The batch itself ends each claim by its deadline, and fences it off.
 constexpr Duration kNoLimit = std::chrono::hours(1);
 constexpr size_t kEntriesAtStart = 8;
@@ -126,7 +126,7 @@
 
 Awaitable<ClaimResult> ClaimKeeper::Claim(model::Call call) {
   const uint64_t writer = NewWriter();
-  const TimePoint deadline = std::min(call.deadline(), Now() + kClaimPatience);
+  const TimePoint deadline = std::min(call.deadline(), Now() + kClaimTimeout);
   const ClaimAction end = co_await Await(
       decide::MakeClaim(KeyOf(call), writer, call.id(), deadline), kNoLimit);
   co_return ResultOf(end, writer);
@@ -137,28 +137,29 @@
                                     RecordedAnswer answer) {
   const ClaimAction end = co_await Await(
       decide::MakeEnd(ClaimWork::Kind::kRecord, KeyOf(call), writer,
-                      ToJson(answer), Now() + kEndDeadline),
-      kEndPatience);
+                      ToJson(answer), Now() + kEndTimeout),
+      kEndWaitLimit);
   co_return end.m_end == ClaimEnd::kDone;
 }
 
 Awaitable<bool> ClaimKeeper::Release(model::Call call, uint64_t writer) {
   const ClaimAction end =
       co_await Await(decide::MakeEnd(ClaimWork::Kind::kRelease, KeyOf(call),
-                                     writer, call.id(), Now() + kEndDeadline),
-                     kEndPatience);
+                                     writer, call.id(), Now() + kEndTimeout),
+                     kEndWaitLimit);
   co_return end.m_end == ClaimEnd::kDone;
 }
 
-Awaitable<ClaimAction> ClaimKeeper::Await(ClaimWork work, Duration patience) {
+Awaitable<ClaimAction> ClaimKeeper::Await(ClaimWork operation,
+                                          Duration wait_limit) {
   const auto executor = co_await asio::this_coro::executor;
   auto waiter = std::make_shared<Waiter>(executor);
-  waiter->m_event.expires_after(patience);
+  waiter->m_event.expires_after(wait_limit);
   std::vector<ClaimAction> actions;
   uint64_t id = 0;
   {
     std::lock_guard lock(m_mutex);
-    id = decide::Submit(m_batch, std::move(work));
+    id = decide::Submit(m_batch, std::move(operation));
     m_waiters[id] = waiter;
     actions = decide::Tick(m_batch, Now());
   }
@@ -172,9 +173,9 @@
     co_return *waiter->m_end;
   std::lock_guard lock(m_mutex);
   m_waiters.erase(id);
-  ClaimAction late;
-  late.m_end = ClaimEnd::kUnavailable;
-  co_return late;
+  ClaimAction timed_out;
+  timed_out.m_end = ClaimEnd::kUnavailable;
+  co_return timed_out;
 }
 
 void ClaimKeeper::Perform(const asio::any_io_executor& executor,
@@ -254,10 +255,10 @@
   {
     std::lock_guard lock(m_mutex);
     if (item) {
-      std::optional<decide::ClaimItem> there;
+      std::optional<decide::ClaimItem> stored;
       if (item->has_value())
-        there = decide::ClaimItem{(*item)->m_revision, (*item)->m_value};
-      actions = decide::ReadEnded(m_batch, action.m_id, there, Now());
+        stored = decide::ClaimItem{(*item)->m_revision, (*item)->m_value};
+      actions = decide::ReadEnded(m_batch, action.m_id, stored, Now());
     } else {
       actions = decide::ReadFailed(m_batch, action.m_id, Now());
     }
--- a/src/libverbenalead/daemon/claim_keeper.h
+++ b/src/libverbenalead/daemon/claim_keeper.h
@@ -38,8 +38,8 @@
   struct Waiter;
 
   /// Submits `work` and waits for its end, `patience` at most.
-  Awaitable<decide::ClaimAction> Await(decide::ClaimWork work,
-                                       Duration patience);
+  Awaitable<decide::ClaimAction> Await(decide::ClaimWork operation,
+                                       Duration wait_limit);
   /// Carries out `actions`; m_mutex must be free.
   void Perform(const boost::asio::any_io_executor& executor,
                std::vector<decide::ClaimAction> actions);
--- a/src/libverbenalead/daemon/config_capacity_bench.cc
+++ b/src/libverbenalead/daemon/config_capacity_bench.cc
@@ -32,11 +32,11 @@
 
 /// Processor time of one call of `work`, in microseconds.
 template <typename Work>
-double Cost(int repeats, const Work& work) {
+double Cost(int iterations, const Work& work) {
   const double begin = CpuMicroseconds();
-  for (int i = 0; i < repeats; ++i)
+  for (int i = 0; i < iterations; ++i)
     work(i);
-  return (CpuMicroseconds() - begin) / repeats;
+  return (CpuMicroseconds() - begin) / iterations;
 }
 
 model::Change ChangeOf(uint64_t revision, size_t resources) {
--- a/src/libverbenalead/daemon/config_follower.cc
+++ b/src/libverbenalead/daemon/config_follower.cc
@@ -19,26 +19,26 @@
 /// How long a parent holds a question back while nothing changes. It bounds the
 /// idle traffic to a few hundred bytes in five seconds for each stream.
 constexpr Duration kHold = 5s;
-constexpr Duration kAskTimeout = 1s;
+constexpr Duration kFetchTimeout = 1s;
 /// A process that has heard neither table nor peer for so long takes no new
 /// work: it may be acting on a configuration that was replaced long ago. Longer
 /// than a peer's hold and its timeout together, so that one lost answer in a
 /// quiet hour shuts nobody out.
-constexpr Duration kCutOffAfter = 12s;
+constexpr Duration kIsolationTimeout = 12s;
 /// An entry that heard no other for so long reads the table itself.
-constexpr Duration kOrphanAfter = 3s;
-constexpr Duration kRetryPause = 100ms;
-constexpr Duration kLongestBackOff = 5s;
-constexpr Duration kBehindPoll = 100ms;
+constexpr Duration kParentTimeout = 3s;
+constexpr Duration kRetryInterval = 100ms;
+constexpr Duration kMaxBackoff = 5s;
+constexpr Duration kCatchUpInterval = 100ms;
 /// Peers that must agree to be asked at a start without the table. An accepted
 /// change is held by its taker and by two more, so among the three readers and
 /// any two answers at least one holds it while one of the three is down.
-constexpr size_t kPeersToLearnFrom = 2;
-constexpr size_t kPeersAsked = 5;
+constexpr size_t kPeersRequired = 2;
+constexpr size_t kMaxPeersContacted = 5;
 /// Holders besides the taker that end the wait of Replicate.
-constexpr size_t kHoldersWanted = 2;
-constexpr Duration kReplicateBound = 2s;
-constexpr Duration kReplicatePoll = 5ms;
+constexpr size_t kHoldersRequired = 2;
+constexpr Duration kReplicateTimeout = 2s;
+constexpr Duration kReplicatePollInterval = 5ms;
 
 /// `pause` made longer or shorter by up to a half, so that processes that fell
 /// silent together don't come back together.
@@ -49,23 +49,23 @@
 }
 
 /// Pushes under way; all on one thread.
-struct Holders {
+struct PushProgress {
   size_t m_open = 0;
-  size_t m_holding = 0;
+  size_t m_confirmed = 0;
 };
 
-Awaitable<void> PushTo(std::shared_ptr<Holders> holders,
+Awaitable<void> PushTo(std::shared_ptr<PushProgress> progress,
                        const ConfigKeeper& config,
                        wire::Client& peers,
                        Endpoint endpoint,
                        uint64_t revision) {
   auto pushed = co_await PushConfig(config, peers, std::move(endpoint),
-                                    revision, Now() + kReplicateBound);
+                                    revision, Now() + kReplicateTimeout);
   if (pushed)
-    ++holders->m_holding;
+    ++progress->m_confirmed;
   else
     LogLine("config_push_failed").With(pushed.error()).Debug();
-  --holders->m_open;
+  --progress->m_open;
 }
 
 }  // namespace
@@ -94,11 +94,11 @@
 }
 
 bool ConfigFollower::ready() const {
-  const TimePoint heard_at{TimePoint::duration(m_heard_at.load())};
+  const TimePoint last_contact{TimePoint::duration(m_heard_at.load())};
   if (!m_learned)
     return false;
   // Asked for each request: the list is looked at only where it matters.
-  if (Now() - heard_at < kCutOffAfter)
+  if (Now() - last_contact < kIsolationTimeout)
     return true;
   // Where the list shows no other entry, nobody else can accept a change: an
   // outage of the table alone shuts nobody out.
@@ -110,28 +110,28 @@
   // restarted process must not act on less than it did before.
   ConfigKeeper learned(nullptr);
   size_t answers = 0;
-  size_t asked = 0;
+  size_t contacted = 0;
   for (const std::string& entry : Ranked()) {
-    if (entry == m_self || asked == kPeersAsked)
+    if (entry == m_self || contacted == kMaxPeersContacted)
       continue;
-    ++asked;
+    ++contacted;
     auto fetched = co_await FetchConfig(learned, m_peers, AddressOf(entry),
-                                        Duration::zero(), kAskTimeout);
+                                        Duration::zero(), kFetchTimeout);
     if (!fetched)
       continue;
     // One that read the table for us is as good as any number of others; a
     // list that still shows a dead entry then keeps nobody from starting.
-    answers += *fetched ? kPeersToLearnFrom : 1;
-    if (answers >= kPeersToLearnFrom)
+    answers += *fetched ? kPeersRequired : 1;
+    if (answers >= kPeersRequired)
       break;
   }
-  const size_t wanted =
+  const size_t required =
       m_role == model::HostRole::kEntry
-          ? kPeersToLearnFrom
-          : std::min(kPeersToLearnFrom, std::max<size_t>(asked, 1));
-  if (answers >= wanted)
+          ? kPeersRequired
+          : std::min(kPeersRequired, std::max<size_t>(contacted, 1));
+  if (answers >= required)
     m_config.OfferState(*learned.current());
-  co_return answers >= wanted ? answers : 0;
+  co_return answers >= required ? answers : 0;
 }
 
 Awaitable<bool> ConfigFollower::Learn() {
@@ -146,7 +146,7 @@
 
 Awaitable<void> ConfigFollower::Run() {
   while (!co_await Learn())
-    co_await Sleep(Jittered(kRetryPause * 3));
+    co_await Sleep(Jittered(kRetryInterval * 3));
   HeardFrom(0);
   m_learned = true;
   LogLine("config_learned")
@@ -169,11 +169,11 @@
             ? decide::ParentOfEntry(ranked, m_self, slot, failures)
             : decide::ParentOfTarget(ranked, m_self, slot, failures);
     if (parent.empty()) {
-      co_await Sleep(kRetryPause);
+      co_await Sleep(kRetryInterval);
       continue;
     }
     auto fetched = co_await FetchConfig(m_config, m_peers, AddressOf(parent),
-                                        kHold, kAskTimeout);
+                                        kHold, kFetchTimeout);
     if (fetched) {
       m_fetched_at = Now().time_since_epoch().count();
       HeardFrom(0);
@@ -184,7 +184,7 @@
         .With("parent", parent)
         .With(fetched.error())
         .Info();
-    co_await Sleep(Jittered(kRetryPause));
+    co_await Sleep(Jittered(kRetryInterval));
   }
 }
 
@@ -194,10 +194,10 @@
     co_await Sleep(pause);
     const auto ranked = Ranked();
     const TimePoint fetched_at{TimePoint::duration(m_fetched_at.load())};
-    const bool orphan = Now() - fetched_at > kHold + kOrphanAfter;
+    const bool without_parent = Now() - fetched_at > kHold + kParentTimeout;
     const bool reader = decide::ReadsTable(ranked, m_self);
     pause = reader ? m_poll : Jittered(decide::OrphanInterval(ranked.size()));
-    if (!reader && !orphan)
+    if (!reader && !without_parent)
       continue;
     auto read = co_await m_config.CatchUp();
     if (read && reader)
@@ -208,46 +208,46 @@
     }
     LogLine("table_unavailable").With(read.error()).Warn();
     // All readers lose the table at once; they must not come back at once.
-    pause = Jittered(std::min(pause * 4, kLongestBackOff));
+    pause = Jittered(std::min(pause * 4, kMaxBackoff));
   }
 }
 
 Awaitable<void> ConfigFollower::CatchUpWhenBehind() {
-  for (uint64_t asked = 0;; co_await Sleep(kBehindPoll)) {
+  for (uint64_t attempt = 0;; co_await Sleep(kCatchUpInterval)) {
     if (m_config.heard() <= m_config.current()->m_revision)
       continue;
     const auto ranked = Ranked();
     if (ranked.empty())
       continue;
     const std::string entry =
-        decide::ParentOfTarget(ranked, m_self, 0, asked++);
+        decide::ParentOfTarget(ranked, m_self, 0, attempt++);
     if (entry == m_self)
       continue;
     auto ignored = co_await FetchConfig(m_config, m_peers, AddressOf(entry),
-                                        kBehindPoll, kAskTimeout);
+                                        kCatchUpInterval, kFetchTimeout);
     (void)ignored;
   }
 }
 
 Awaitable<size_t> ConfigFollower::Replicate(uint64_t revision) {
   const auto executor = co_await asio::this_coro::executor;
-  auto holders = std::make_shared<Holders>();
-  size_t asked = 0;
+  auto progress = std::make_shared<PushProgress>();
+  size_t contacted = 0;
   // Readers rank first: a change that they hold reaches everyone by the tree.
   for (const std::string& entry : Ranked()) {
-    if (entry == m_self || asked == kPeersAsked)
+    if (entry == m_self || contacted == kMaxPeersContacted)
       continue;
-    ++asked;
-    ++holders->m_open;
+    ++contacted;
+    ++progress->m_open;
     Spawn(executor,
-          PushTo(holders, m_config, m_peers, AddressOf(entry), revision),
+          PushTo(progress, m_config, m_peers, AddressOf(entry), revision),
           "push_to");
   }
-  const TimePoint give_up = Now() + kReplicateBound;
-  while (holders->m_open > 0 && holders->m_holding < kHoldersWanted &&
-         Now() < give_up)
-    co_await Sleep(kReplicatePoll);
-  co_return holders->m_holding;
+  const TimePoint deadline = Now() + kReplicateTimeout;
+  while (progress->m_open > 0 && progress->m_confirmed < kHoldersRequired &&
+         Now() < deadline)
+    co_await Sleep(kReplicatePollInterval);
+  co_return progress->m_confirmed;
 }
 
 }  // namespace verbenalead::daemon
--- a/src/libverbenalead/daemon/config_keeper.cc
+++ b/src/libverbenalead/daemon/config_keeper.cc
@@ -26,16 +26,16 @@
 constexpr char kChangePartition[] = "change";
 constexpr char kOperationPartition[] = "operation";
 /// Changes kept for peers that are behind; further back they get the state.
-constexpr size_t kMaxRecent = 4096;
-constexpr uint32_t kPage = 500;
+constexpr size_t kMaxRecentChanges = 4096;
+constexpr uint32_t kPageSize = 500;
 /// Tries of one commit. Each lost race means that somebody else's write went
 /// through, so with eight operators racing a handful of tries is the rule.
-constexpr int kMaxTries = 64;
+constexpr int kMaxAttempts = 64;
 /// How long a write in doubt is looked for, below the 10 s that an operator's
 /// client waits, so that "unknown" reaches the operator as an answer.
-constexpr Duration kSettleBound = 6s;
+constexpr Duration kInDoubtTimeout = 6s;
 /// Pause after a failed try; a table that struggles is not pressed further.
-constexpr Duration kPause = 100ms;
+constexpr Duration kRetryInterval = 100ms;
 
 /// Sorts as text in the order of the numbers.
 std::string SortOf(uint64_t revision) {
@@ -64,8 +64,9 @@
 
 /// The change that `write`'s operation id is known to have made, if it was this
 /// very write.
-AsyncResult<model::Change> Repeated(const model::Change& known,
-                                    const model::ResourceWrite& write) {
+AsyncResult<model::Change> ResultOfDuplicate(
+    const model::Change& known,
+    const model::ResourceWrite& write) {
   if (known.m_key == write.m_key && known.m_deleted == write.m_deleted &&
       known.m_spec == write.m_spec)
     return known;
@@ -76,7 +77,8 @@
 }
 
 /// The write had no answer, and a read can't settle what became of it.
-Failure Unknown(const model::ResourceWrite& write, const Failure& cause) {
+Failure UnknownOutcome(const model::ResourceWrite& write,
+                       const Failure& cause) {
   return {FailureCode::kTimeout, "write " + ToString(write.m_key), cause.m_peer,
           "the write's outcome is unknown (" + ToString(cause) +
               "); ask again with operation " + write.m_operation};
@@ -132,7 +134,7 @@
         .With("operation", change.m_operation)
         .Info();
     m_recent.push_back(change);
-    if (m_recent.size() > kMaxRecent)
+    if (m_recent.size() > kMaxRecentChanges)
       m_recent.pop_front();
   }
   if (!next)
@@ -263,7 +265,7 @@
   while (true) {
     const uint64_t revision = current()->m_revision;
     auto items =
-        co_await m_table->Query(kChangePartition, SortOf(revision), kPage);
+        co_await m_table->Query(kChangePartition, SortOf(revision), kPageSize);
     if (!items)
       co_return items.error();
     std::vector<model::Change> changes;
@@ -275,7 +277,7 @@
       changes.push_back(std::move(*change));
     }
     Offer(changes);
-    if (items->size() < kPage) {
+    if (items->size() < kPageSize) {
       std::lock_guard lock(m_mutex);
       m_read_at = Now();
       co_return true;
@@ -332,19 +334,19 @@
     return Failure{FailureCode::kNotFound, "delete " + ToString(write.m_key),
                    "", "no such resource"};
   }
-  auto good =
+  auto checked =
       CatchFailure([&] { return decide::CheckReferences(state, write); });
-  if (!good)
-    return good.error();
+  if (!checked)
+    return checked.error();
   return true;
 }
 
 Awaitable<AsyncResult<model::Change>> ConfigKeeper::Commit(
     model::ResourceWrite write) {
   // The revision and failure of a try that may yet take effect.
-  std::optional<std::pair<uint64_t, Failure>> doubt;
-  const TimePoint give_up = Now() + kSettleBound;
-  for (int tries = 0; tries < kMaxTries; ++tries) {
+  std::optional<std::pair<uint64_t, Failure>> in_doubt;
+  const TimePoint deadline = Now() + kInDoubtTimeout;
+  for (int attempt = 0; attempt < kMaxAttempts; ++attempt) {
     auto caught_up = co_await CatchUp();
     const State state = current();
     // The operation is looked up only after `state` was taken. The other way
@@ -354,19 +356,19 @@
     auto known = co_await FindOperation(write.m_operation);
     if (!caught_up || !known) {
       const Failure& failure = caught_up ? known.error() : caught_up.error();
-      if (!doubt)
+      if (!in_doubt)
         co_return failure;
-      if (Now() >= give_up)
-        co_return Unknown(write, doubt->second);
-      co_await m_pause(kPause);
+      if (Now() >= deadline)
+        co_return UnknownOutcome(write, in_doubt->second);
+      co_await m_pause(kRetryInterval);
       continue;
     }
     if (known->has_value())
-      co_return Repeated(**known, write);
+      co_return ResultOfDuplicate(**known, write);
     // The head has passed the revision that the try in doubt wanted, and the
     // operation is not in the table: that try can no longer take effect.
-    if (doubt && state->m_revision >= doubt->first)
-      doubt.reset();
+    if (in_doubt && state->m_revision >= in_doubt->first)
+      in_doubt.reset();
     auto expected = CheckExpected(*state, write);
     if (!expected)
       co_return expected.error();
@@ -382,15 +384,15 @@
     if (done)
       continue;
     if (MayHaveTakenEffect(done.error()))
-      doubt = {change.m_revision, done.error()};
-    else if (!doubt)
+      in_doubt = {change.m_revision, done.error()};
+    else if (!in_doubt)
       co_return done.error();
-    if (Now() >= give_up)
-      co_return Unknown(write, doubt->second);
-    co_await m_pause(kPause);
+    if (Now() >= deadline)
+      co_return UnknownOutcome(write, in_doubt->second);
+    co_await m_pause(kRetryInterval);
   }
-  if (doubt)
-    co_return Unknown(write, doubt->second);
+  if (in_doubt)
+    co_return UnknownOutcome(write, in_doubt->second);
   co_return Failure{FailureCode::kRefused, "write " + ToString(write.m_key), "",
                     "too many writers at once; nothing was written"};
 }
--- a/src/libverbenalead/daemon/config_keeper_test.cc
+++ b/src/libverbenalead/daemon/config_keeper_test.cc
@@ -23,16 +23,22 @@
 using backends::TransactResult;
 
 /// What becomes of one call to the table.
-enum class Fate { kAnswered, kAnswerLost, kRequestLost, kLate, kNotSent };
+enum class CallOutcome {
+  kAnswered,
+  kAnswerLost,
+  kRequestLost,
+  kDelayed,
+  kNotSent
+};
 
 /// The table's content, and the calls under way, which the test lets go on one
 /// by one in whatever order it likes.
-struct Cloud {
+struct TableState {
   struct Turn {
     explicit Turn(asio::io_context& context)
         : m_event(context, TimePoint::max()) {}
     asio::steady_timer m_event;
-    std::optional<Fate> m_fate;
+    std::optional<CallOutcome> m_call_outcome;
   };
 
   bool Apply(const std::vector<TableWrite>& writes) {
@@ -51,21 +57,21 @@
     return true;
   }
 
-  Awaitable<Fate> Wait() {
+  Awaitable<CallOutcome> Wait() {
     auto turn = std::make_shared<Turn>(m_context);
     m_turns.push_back(turn);
-    while (!turn->m_fate) {
+    while (!turn->m_call_outcome) {
       boost::system::error_code ignored;
       co_await turn->m_event.async_wait(
           asio::redirect_error(asio::use_awaitable, ignored));
     }
-    co_return *turn->m_fate;
+    co_return *turn->m_call_outcome;
   }
 
-  void Resume(size_t index, Fate fate) {
+  void Resume(size_t index, CallOutcome outcome) {
     auto turn = m_turns[index];
     m_turns.erase(m_turns.begin() + static_cast<ptrdiff_t>(index));
-    turn->m_fate = fate;
+    turn->m_call_outcome = outcome;
     turn->m_event.cancel();
     Poll();
   }
@@ -96,26 +102,26 @@
 
 class FakeTable : public backends::Table {
  public:
-  explicit FakeTable(Cloud& cloud) : m_cloud(cloud) {}
+  explicit FakeTable(TableState& table_state) : m_table_state(table_state) {}
 
   Awaitable<AsyncResult<std::optional<TableItem>>> Get(
       std::string partition,
       std::string sort) override {
-    if (co_await m_cloud.Wait() != Fate::kAnswered)
+    if (co_await m_table_state.Wait() != CallOutcome::kAnswered)
       co_return Lost(FailureCode::kTimeout);
-    auto found = m_cloud.m_items.find({partition, sort});
-    if (found == m_cloud.m_items.end())
+    auto found = m_table_state.m_items.find({partition, sort});
+    if (found == m_table_state.m_items.end())
       co_return std::optional<TableItem>();
     co_return std::optional<TableItem>(found->second);
   }
 
   Awaitable<AsyncResult<std::vector<TableItem>>>
   Query(std::string partition, std::string after, uint32_t limit) override {
-    if (co_await m_cloud.Wait() != Fate::kAnswered)
+    if (co_await m_table_state.Wait() != CallOutcome::kAnswered)
       co_return Lost(FailureCode::kTimeout);
     std::vector<TableItem> items;
-    for (auto at = m_cloud.m_items.upper_bound({partition, after});
-         at != m_cloud.m_items.end() && at->first.first == partition &&
+    for (auto at = m_table_state.m_items.upper_bound({partition, after});
+         at != m_table_state.m_items.end() && at->first.first == partition &&
          items.size() < limit;
          ++at)
       items.push_back(at->second);
@@ -124,15 +130,16 @@
 
   Awaitable<AsyncResult<TransactResult>> Transact(
       std::vector<TableWrite> writes) override {
-    const Fate fate = co_await m_cloud.Wait();
-    if (fate == Fate::kNotSent)
+    const CallOutcome outcome = co_await m_table_state.Wait();
+    if (outcome == CallOutcome::kNotSent)
       co_return Lost(FailureCode::kUnreachable);
-    if (fate == Fate::kLate)
-      m_cloud.m_late.push_back(writes);
-    if (fate == Fate::kLate || fate == Fate::kRequestLost)
+    if (outcome == CallOutcome::kDelayed)
+      m_table_state.m_late.push_back(writes);
+    if (outcome == CallOutcome::kDelayed ||
+        outcome == CallOutcome::kRequestLost)
       co_return Lost(FailureCode::kTimeout);
-    const bool done = m_cloud.Apply(writes);
-    if (fate == Fate::kAnswerLost)
+    const bool done = m_table_state.Apply(writes);
+    if (outcome == CallOutcome::kAnswerLost)
       co_return Lost(FailureCode::kBroken);
     co_return done ? TransactResult::kCommitted : TransactResult::kConflict;
   }
@@ -140,7 +147,7 @@
  private:
   static Failure Lost(FailureCode code) { return {code, "table", "fake", ""}; }
 
-  Cloud& m_cloud;
+  TableState& m_table_state;
 };
 
 Awaitable<void> NoPause(Duration) {
@@ -174,7 +181,7 @@
 struct Fleet {
   static constexpr size_t kDaemons = 5;
 
-  Fleet() : m_table(m_cloud) {
+  Fleet() : m_table(m_table_state) {
     for (size_t i = 0; i < kDaemons; ++i)
       m_daemons.push_back(NewKeeper());
     m_seen.resize(kDaemons);
@@ -188,28 +195,28 @@
     auto commit = std::make_shared<Commit>();
     commit->m_write = std::move(write);
     m_commits.push_back(commit);
-    asio::co_spawn(m_cloud.m_context, RunCommit(m_daemons[daemon], commit),
-                   asio::detached);
-    m_cloud.Poll();
+    asio::co_spawn(m_table_state.m_context,
+                   RunCommit(m_daemons[daemon], commit), asio::detached);
+    m_table_state.Poll();
     return commit;
   }
 
   void StartCatchUp(size_t daemon) {
-    asio::co_spawn(m_cloud.m_context, RunCatchUp(m_daemons[daemon]),
+    asio::co_spawn(m_table_state.m_context, RunCatchUp(m_daemons[daemon]),
                    asio::detached);
-    m_cloud.Poll();
+    m_table_state.Poll();
   }
 
   /// Lets every call go through until nothing is under way.
   void Settle() {
-    while (!m_cloud.m_turns.empty())
-      m_cloud.Resume(0, Fate::kAnswered);
+    while (!m_table_state.m_turns.empty())
+      m_table_state.Resume(0, CallOutcome::kAnswered);
   }
 
   /// No daemon lowers its revision, and each holds exactly the accepted
   /// changes up to its revision.
   void CheckDaemons() {
-    const std::vector<model::Change> log = m_cloud.Log();
+    const std::vector<model::Change> log = m_table_state.Log();
     for (size_t i = 0; i < kDaemons; ++i) {
       const auto state = m_daemons[i]->current();
       RC_ASSERT(state->m_revision >= m_seen[i]);
@@ -225,7 +232,7 @@
 
   /// What operators were told is true.
   void CheckCommits() {
-    const std::vector<model::Change> log = m_cloud.Log();
+    const std::vector<model::Change> log = m_table_state.Log();
     std::map<std::string, size_t> entries;
     std::map<std::string, size_t> asked;
     for (const model::Change& change : log)
@@ -246,7 +253,7 @@
     }
   }
 
-  Cloud m_cloud;
+  TableState m_table_state;
   FakeTable m_table;
   std::vector<std::shared_ptr<ConfigKeeper>> m_daemons;
   std::vector<uint64_t> m_seen;
@@ -289,18 +296,20 @@
   fleet.Start(daemon, write);
 }
 
-void LetOneGoOn(Fleet& fleet, uint32_t random) {
-  if (fleet.m_cloud.m_turns.empty())
+void CompleteOneCall(Fleet& fleet, uint32_t random) {
+  if (fleet.m_table_state.m_turns.empty())
     return;
-  constexpr Fate kFates[] = {
-      Fate::kAnswered,   Fate::kAnswered,    Fate::kAnswered, Fate::kAnswered,
-      Fate::kAnswerLost, Fate::kRequestLost, Fate::kLate,     Fate::kNotSent};
-  fleet.m_cloud.Resume(random / 8 % fleet.m_cloud.m_turns.size(),
-                       kFates[random % 8]);
+  constexpr CallOutcome kOutcomes[] = {
+      CallOutcome::kAnswered,   CallOutcome::kAnswered,
+      CallOutcome::kAnswered,   CallOutcome::kAnswered,
+      CallOutcome::kAnswerLost, CallOutcome::kRequestLost,
+      CallOutcome::kDelayed,    CallOutcome::kNotSent};
+  fleet.m_table_state.Resume(random / 8 % fleet.m_table_state.m_turns.size(),
+                             kOutcomes[random % 8]);
 }
 
 /// Messages arrive late, twice, out of order, at restarted daemons, or never.
-void Talk(Fleet& fleet, uint32_t random) {
+void ExchangeMessages(Fleet& fleet, uint32_t random) {
   const size_t from = random / 2 % Fleet::kDaemons;
   const size_t to = random / 16 % Fleet::kDaemons;
   if (random % 2 == 0) {
@@ -311,9 +320,9 @@
     const auto& message =
         fleet.m_messages[random / 256 % fleet.m_messages.size()];
     ConfigKeeper& keeper = *fleet.m_daemons[message.first];
-    auto taken =
+    auto applied =
         CatchFailure([&] { return TakeConfig(keeper, message.second); });
-    RC_ASSERT(taken.has_value());
+    RC_ASSERT(applied.has_value());
   }
 }
 
@@ -323,20 +332,20 @@
   if (kind < 3) {
     Ask(fleet, random);
   } else if (kind < 10) {
-    LetOneGoOn(fleet, random);
+    CompleteOneCall(fleet, random);
   } else if (kind < 13) {
-    Talk(fleet, random);
-  } else if (kind == 13 && !fleet.m_cloud.m_late.empty()) {
+    ExchangeMessages(fleet, random);
+  } else if (kind == 13 && !fleet.m_table_state.m_late.empty()) {
     // A write whose sender has long given up reaches the table.
-    fleet.m_cloud.Apply(fleet.m_cloud.m_late.front());
-    fleet.m_cloud.m_late.erase(fleet.m_cloud.m_late.begin());
+    fleet.m_table_state.Apply(fleet.m_table_state.m_late.front());
+    fleet.m_table_state.m_late.erase(fleet.m_table_state.m_late.begin());
   } else if (kind == 14) {
     fleet.StartCatchUp(random % Fleet::kDaemons);
   } else if (kind == 15 && random % 8 == 1) {
-    asio::co_spawn(fleet.m_cloud.m_context,
+    asio::co_spawn(fleet.m_table_state.m_context,
                    RunSnapshot(fleet.m_daemons[random / 8 % Fleet::kDaemons]),
                    asio::detached);
-    fleet.m_cloud.Poll();
+    fleet.m_table_state.Poll();
   } else if (kind == 15 && random % 8 == 0) {
     // The process is replaced; what it had sent to the table goes on.
     const size_t daemon = random / 8 % Fleet::kDaemons;
@@ -347,13 +356,13 @@
 
 class ConfigKeeperTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ConfigKeeperTest);
-  CPPUNIT_TEST(OwnWriteIsNotTakenForSomebodyElses);
-  CPPUNIT_TEST(OperationIdNamesOneWrite);
-  CPPUNIT_TEST(LoserIsToldTheWinner);
-  CPPUNIT_TEST(UsedResourceIsNotDeleted);
+  CPPUNIT_TEST(OwnWriteIsNotReportedAsConflict);
+  CPPUNIT_TEST(OperationIdIdentifiesOneWrite);
+  CPPUNIT_TEST(ConflictNamesTheWinningWrite);
+  CPPUNIT_TEST(ReferencedResourceIsNotDeleted);
   CPPUNIT_TEST(StartsFromASnapshot);
-  CPPUNIT_TEST(NothingIsDoubledLostOrLowered);
-  CPPUNIT_TEST(ThreadsReadAndOfferAtOnce);
+  CPPUNIT_TEST(NoChangeIsDuplicatedLostOrReverted);
+  CPPUNIT_TEST(ConcurrentReadsAndOffers);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -361,27 +370,27 @@
   // answer is lost and the write is slow: it lands after the look-up of the
   // operation and before the read of the log, which then shows another
   // revision than the operator expected: the operator's own.
-  void OwnWriteIsNotTakenForSomebodyElses() {
+  void OwnWriteIsNotReportedAsConflict() {
     Fleet fleet;
     model::ResourceWrite write = WriteOf("a", "op1");
     write.m_expected_revision = 0;
     auto commit = fleet.Start(0, write);
     // Snapshot, log and operation are read, and the write is sent.
-    fleet.m_cloud.Resume(0, Fate::kAnswered);
-    fleet.m_cloud.Resume(0, Fate::kAnswered);
-    fleet.m_cloud.Resume(0, Fate::kAnswered);
-    fleet.m_cloud.Resume(0, Fate::kLate);
+    fleet.m_table_state.Resume(0, CallOutcome::kAnswered);
+    fleet.m_table_state.Resume(0, CallOutcome::kAnswered);
+    fleet.m_table_state.Resume(0, CallOutcome::kAnswered);
+    fleet.m_table_state.Resume(0, CallOutcome::kDelayed);
     // Snapshot and the first of the two others are read again.
-    fleet.m_cloud.Resume(0, Fate::kAnswered);
-    fleet.m_cloud.Resume(0, Fate::kAnswered);
-    fleet.m_cloud.Apply(fleet.m_cloud.m_late.front());
+    fleet.m_table_state.Resume(0, CallOutcome::kAnswered);
+    fleet.m_table_state.Resume(0, CallOutcome::kAnswered);
+    fleet.m_table_state.Apply(fleet.m_table_state.m_late.front());
     fleet.Settle();
     CPPUNIT_ASSERT(commit->m_result.has_value());
     CPPUNIT_ASSERT(commit->m_result->has_value());
     CPPUNIT_ASSERT_EQUAL(uint64_t{1}, (*commit->m_result)->m_revision);
   }
 
-  void OperationIdNamesOneWrite() {
+  void OperationIdIdentifiesOneWrite() {
     Fleet fleet;
     fleet.Start(0, WriteOf("a", "op1"));
     fleet.Settle();
@@ -392,7 +401,7 @@
     CPPUNIT_ASSERT(other->m_result->error().m_code == FailureCode::kInvalid);
   }
 
-  void LoserIsToldTheWinner() {
+  void ConflictNamesTheWinningWrite() {
     Fleet fleet;
     model::ResourceWrite first = WriteOf("a", "op1");
     model::ResourceWrite second = WriteOf("a", "op2");
@@ -408,7 +417,7 @@
         std::string::npos);
   }
 
-  void UsedResourceIsNotDeleted() {
+  void ReferencedResourceIsNotDeleted() {
     Fleet fleet;
     model::ResourceWrite model = WriteOf("m", "op1");
     model.m_key.m_kind = "model";
@@ -434,12 +443,12 @@
       fleet.Start(0, WriteOf("a", "op" + std::to_string(i)));
       fleet.Settle();
     }
-    asio::co_spawn(fleet.m_cloud.m_context, RunSnapshot(fleet.m_daemons[0]),
-                   asio::detached);
-    fleet.m_cloud.Poll();
+    asio::co_spawn(fleet.m_table_state.m_context,
+                   RunSnapshot(fleet.m_daemons[0]), asio::detached);
+    fleet.m_table_state.Poll();
     fleet.Settle();
     // Of the log only what came after is needed.
-    std::erase_if(fleet.m_cloud.m_items, [](const auto& item) {
+    std::erase_if(fleet.m_table_state.m_items, [](const auto& item) {
       return item.first.first == "change";
     });
     fleet.StartCatchUp(1);
@@ -453,7 +462,7 @@
   // news, wake late and are replaced. 100 runs of 400 steps. After each step
   // every daemon holds a prefix of the table's log and none has gone back; in
   // the end what operators were told is true and all daemons agree.
-  void NothingIsDoubledLostOrLowered() {
+  void NoChangeIsDuplicatedLostOrReverted() {
     const bool good = rc::check("accepted is in force, none goes back", [] {
       // At full size from the first run on, or early runs would be dull. Not
       // shrunk: the trial took more than nine minutes over it.
@@ -466,8 +475,8 @@
         Step(fleet, random);
         fleet.CheckDaemons();
       }
-      for (const auto& writes : fleet.m_cloud.m_late)
-        fleet.m_cloud.Apply(writes);
+      for (const auto& writes : fleet.m_table_state.m_late)
+        fleet.m_table_state.Apply(writes);
       fleet.Settle();
       for (size_t i = 0; i < Fleet::kDaemons; ++i)
         fleet.StartCatchUp(i);
@@ -475,12 +484,13 @@
       fleet.CheckDaemons();
       fleet.CheckCommits();
       for (const auto& daemon : fleet.m_daemons)
-        RC_ASSERT(daemon->current()->m_revision == fleet.m_cloud.Log().size());
+        RC_ASSERT(daemon->current()->m_revision ==
+                  fleet.m_table_state.Log().size());
     });
     CPPUNIT_ASSERT(good);
   }
 
-  void ThreadsReadAndOfferAtOnce() {
+  void ConcurrentReadsAndOffers() {
     ConfigKeeper keeper(nullptr);
     std::vector<std::thread> threads;
     for (int t = 0; t < 4; ++t) {
--- a/src/libverbenalead/daemon/config_messages.cc
+++ b/src/libverbenalead/daemon/config_messages.cc
@@ -64,10 +64,10 @@
     co_return Failure{FailureCode::kRefused, "fetch configuration",
                       ToString(endpoint), response->m_body};
   }
-  auto taken =
+  auto applied =
       CatchFailure([&] { return TakeConfig(keeper, response->m_body); });
-  if (!taken)
-    co_return taken.error();
+  if (!applied)
+    co_return applied.error();
   co_return !wire::Get(response->m_headers, peer::kFromTable).empty();
 }
 
@@ -79,7 +79,7 @@
   // The first message holds the change alone; who lacks earlier ones answers
   // with the revision it stands at, and is sent all from there.
   uint64_t held = revision - 1;
-  for (int tries = 0; tries < 2; ++tries) {
+  for (int attempt = 0; attempt < 2; ++attempt) {
     wire::Request request;
     request.m_method = "POST";
     request.m_path = "/v1/config";
--- a/src/libverbenalead/daemon/crash_note_exchange.cc
+++ b/src/libverbenalead/daemon/crash_note_exchange.cc
@@ -29,12 +29,12 @@
 constexpr size_t kMaxPending = 1000;
 
 /// What one entry has not been told yet.
-struct Pending {
+struct PendingNotes {
   std::vector<decide::CrashNote> m_notes;
-  bool m_telling = false;
+  bool m_sending = false;
 };
 
-using PendingByEntry = std::map<std::string, Pending>;
+using PendingNotesByEntry = std::map<std::string, PendingNotes>;
 
 wire::Request MakeMessage(const std::vector<decide::CrashNote>& notes) {
   wire::Request request;
@@ -44,7 +44,7 @@
   return request;
 }
 
-Awaitable<void> Tell(std::shared_ptr<PendingByEntry> pending,
+Awaitable<void> Tell(std::shared_ptr<PendingNotesByEntry> pending,
                      wire::Client& peers,
                      model::Host entry) {
   std::vector<decide::CrashNote> notes =
@@ -52,16 +52,18 @@
   wire::Request message = MakeMessage(notes);
   auto response = co_await wire::Fetch(peers, entry.peer(), std::move(message),
                                        Now() + kTimeout);
-  Pending& left = (*pending)[entry.name()];
-  left.m_telling = false;
+  PendingNotes& remaining = (*pending)[entry.name()];
+  remaining.m_sending = false;
   if (!response || response->m_status != 200)
-    left.m_notes.insert(left.m_notes.begin(), notes.begin(), notes.end());
+    remaining.m_notes.insert(remaining.m_notes.begin(), notes.begin(),
+                             notes.end());
 }
 
 /// Adds `news` to what the entry lacks; the oldest notes give way.
-void Add(Pending& pending, const std::vector<decide::CrashNote>& news) {
+void Add(PendingNotes& pending,
+         const std::vector<decide::CrashNote>& new_notes) {
   auto& notes = pending.m_notes;
-  notes.insert(notes.end(), news.begin(), news.end());
+  notes.insert(notes.end(), new_notes.begin(), new_notes.end());
   if (notes.size() > kMaxPending)
     notes.erase(notes.begin(), notes.end() - kMaxPending);
 }
@@ -133,24 +135,24 @@
                                    wire::Client& peers,
                                    std::string self) {
   const auto executor = co_await boost::asio::this_coro::executor;
-  auto pending = std::make_shared<PendingByEntry>();
+  auto pending = std::make_shared<PendingNotesByEntry>();
   auto wake = std::make_shared<boost::asio::steady_timer>(executor);
   // A look every 50 ms was too slow: a caller that tries one entry after the
   // other needs a few milliseconds for each.
-  std::function<void()> on_news = [executor, wake] {
+  std::function<void()> on_new_notes = [executor, wake] {
     boost::asio::post(executor, [wake] { wake->cancel(); });
   };
-  quarantine.SetOnNews(on_news);
+  quarantine.SetOnNews(on_new_notes);
   while (true) {
-    const std::vector<decide::CrashNote> news = quarantine.News();
+    const std::vector<decide::CrashNote> new_notes = quarantine.News();
     for (const model::Host& entry : hosts.Hosts(model::HostRole::kEntry)) {
-      Pending& known = (*pending)[entry.name()];
+      PendingNotes& known = (*pending)[entry.name()];
       if (entry.name() == self)
         continue;
-      Add(known, news);
-      if (known.m_notes.empty() || known.m_telling)
+      Add(known, new_notes);
+      if (known.m_notes.empty() || known.m_sending)
         continue;
-      known.m_telling = true;
+      known.m_sending = true;
       Spawn(executor, Tell(pending, peers, entry), "tell");
     }
     wake->expires_after(kRetryInterval);
--- a/src/libverbenalead/daemon/entry_access.cc
+++ b/src/libverbenalead/daemon/entry_access.cc
@@ -7,7 +7,7 @@
 
 constexpr char kLoopback[] = "127.";
 
-AsyncResult<bool> MayStandOpen(const Settings& settings) {
+AsyncResult<bool> CheckOpenListener(const Settings& settings) {
   const Endpoint operators = settings.Address("listen.operators");
   if (operators.address().starts_with(kLoopback) ||
       operators.address() == "::1")
@@ -30,7 +30,7 @@
   const std::string path = settings.Text("operators.token_file");
   if (path.empty()) {
     if (m_read)
-      m_read = MayStandOpen(settings);
+      m_read = CheckOpenListener(settings);
     return;
   }
   auto tokens = ReadSecrets(path);
--- a/src/libverbenalead/daemon/entry_daemon.cc
+++ b/src/libverbenalead/daemon/entry_daemon.cc
@@ -48,7 +48,7 @@
 /// A stopping entry goes on accepting for as long as callers keep a list of
 /// entries that still names it: the list's time to live, and a margin for the
 /// other entries to hear of the stop and for callers to fetch the next list.
-constexpr Duration kKeepAccepting = front::kEntriesTtl + 2s;
+constexpr Duration kAcceptAfterStop = front::kEntriesTtl + 2s;
 
 }  // namespace
 
@@ -88,7 +88,7 @@
                     settings.Text("region"),
                     settings.Milliseconds("targets.poll")),
         m_runner(m_routers, m_peers, m_table, m_journal),
-        m_counting(m_runner, m_metrics),
+        m_counting_runner(m_runner, m_metrics),
         m_access(settings),
         m_callers(m_threads, CallerLimits(settings), Callers(), m_access.tls()),
         m_operators(m_threads,
@@ -114,7 +114,7 @@
     context.m_entries = [this] { return EntryAddresses(); };
     context.m_stopping = [this] { return m_stopping.load(); };
     context.m_metrics = [this] { return m_metrics.Text(); };
-    context.m_runner = &m_counting;
+    context.m_runner = &m_counting_runner;
     return WithReadiness([this] { return m_follower.ready(); },
                          front::MakeCallersApi(std::move(context)));
   }
@@ -146,9 +146,9 @@
   std::vector<std::string> EntryAddresses() {
     std::vector<std::string> addresses;
     for (const model::Host& host : m_hosts.Hosts(model::HostRole::kEntry)) {
-      const bool us = host.name() == m_settings.Text("host");
+      const bool is_self = host.name() == m_settings.Text("host");
       if (!host.leaving() && !m_leaving.Contains(host.name()) &&
-          !(us && m_stopping))
+          !(is_self && m_stopping))
         addresses.push_back(ToString(host.callers()));
     }
     return addresses;
@@ -193,8 +193,8 @@
 
   /// Null where the settings name no object store.
   backends::ObjectStore* Segments() {
-    const bool named = !m_settings.Text("platform.object_store").empty();
-    return named ? &m_objects : nullptr;
+    const bool configured = !m_settings.Text("platform.object_store").empty();
+    return configured ? &m_objects : nullptr;
   }
 
   Awaitable<AsyncResult<bool>> DrainTarget(std::string target) {
@@ -214,7 +214,7 @@
   }
 
   /// The claims' share of the table's writes depends on how many entries share.
-  Awaitable<void> CountEntries() {
+  Awaitable<void> UpdateEntryCount() {
     while (true) {
       m_runner.SetEntries(m_hosts.Hosts(model::HostRole::kEntry).size());
       co_await Sleep(m_settings.Milliseconds("config.poll"));
@@ -224,9 +224,10 @@
   Awaitable<void> StopWhenAsked() {
     co_await m_signals.async_wait(asio::use_awaitable);
     m_stopping = true;
-    LogLine("stopping").With("running", m_counting.running()).Info();
-    const TimePoint give_up = Now() + m_settings.Milliseconds("stop.grace");
-    const TimePoint stop_accepting = std::min(give_up, Now() + kKeepAccepting);
+    LogLine("stopping").With("running", m_counting_runner.running()).Info();
+    const TimePoint deadline = Now() + m_settings.Milliseconds("stop.grace");
+    const TimePoint stop_accepting =
+        std::min(deadline, Now() + kAcceptAfterStop);
     m_callers.Drain();
     co_await TellLeaving(m_peers, m_settings.Text("host"),
                          m_hosts.Hosts(model::HostRole::kEntry));
@@ -237,13 +238,13 @@
     // the end of its answer written.
     do {
       co_await Sleep(kStopPoll);
-    } while (Now() < give_up && m_callers.busy() > 0);
+    } while (Now() < deadline && m_callers.busy() > 0);
     LogLine("stopped").With("cut_off", m_callers.busy()).Info();
     m_threads.Stop();
   }
 
   /// SIGHUP: certificates and keys are replaced without a restart.
-  Awaitable<void> ReloadWhenAsked() {
+  Awaitable<void> ReloadOnHangup() {
     while (true) {
       co_await m_hangup.async_wait(asio::use_awaitable);
       for (const auto& done : {m_access.Reload(), m_credentials.Load()}) {
@@ -293,7 +294,7 @@
   PoolRouters m_routers;
   TargetDirectory m_directory;
   RequestRunner m_runner;
-  CountingRunner m_counting;
+  CountingRunner m_counting_runner;
   std::atomic<bool> m_stopping{false};
   EntryAccess m_access;
   http::Server m_callers;
@@ -314,7 +315,7 @@
     return 1;
   const auto executor = parts.m_threads.main();
   SpawnLoop(executor, parts.m_follower.Run(), "follow_config");
-  SpawnLoop(executor, parts.CountEntries(), "count_entries");
+  SpawnLoop(executor, parts.UpdateEntryCount(), "count_entries");
   SpawnLoop(executor,
             ExchangeCrashNotes(parts.m_runner.quarantine(), parts.m_hosts,
                                parts.m_peers, parts.m_settings.Text("host")),
@@ -327,7 +328,7 @@
         "flush_journal");
   }
   SpawnLoop(executor, parts.StopWhenAsked(), "stop_when_asked");
-  SpawnLoop(executor, parts.ReloadWhenAsked(), "reload_when_asked");
+  SpawnLoop(executor, parts.ReloadOnHangup(), "reload_when_asked");
   LogLine("started").With("host", parts.m_settings.Text("host")).Info();
   parts.m_threads.Run();
   return 0;
--- a/src/libverbenalead/daemon/entry_peer_api.cc
+++ b/src/libverbenalead/daemon/entry_peer_api.cc
@@ -10,13 +10,13 @@
 namespace verbenalead::daemon {
 namespace {
 
-constexpr std::string_view kTrace = "/v1/trace/";
+constexpr std::string_view kTracePrefix = "/v1/trace/";
 
 /// Longest time that a question for news is held back.
-constexpr uint64_t kLongestHoldMs = 30000;
+constexpr uint64_t kMaxHoldMs = 30000;
 
 /// Age at which a read of the table still stands for the newest.
-constexpr Duration kFreshFor = 500ms;
+constexpr Duration kMaxReadAge = 500ms;
 
 uint64_t NumberIn(const wire::Request& request, const char* name) {
   return std::strtoull(wire::QueryValue(request, name).c_str(), nullptr, 10);
@@ -27,13 +27,13 @@
 Awaitable<wire::Response> GetConfig(EntryPeerContext context,
                                     wire::Request request) {
   const uint64_t after = NumberIn(request, "after");
-  const bool fresh = NumberIn(request, "fresh") != 0;
-  if (fresh && Now() - context.m_config->read_at() >= kFreshFor) {
+  const bool must_be_current = NumberIn(request, "fresh") != 0;
+  if (must_be_current && Now() - context.m_config->read_at() >= kMaxReadAge) {
     auto ignored = co_await context.m_config->CatchUp();
     (void)ignored;
   }
   const auto hold = std::chrono::milliseconds(
-      std::min(NumberIn(request, "hold_ms"), kLongestHoldMs));
+      std::min(NumberIn(request, "hold_ms"), kMaxHoldMs));
   co_await context.m_config->WaitBeyond(after, Now() + hold);
   // A process that has not learned the newest, or is cut off, is no source:
   // whoever relied on it would take silence for "nothing new".
@@ -43,19 +43,19 @@
       wire::JsonResponse(200, ConfigSince(*context.m_config, after));
   // Read just now is new enough, so that a fleet that starts at once costs the
   // table two reads a second for each entry it asks.
-  if (Now() - context.m_config->read_at() < kFreshFor)
+  if (Now() - context.m_config->read_at() < kMaxReadAge)
     response.m_headers[peer::kFromTable] = "true";
   co_return response;
 }
 
 wire::Response PostConfig(const EntryPeerContext& context,
                           const wire::Request& request) {
-  auto taken = CatchFailure(
+  auto applied = CatchFailure(
       [&] { return TakeConfig(*context.m_config, request.m_body); });
   const uint64_t revision = context.m_config->current()->m_revision;
   // One that is still learning may forget nothing it was told, but can't yet
   // vouch for it.
-  const int status = !taken ? 400 : context.m_ready() ? 200 : 503;
+  const int status = !applied ? 400 : context.m_ready() ? 200 : 503;
   return {status, {}, std::to_string(revision)};
 }
 
@@ -66,10 +66,10 @@
     co_return PostConfig(context, request);
   if (path == "/v1/config")
     co_return co_await GetConfig(context, std::move(request));
-  if (path.starts_with(kTrace)) {
+  if (path.starts_with(kTracePrefix)) {
     std::string body;
     for (const std::string& line :
-         context.m_journal->Find(path.substr(kTrace.size())))
+         context.m_journal->Find(path.substr(kTracePrefix.size())))
       body += line + "\n";
     co_return wire::Response{200, {}, std::move(body)};
   }
--- a/src/libverbenalead/daemon/fence_minter.cc
+++ b/src/libverbenalead/daemon/fence_minter.cc
@@ -22,16 +22,16 @@
   auto item = co_await m_table.Get(kPartition, m_host);
   if (!item)
     co_return item.error();
-  const bool known = item->has_value();
-  const uint64_t last = known ? (*item)->m_revision : 0;
-  const bool ours = known && (*item)->m_value == m_owner;
-  if (m_minted && !ours) {
+  const bool exists = item->has_value();
+  const uint64_t last = exists ? (*item)->m_revision : 0;
+  const bool is_owner = exists && (*item)->m_value == m_owner;
+  if (m_minted && !is_owner) {
     co_return Failure{FailureCode::kConflict, "mint fence", m_host,
                       "a newer process minted " + std::to_string(last)};
   }
   backends::TableWrite write;
   write.m_item = {kPartition, m_host, last + 1, m_owner};
-  write.m_condition = known ? Condition::kRevisionIs : Condition::kAbsent;
+  write.m_condition = exists ? Condition::kRevisionIs : Condition::kAbsent;
   write.m_expected_revision = last;
   std::vector<backends::TableWrite> writes;
   writes.push_back(std::move(write));
--- a/src/libverbenalead/daemon/journal_test.cc
+++ b/src/libverbenalead/daemon/journal_test.cc
@@ -8,13 +8,13 @@
 
 class JournalTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(JournalTest);
-  CPPUNIT_TEST(ForgetsTheOldestFirst);
-  CPPUNIT_TEST(ThreadsWriteAtOnce);
-  CPPUNIT_TEST(SegmentIsBoundedAndSaysSo);
+  CPPUNIT_TEST(EvictsOldestRequestFirst);
+  CPPUNIT_TEST(ConcurrentRecords);
+  CPPUNIT_TEST(SegmentIsBoundedAndReportsDroppedLines);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void ForgetsTheOldestFirst() {
+  void EvictsOldestRequestFirst() {
     Journal journal("h", 16);
     for (int i = 0; i < 1000; ++i)
       journal.Record("r" + std::to_string(i), LogLine("x"));
@@ -22,7 +22,7 @@
     CPPUNIT_ASSERT_EQUAL(size_t{1}, journal.Find("r999").size());
   }
 
-  void ThreadsWriteAtOnce() {
+  void ConcurrentRecords() {
     Journal journal("h", 1000);
     std::vector<std::thread> threads;
     for (int t = 0; t < 4; ++t) {
@@ -38,7 +38,7 @@
 
   // The object store takes nothing for a long while. Memory must not grow, and
   // whoever reads the next segment must see that lines are missing.
-  void SegmentIsBoundedAndSaysSo() {
+  void SegmentIsBoundedAndReportsDroppedLines() {
     Journal journal("h", 16);
     const std::string filler(1000, 'x');
     for (int i = 0; i < 3000; ++i)
--- a/src/libverbenalead/daemon/leaving_entries.cc
+++ b/src/libverbenalead/daemon/leaving_entries.cc
@@ -7,7 +7,7 @@
 
 constexpr char kLeavingPath[] = "/v1/leaving";
 constexpr char kHostHeader[] = "x-host";
-constexpr Duration kNoticeHolds = std::chrono::minutes(1);
+constexpr Duration kNoticeLifetime = std::chrono::minutes(1);
 constexpr Duration kNoticeTimeout = 500ms;
 
 Awaitable<void> Answer(LeavingEntries& leaving,
@@ -34,7 +34,7 @@
 bool LeavingEntries::Contains(const std::string& host) const {
   std::lock_guard lock(m_mutex);
   auto found = m_since.find(host);
-  return found != m_since.end() && Now() - found->second < kNoticeHolds;
+  return found != m_since.end() && Now() - found->second < kNoticeLifetime;
 }
 
 wire::Handler TakeLeavingNotices(LeavingEntries& leaving,
@@ -55,10 +55,10 @@
     request.m_method = "POST";
     request.m_path = kLeavingPath;
     request.m_headers[kHostHeader] = host;
-    auto told = co_await wire::Fetch(peers, entry.peer(), std::move(request),
-                                     Now() + kNoticeTimeout);
-    if (!told)
-      LogLine("leaving_not_told").With(told.error()).Warn();
+    auto response = co_await wire::Fetch(
+        peers, entry.peer(), std::move(request), Now() + kNoticeTimeout);
+    if (!response)
+      LogLine("leaving_not_told").With(response.error()).Warn();
   }
 }
 
--- a/src/libverbenalead/daemon/permit_table.cc
+++ b/src/libverbenalead/daemon/permit_table.cc
@@ -22,11 +22,11 @@
 
 Awaitable<decide::WriteResult> PermitTable::Write(decide::PermitBoard board) {
   using Condition = backends::TableWrite::Condition;
-  const uint64_t before = board.m_revision - 1;
+  const uint64_t previous = board.m_revision - 1;
   backends::TableWrite write;
   write.m_item = {kPartition, m_pool, board.m_revision, ToJson(board)};
-  write.m_condition = before ? Condition::kRevisionIs : Condition::kAbsent;
-  write.m_expected_revision = before;
+  write.m_condition = previous ? Condition::kRevisionIs : Condition::kAbsent;
+  write.m_expected_revision = previous;
   std::vector<backends::TableWrite> writes;
   writes.push_back(std::move(write));
   auto done = co_await m_table.Transact(std::move(writes));
--- a/src/libverbenalead/daemon/quarantine_keeper.h
+++ b/src/libverbenalead/daemon/quarantine_keeper.h
@@ -15,8 +15,8 @@
  public:
   /// `on_news` is called, from any thread, after each crash that is to be told
   /// to other entries. Set before the first one.
-  void SetOnNews(std::function<void()> on_news) {
-    m_on_news = std::move(on_news);
+  void SetOnNews(std::function<void()> on_new_notes) {
+    m_on_news = std::move(on_new_notes);
   }
 
   void NoteCrash(uint64_t key, const std::string& target) {
--- a/src/libverbenalead/daemon/readiness.cc
+++ b/src/libverbenalead/daemon/readiness.cc
@@ -13,11 +13,11 @@
 constexpr Duration kRetryAfter = 1s;
 
 /// Paths that bring new work: callers' and the attempts of entries.
-bool BringsWork(const std::string& path) {
-  constexpr std::string_view kWork[] = {"/v1/completions", "/v1/chat/",
-                                        "/services/", "/v1/attempt"};
+bool IsNewWork(const std::string& path) {
+  constexpr std::string_view kWorkPaths[] = {"/v1/completions", "/v1/chat/",
+                                             "/services/", "/v1/attempt"};
   return std::any_of(
-      std::begin(kWork), std::end(kWork),
+      std::begin(kWorkPaths), std::end(kWorkPaths),
       [&](std::string_view start) { return path.starts_with(start); });
 }
 
@@ -41,7 +41,7 @@
                             wire::Handler handler) {
   return [ready = std::move(ready), handler = std::move(handler)](
              const wire::Request& request, wire::ResponseWriter& writer) {
-    if (BringsWork(wire::PathOf(request)) && !ready())
+    if (IsNewWork(wire::PathOf(request)) && !ready())
       return Refuse(request, writer);
     return handler(request, writer);
   };
--- a/src/libverbenalead/daemon/target_directory.cc
+++ b/src/libverbenalead/daemon/target_directory.cc
@@ -11,7 +11,7 @@
 namespace verbenalead::daemon {
 namespace {
 
-constexpr Duration kAskTimeout = 1s;
+constexpr Duration kReportTimeout = 1s;
 /// How long a target holds its answer back while nothing changes. Below the age
 /// at which its last report no longer counts as a sign of life.
 constexpr Duration kHold = 1500ms;
@@ -33,10 +33,10 @@
     for (const model::Host& host : decide::Watched(m_members, Now())) {
       if (host.leaving())
         MarkLeaving(host);
-      bool& asking = m_known[host.name()].m_asking;
-      if (asking)
+      bool& request_pending = m_known[host.name()].m_asking;
+      if (request_pending)
         continue;
-      asking = true;
+      request_pending = true;
       Spawn(executor, AskTarget(host), "ask_target");
     }
     for (PoolRouter* router : m_routers.All())
@@ -61,7 +61,7 @@
       "/v1/status?hold_ms=" + std::to_string(ToMilliseconds(kHold)) +
       "&seen=" + m_known[host.name()].m_seen;
   auto response = co_await wire::Fetch(m_peers, host.peer(), std::move(request),
-                                       Now() + kHold + kAskTimeout);
+                                       Now() + kHold + kReportTimeout);
   m_known[host.name()].m_asking = false;
   if (response) {
     TakeReport(host, *response);
--- a/src/libverbenalead/daemon/trace_gatherer.cc
+++ b/src/libverbenalead/daemon/trace_gatherer.cc
@@ -17,20 +17,20 @@
 
 namespace asio = boost::asio;
 
-constexpr Duration kAskTimeout = 100ms;
+constexpr Duration kTraceTimeout = 100ms;
 constexpr Duration kFlushInterval = 1s;
-constexpr Duration kFlushPauseMost = 30s;
-constexpr char kSegments[] = "journal/";
+constexpr Duration kMaxFlushInterval = 30s;
+constexpr char kSegmentPrefix[] = "journal/";
 /// Segments of one entry that a trace reads, the newest first: half a minute
 /// of a busy one. More would not be read within 200 ms.
-constexpr size_t kSegmentsRead = 32;
+constexpr size_t kMaxSegmentsRead = 32;
 /// How far back segments are listed; a list holds a thousand keys, the oldest
 /// first, and the newest are wanted.
-constexpr int64_t kListedMilliseconds = 600'000;
+constexpr int64_t kSearchWindowMs = 600'000;
 
 /// Answers that are awaited at once; all on one thread.
-struct Gathering {
-  explicit Gathering(const asio::any_io_executor& executor)
+struct PendingAnswers {
+  explicit PendingAnswers(const asio::any_io_executor& executor)
       : m_done(executor, TimePoint::max()) {}
 
   size_t m_open = 0;
@@ -38,31 +38,31 @@
   asio::steady_timer m_done;
 };
 
-void Take(Gathering& gathering, const std::string& body) {
+void Take(PendingAnswers& pending, const std::string& body) {
   std::istringstream stream(body);
   for (std::string line; std::getline(stream, line);)
-    gathering.m_lines.push_back(line);
+    pending.m_lines.push_back(line);
 }
 
-void End(Gathering& gathering) {
-  if (--gathering.m_open == 0)
-    gathering.m_done.cancel();
+void End(PendingAnswers& pending) {
+  if (--pending.m_open == 0)
+    pending.m_done.cancel();
 }
 
-Awaitable<void> Ask(std::shared_ptr<Gathering> gathering,
+Awaitable<void> Ask(std::shared_ptr<PendingAnswers> pending,
                     std::string request_id,
                     wire::Client& peers,
                     model::Host host) {
   wire::Request request;
   request.m_path = "/v1/trace/" + request_id;
   auto response = co_await wire::Fetch(peers, host.peer(), std::move(request),
-                                       Now() + kAskTimeout);
+                                       Now() + kTraceTimeout);
   if (response)
-    Take(*gathering, response->m_body);
+    Take(*pending, response->m_body);
   else
-    gathering->m_lines.push_back(
+    pending->m_lines.push_back(
         LogLine("host_silent").With("host", host.name()).text());
-  End(*gathering);
+  End(*pending);
 }
 
 int64_t UnixMilliseconds() {
@@ -71,16 +71,16 @@
       .count();
 }
 
-Awaitable<void> Wait(std::shared_ptr<Gathering> gathering) {
-  while (gathering->m_open > 0) {
+Awaitable<void> Wait(std::shared_ptr<PendingAnswers> pending) {
+  while (pending->m_open > 0) {
     boost::system::error_code ignored;
-    co_await gathering->m_done.async_wait(
+    co_await pending->m_done.async_wait(
         asio::redirect_error(asio::use_awaitable, ignored));
   }
 }
 
 /// The lines of `request` in one segment.
-Awaitable<void> ReadSegment(std::shared_ptr<Gathering> gathering,
+Awaitable<void> ReadSegment(std::shared_ptr<PendingAnswers> pending,
                             backends::ObjectStore& store,
                             std::string key,
                             std::string request) {
@@ -90,40 +90,39 @@
     std::istringstream stream(*segment);
     for (std::string line; std::getline(stream, line);) {
       const size_t at = line.find(mark);
-      const bool ours =
+      const bool matches =
           at != std::string::npos &&
           (at + mark.size() == line.size() || line[at + mark.size()] == ' ');
-      if (ours || line.starts_with("event=journal_dropped"))
-        gathering->m_lines.push_back(line);
+      if (matches || line.starts_with("event=journal_dropped"))
+        pending->m_lines.push_back(line);
     }
   }
-  End(*gathering);
+  End(*pending);
 }
 
-Awaitable<void> SearchSegments(std::shared_ptr<Gathering> gathering,
+Awaitable<void> SearchSegments(std::shared_ptr<PendingAnswers> pending,
                                backends::ObjectStore& store,
                                std::string host,
                                std::string request) {
   const auto executor = co_await asio::this_coro::executor;
-  const std::string folder = kSegments + host + "/";
+  const std::string folder = kSegmentPrefix + host + "/";
   auto keys = co_await store.List(
-      folder,
-      folder + std::to_string(UnixMilliseconds() - kListedMilliseconds));
+      folder, folder + std::to_string(UnixMilliseconds() - kSearchWindowMs));
   if (keys) {
     const size_t first =
-        keys->size() > kSegmentsRead ? keys->size() - kSegmentsRead : 0;
+        keys->size() > kMaxSegmentsRead ? keys->size() - kMaxSegmentsRead : 0;
     for (size_t i = first; i < keys->size(); ++i) {
-      ++gathering->m_open;
-      Spawn(executor, ReadSegment(gathering, store, (*keys)[i], request),
+      ++pending->m_open;
+      Spawn(executor, ReadSegment(pending, store, (*keys)[i], request),
             "read_segment");
     }
   } else {
-    gathering->m_lines.push_back(LogLine("segments_unavailable")
-                                     .With("host", host)
-                                     .With(keys.error())
-                                     .text());
+    pending->m_lines.push_back(LogLine("segments_unavailable")
+                                   .With("host", host)
+                                   .With(keys.error())
+                                   .text());
   }
-  End(*gathering);
+  End(*pending);
 }
 
 bool Contains(const std::vector<std::string>& lines, const char* text) {
@@ -144,9 +143,9 @@
     if (segment.empty())
       continue;
     auto put = co_await store.Put(
-        kSegments + host + "/" + std::to_string(UnixMilliseconds()),
+        kSegmentPrefix + host + "/" + std::to_string(UnixMilliseconds()),
         std::move(segment));
-    pause = put ? kFlushInterval : std::min(pause * 2, kFlushPauseMost);
+    pause = put ? kFlushInterval : std::min(pause * 2, kMaxFlushInterval);
     if (!put)
       LogLine("journal_segment_lost").With(put.error()).Warn();
   }
@@ -159,24 +158,24 @@
     backends::ObjectStore* store,
     std::vector<model::Host> hosts) {
   const auto executor = co_await asio::this_coro::executor;
-  auto gathering = std::make_shared<Gathering>(executor);
-  gathering->m_lines = journal.Find(request);
-  gathering->m_open = hosts.size();
+  auto pending = std::make_shared<PendingAnswers>(executor);
+  pending->m_lines = journal.Find(request);
+  pending->m_open = hosts.size();
   for (const model::Host& host : hosts) {
-    Spawn(executor, Ask(gathering, request, peers, host), "ask");
+    Spawn(executor, Ask(pending, request, peers, host), "ask");
   }
-  co_await Wait(gathering);
-  if (store != nullptr && !Contains(gathering->m_lines, "event=outcome")) {
+  co_await Wait(pending);
+  if (store != nullptr && !Contains(pending->m_lines, "event=outcome")) {
     for (const model::Host& host : hosts) {
       if (host.role() != model::HostRole::kEntry)
         continue;
-      ++gathering->m_open;
-      Spawn(executor, SearchSegments(gathering, *store, host.name(), request),
+      ++pending->m_open;
+      Spawn(executor, SearchSegments(pending, *store, host.name(), request),
             "search_segments");
     }
-    co_await Wait(gathering);
+    co_await Wait(pending);
   }
-  std::vector<std::string> lines = std::move(gathering->m_lines);
+  std::vector<std::string> lines = std::move(pending->m_lines);
   std::sort(lines.begin(), lines.end());
   lines.erase(std::unique(lines.begin(), lines.end()), lines.end());
   const bool found = std::any_of(
