--- a/src/libverbenalead/daemon/claim_keeper.cc
+++ b/src/libverbenalead/daemon/claim_keeper.cc
@@ -27,15 +27,18 @@
 namespace {
 
 constexpr char kPartition[] = "claim";
-/// A claim waits no longer than this for the table: the caller of an urgent
-/// call is better served by "not run, come back" than by silence.
+/// Longest wait of a claim for the table. After it the call is refused as not
+/// run, and its caller can retry at once; a longer wait would use up the time
+/// of an urgent call.
 constexpr Duration kClaimTimeout = 3s;
-/// For how long an answer waits until its outcome is recorded. A healthy table
-/// takes a tenth of it. Beyond, the caller gets its answer, and the record
-/// follows: until then a repeated call is told that the key is held.
+/// How long an answer is delayed until its outcome is recorded. A healthy table
+/// takes a tenth of this time. After it the caller receives the answer although
+/// the record is not confirmed; until it is, another call with the same key
+/// gets the result kHeld.
 constexpr Duration kEndWaitLimit = 250ms;
 constexpr Duration kEndTimeout = std::chrono::seconds(60);
-/// The batch itself ends each claim by its deadline, and fences it off.
+/// Claims need no wait limit: the batch ends each claim by its deadline and
+/// makes sure that a late write of the claim has no effect.
 constexpr Duration kNoLimit = std::chrono::hours(1);
 constexpr size_t kEntriesAtStart = 8;
 
@@ -105,7 +108,7 @@
 
 }  // namespace
 
-/// A coroutine that waits for its work's end on its own thread.
+/// A coroutine that waits, on its own thread, for the result of an operation.
 struct ClaimKeeper::Waiter {
   explicit Waiter(const asio::any_io_executor& executor) : m_event(executor) {}
 
--- a/src/libverbenalead/daemon/claim_keeper.h
+++ b/src/libverbenalead/daemon/claim_keeper.h
@@ -14,36 +14,42 @@
 
 namespace verbenalead::daemon {
 
-/// Claims of non-idempotent calls in the platform's table, under (organisation,
-/// idempotency key), before they run. Carries out what decide::ClaimBatch says.
-/// May be used from several threads.
+/// Claims non-idempotent calls in the platform's table, under (organisation,
+/// idempotency key), before they run, so that a call which is sent twice with
+/// the same key runs at most once. Executes the actions that
+/// decide::ClaimBatchState yields: group commits, reads and timers. May be used
+/// from several threads.
 class ClaimKeeper {
  public:
   explicit ClaimKeeper(backends::Table& table);
   ~ClaimKeeper();
 
-  /// How many entries share the table's writes.
+  /// Sets the number of entries that share the table's write capacity; it
+  /// determines how often this entry may write a group of claims.
   void SetEntries(size_t entries);
 
   Awaitable<ClaimResult> Claim(model::Call call);
-  /// Records how the call claimed by `writer` ended. False: not known to be
-  /// recorded within kEndPatience; it is tried on in the background.
+  /// Records the outcome of the call that `writer` claimed. Returns false if
+  /// the table has not confirmed the record within kEndWaitLimit; the write is
+  /// then retried in the background.
   Awaitable<bool> Record(model::Call call,
                          uint64_t writer,
                          RecordedAnswer answer);
-  /// Gives the claim back: the call was certainly not run. As for Record().
+  /// Releases the claim of a call that certainly did not run, so that a call
+  /// with the same key may run. Returns as Record() does.
   Awaitable<bool> Release(model::Call call, uint64_t writer);
 
  private:
   struct Waiter;
 
-  /// Submits `work` and waits for its end, `patience` at most.
+  /// Submits `operation` and waits for its result for up to `wait_limit`;
+  /// after that the result is kUnavailable.
   Awaitable<decide::ClaimAction> Await(decide::ClaimWork operation,
                                        Duration wait_limit);
-  /// Carries out `actions`; m_mutex must be free.
+  /// Executes `actions`. The caller must not hold m_mutex.
   void Perform(const boost::asio::any_io_executor& executor,
                std::vector<decide::ClaimAction> actions);
-  /// Hands the end of a work to whoever waits for it.
+  /// Passes the result of an operation to the coroutine that waits for it.
   void Deliver(decide::ClaimAction action);
   void WakeAt(const boost::asio::any_io_executor& executor, TimePoint at);
   Awaitable<void> Transact(decide::ClaimAction action);
@@ -54,7 +60,7 @@
   std::mutex m_mutex;
   decide::ClaimBatchState m_batch;
   std::map<uint64_t, std::shared_ptr<Waiter>> m_waiters;
-  /// The earliest Wake() under way; max: none.
+  /// Time of the earliest scheduled Wake(); TimePoint::max() if there is none.
   TimePoint m_wake_at = TimePoint::max();
 };
 
--- a/src/libverbenalead/daemon/claim_result.h
+++ b/src/libverbenalead/daemon/claim_result.h
@@ -8,16 +8,17 @@
 
 namespace verbenalead::daemon {
 
-/// What came of claiming a call's key.
+/// Result of claiming the idempotency key of a call.
 struct ClaimResult {
   enum class Kind {
-    kOurs,         ///< Claimed: this call, and no other, may run.
-    kAnswered,     ///< An earlier call with the key has ended: m_answer.
-    kHeld,         ///< An earlier call with the key is under way or was lost.
-    kUnavailable,  ///< The table can't say: not run.
+    kOurs,      ///< Claimed: this call, and no other, may run.
+    kAnswered,  ///< An earlier call with the key has ended: see m_answer.
+    /// An earlier call with the key is still running, or its outcome was lost.
+    kHeld,
+    kUnavailable,  ///< The table gave no result: the call must not run.
   };
   Kind m_kind = Kind::kUnavailable;
-  /// kOurs: names this claim when it is ended.
+  /// With kOurs: identifies this claim when it is recorded or released.
   uint64_t m_writer = 0;
   RecordedAnswer m_answer;
   std::string m_reason;
--- a/src/libverbenalead/daemon/common_settings.cc
+++ b/src/libverbenalead/daemon/common_settings.cc
@@ -7,12 +7,13 @@
       .RequiredText("host", "name of this host, as in the host list")
       .Text("region", "", "region of this host")
       .Text("data_center", "", "data centre of this host")
-      .Choice("log.level", {"info", "debug", "warn", "error"}, "least level")
+      .Choice("log.level", {"info", "debug", "warn", "error"},
+              "lowest level that is logged")
       .Integer("threads", threads, 1, 64, "threads",
                "threads that serve requests")
       .Text("peers.key_file", "",
-            "file with the key that our processes share; empty: orders are "
-            "not checked")
+            "file with the key that the daemons share; empty: requests "
+            "between daemons are not authenticated")
       .Integer("journal.requests", journal_requests, 100, 10000000, "requests",
                "requests whose trace is kept in memory")
       .Address("platform.table", "127.0.0.1:8100", "table service")
@@ -21,10 +22,10 @@
             "JSON file with access_key, secret and region; empty: requests to "
             "the platform are not signed")
       .Integer("platform.table_timeout", 1000, 10, 60000, "ms",
-               "longest wait for one answer of the table")
+               "time-out of a request to the table")
       .Address("platform.host_list", "127.0.0.1:8102", "list of hosts")
       .Integer("stop.grace", 30000, 0, 3600000, "ms",
-               "longest time that a stop waits for running requests");
+               "longest wait for running requests when the daemon stops");
 }
 
 }  // namespace verbenalead::daemon
--- a/src/libverbenalead/daemon/common_settings.h
+++ b/src/libverbenalead/daemon/common_settings.h
@@ -5,8 +5,9 @@
 
 namespace verbenalead::daemon {
 
-/// The settings that vlentry and vltarget have in common. `threads` and
-/// `journal_requests` are the defaults of this program.
+/// Returns the settings that vlentry and vltarget share. `threads` and
+/// `journal_requests` are the defaults of the settings "threads" and
+/// "journal.requests", which differ between the two programs.
 SettingsSchema CommonSettings(int64_t threads, int64_t journal_requests);
 
 }  // namespace verbenalead::daemon
--- a/src/libverbenalead/daemon/config_capacity_bench.cc
+++ b/src/libverbenalead/daemon/config_capacity_bench.cc
@@ -1,5 +1,6 @@
-/// Slopes for docs/CAPACITY.md: what one more resource, host, target or request
-/// costs the decision cores, driven alone. Prints `bench=capacity` lines.
+/// Measures the cost of one more resource, host, target or request in processor
+/// time and memory, without network or threads, for docs/CAPACITY.md. Prints
+/// `bench=capacity` lines.
 #include <malloc.h>
 #include <spdlog/fmt/fmt.h>
 
@@ -30,7 +31,7 @@
   return mallinfo2().uordblks;
 }
 
-/// Processor time of one call of `work`, in microseconds.
+/// Returns the mean processor time of one call of `work`, in microseconds.
 template <typename Work>
 double Cost(int iterations, const Work& work) {
   const double begin = CpuMicroseconds();
--- a/src/libverbenalead/daemon/config_follower.cc
+++ b/src/libverbenalead/daemon/config_follower.cc
@@ -16,39 +16,43 @@
 
 namespace asio = boost::asio;
 
-/// How long a parent holds a question back while nothing changes. It bounds the
-/// idle traffic to a few hundred bytes in five seconds for each stream.
+/// How long a parent delays its answer while nothing changes (long polling).
+/// Bounds the idle traffic to a few hundred bytes in five seconds per stream.
 constexpr Duration kHold = 5s;
 constexpr Duration kFetchTimeout = 1s;
-/// A process that has heard neither table nor peer for so long takes no new
-/// work: it may be acting on a configuration that was replaced long ago. Longer
-/// than a peer's hold and its timeout together, so that one lost answer in a
-/// quiet hour shuts nobody out.
+/// A process accepts no new work if neither the table nor a peer has answered
+/// for this long, since its configuration may have been replaced long ago. It
+/// is longer than kHold and kFetchTimeout together, so that a single lost
+/// answer while nothing changes does not make a process refuse work.
 constexpr Duration kIsolationTimeout = 12s;
-/// An entry that heard no other for so long reads the table itself.
+/// An entry reads the table itself if no parent has answered for this long
+/// after kHold.
 constexpr Duration kParentTimeout = 3s;
 constexpr Duration kRetryInterval = 100ms;
 constexpr Duration kMaxBackoff = 5s;
 constexpr Duration kCatchUpInterval = 100ms;
-/// Peers that must agree to be asked at a start without the table. An accepted
-/// change is held by its taker and by two more, so among the three readers and
-/// any two answers at least one holds it while one of the three is down.
+/// Number of peers that must answer before a process starts without the table.
+/// An accepted change is held by the entry that committed it and by two others;
+/// so while one of the three entries that read the table is down, at least one
+/// of any two answers contains the change.
 constexpr size_t kPeersRequired = 2;
 constexpr size_t kMaxPeersContacted = 5;
-/// Holders besides the taker that end the wait of Replicate.
+/// Replicate() returns once this many entries besides the committing one hold
+/// the change.
 constexpr size_t kHoldersRequired = 2;
 constexpr Duration kReplicateTimeout = 2s;
 constexpr Duration kReplicatePollInterval = 5ms;
 
-/// `pause` made longer or shorter by up to a half, so that processes that fell
-/// silent together don't come back together.
+/// Returns `pause` with a jitter of up to half its length in both directions,
+/// so that processes which lost contact at the same time don't retry at the
+/// same time.
 Duration Jittered(Duration pause) {
   static thread_local std::minstd_rand random{std::random_device{}()};
   std::uniform_real_distribution<double> factor(0.5, 1.5);
   return std::chrono::duration_cast<Duration>(pause * factor(random));
 }
 
-/// Pushes under way; all on one thread.
+/// Progress of the pushes of one change. All pushes run on one thread.
 struct PushProgress {
   size_t m_open = 0;
   size_t m_confirmed = 0;
@@ -97,17 +101,19 @@
   const TimePoint last_contact{TimePoint::duration(m_heard_at.load())};
   if (!m_learned)
     return false;
-  // Asked for each request: the list is looked at only where it matters.
+  // Called for each request, so the host list, which needs a lock and a copy,
+  // is read only if the outcome depends on it.
   if (Now() - last_contact < kIsolationTimeout)
     return true;
-  // Where the list shows no other entry, nobody else can accept a change: an
-  // outage of the table alone shuts nobody out.
+  // If the list shows no other entry, no other process can commit a change, so
+  // an outage of the table alone is no reason to refuse work.
   return m_role == model::HostRole::kEntry && OtherEntries() == 0;
 }
 
 Awaitable<size_t> ConfigFollower::LearnFromPeers() {
-  // Into a place of its own first: what a single peer holds may be old, and a
-  // restarted process must not act on less than it did before.
+  // Collects the answers separately first: the configuration of a single peer
+  // may be old, and a restarted process must not apply an older revision than
+  // before its restart.
   ConfigKeeper learned(nullptr);
   size_t answers = 0;
   size_t contacted = 0;
@@ -119,8 +125,8 @@
                                         Duration::zero(), kFetchTimeout);
     if (!fetched)
       continue;
-    // One that read the table for us is as good as any number of others; a
-    // list that still shows a dead entry then keeps nobody from starting.
+    // An answer of a peer that has just read the table is sufficient alone, so
+    // a failed entry that is still in the host list doesn't prevent a start.
     answers += *fetched ? kPeersRequired : 1;
     if (answers >= kPeersRequired)
       break;
@@ -207,7 +213,8 @@
       continue;
     }
     LogLine("table_unavailable").With(read.error()).Warn();
-    // All readers lose the table at once; they must not come back at once.
+    // All readers lose the table at the same time; the jitter keeps them from
+    // retrying at the same time.
     pause = Jittered(std::min(pause * 4, kMaxBackoff));
   }
 }
@@ -233,7 +240,8 @@
   const auto executor = co_await asio::this_coro::executor;
   auto progress = std::make_shared<PushProgress>();
   size_t contacted = 0;
-  // Readers rank first: a change that they hold reaches everyone by the tree.
+  // The table readers rank first, since the configuration tree spreads the
+  // changes that they hold to all processes.
   for (const std::string& entry : Ranked()) {
     if (entry == m_self || contacted == kMaxPeersContacted)
       continue;
--- a/src/libverbenalead/daemon/config_follower.h
+++ b/src/libverbenalead/daemon/config_follower.h
@@ -11,13 +11,16 @@
 
 namespace verbenalead::daemon {
 
-/// Keeps a process's configuration at the newest revision: learns it at the
-/// start from the table or several peers, then hears changes along the tree of
-/// streams. May be used from several threads.
+/// Keeps the configuration of a process at the newest revision. At start the
+/// configuration is fetched from the table or from several peers; afterwards
+/// changes arrive from parents in a tree of entries, by long polling. Without
+/// it a process would serve versions that have been replaced. May be used from
+/// several threads.
 class ConfigFollower {
  public:
-  /// `role` is that of this process; entries have `config` over the table,
-  /// which is asked each `poll` where it is this entry's turn.
+  /// `role` is the role of this process. In an entry `config` has access to
+  /// the table, and an entry that ranks as a table reader reads the table every
+  /// `poll`.
   ConfigFollower(std::string self,
                  model::HostRole role,
                  ConfigKeeper& config,
@@ -34,17 +37,17 @@
   /// Runs until the process ends.
   Awaitable<void> Run();
 
-  /// Whether new work may be taken: the newest configuration was learned, and
-  /// the table or a peer was heard not long ago.
+  /// Whether the process may accept new work: the newest configuration was
+  /// fetched at start, and the table or a peer has answered recently.
   bool ready() const;
 
-  /// A peer that stands at `revision` has answered.
+  /// Records that a peer which has `revision` in force has answered.
   void HeardFrom(uint64_t revision);
 
-  /// Hands `revision` to other entries. Returns how many are known to hold it,
-  /// which ends the wait as soon as two do.
+  /// Sends the changes up to `revision` to other entries. Returns how many have
+  /// confirmed that they hold it; does not wait for more than two.
   Awaitable<size_t> Replicate(uint64_t revision);
-  /// Other entries that the host list shows.
+  /// Number of entries in the host list, without this process.
   size_t OtherEntries() const;
 
  private:
@@ -63,7 +66,8 @@
   wire::Client& m_peers;
   const Duration m_poll;
   std::atomic<bool> m_learned{false};
-  /// When any process was last heard, and when one gave configuration.
+  /// Time of the last answer from the table or any peer, and of the last answer
+  /// from a parent in the configuration tree.
   std::atomic<TimePoint::rep> m_heard_at{0};
   std::atomic<TimePoint::rep> m_fetched_at{0};
 };
--- a/src/libverbenalead/daemon/config_keeper.cc
+++ b/src/libverbenalead/daemon/config_keeper.cc
@@ -25,19 +25,23 @@
 constexpr char kSnapshotSort[] = "snapshot";
 constexpr char kChangePartition[] = "change";
 constexpr char kOperationPartition[] = "operation";
-/// Changes kept for peers that are behind; further back they get the state.
+/// Number of recent changes kept for peers that are behind. A peer that is
+/// further behind receives the whole state.
 constexpr size_t kMaxRecentChanges = 4096;
 constexpr uint32_t kPageSize = 500;
-/// Tries of one commit. Each lost race means that somebody else's write went
-/// through, so with eight operators racing a handful of tries is the rule.
+/// Attempts of one commit. An attempt fails whenever another write is committed
+/// first; with eight operators writing at the same time a handful of attempts
+/// is normal.
 constexpr int kMaxAttempts = 64;
-/// How long a write in doubt is looked for, below the 10 s that an operator's
-/// client waits, so that "unknown" reaches the operator as an answer.
+/// How long Commit() tries to find out whether a write in doubt took effect.
+/// Less than the 10 s time-out of an operator's client, so that the operator
+/// receives the result "unknown" as an answer.
 constexpr Duration kInDoubtTimeout = 6s;
-/// Pause after a failed try; a table that struggles is not pressed further.
+/// Pause after a failed attempt, to avoid adding load to an overloaded table.
 constexpr Duration kRetryInterval = 100ms;
 
-/// Sorts as text in the order of the numbers.
+/// Sort key of `revision`: zero-padded, so that the order of the keys as text
+/// is the order of the revisions.
 std::string SortOf(uint64_t revision) {
   return fmt::format("{:020}", revision);
 }
@@ -62,8 +66,8 @@
           write.m_spec, write.m_operation, write.m_operator};
 }
 
-/// The change that `write`'s operation id is known to have made, if it was this
-/// very write.
+/// Returns the change `known`, which was committed earlier under the operation
+/// id of `write`, if it is the same write; fails if it is a different one.
 AsyncResult<model::Change> ResultOfDuplicate(
     const model::Change& known,
     const model::ResourceWrite& write) {
@@ -76,7 +80,8 @@
                   write.m_operation, ToString(known.m_key), known.m_revision)};
 }
 
-/// The write had no answer, and a read can't settle what became of it.
+/// Failure of a write that was not answered and whose effect could not be
+/// determined by reading the table.
 Failure UnknownOutcome(const model::ResourceWrite& write,
                        const Failure& cause) {
   return {FailureCode::kTimeout, "write " + ToString(write.m_key), cause.m_peer,
@@ -92,7 +97,7 @@
 
 }  // namespace
 
-/// A coroutine that waits on its own thread for a newer revision.
+/// A coroutine that waits, on its own thread, for a newer revision.
 struct ConfigKeeper::Waiter {
   explicit Waiter(const boost::asio::any_io_executor& executor,
                   TimePoint deadline)
@@ -223,7 +228,7 @@
     co_return false;
   auto state =
       CatchFailure([&] { return decide::ParseConfigState((*item)->m_value); });
-  // All changes are still in the table: an unreadable snapshot is no loss.
+  // An invalid snapshot is ignored: the table still contains all changes.
   if (!state) {
     LogLine("config_snapshot_bad").With(state.error()).Warn();
     co_return false;
@@ -255,8 +260,8 @@
 }
 
 Awaitable<AsyncResult<bool>> ConfigKeeper::CatchUp() {
-  // A year of changes is 400,000 items; a process that starts reads the state
-  // and the few changes after it.
+  // The changes of a year are 400,000 items, too many to read at start. A
+  // starting process reads the snapshot and the few changes after it.
   if (current()->m_revision == 0) {
     auto read = co_await ReadSnapshot();
     if (!read)
@@ -343,16 +348,16 @@
 
 Awaitable<AsyncResult<model::Change>> ConfigKeeper::Commit(
     model::ResourceWrite write) {
-  // The revision and failure of a try that may yet take effect.
+  // Revision and failure of an attempt that may still take effect.
   std::optional<std::pair<uint64_t, Failure>> in_doubt;
   const TimePoint deadline = Now() + kInDoubtTimeout;
   for (int attempt = 0; attempt < kMaxAttempts; ++attempt) {
     auto caught_up = co_await CatchUp();
     const State state = current();
-    // The operation is looked up only after `state` was taken. The other way
-    // round, our own try whose answer was lost could take effect in between:
-    // CheckExpected would find our own write and tell the operator that
-    // somebody else had won.
+    // The operation must be read after `state`. In the opposite order an
+    // earlier attempt of this commit whose answer was lost could take effect
+    // between the two: CheckExpected() would then report this commit's own
+    // write to the operator as a conflict with another write.
     auto known = co_await FindOperation(write.m_operation);
     if (!caught_up || !known) {
       const Failure& failure = caught_up ? known.error() : caught_up.error();
@@ -365,17 +370,18 @@
     }
     if (known->has_value())
       co_return ResultOfDuplicate(**known, write);
-    // The head has passed the revision that the try in doubt wanted, and the
-    // operation is not in the table: that try can no longer take effect.
+    // The log has reached the revision of the attempt in doubt, and the
+    // operation is not in the table, so that attempt can't take effect any
+    // more.
     if (in_doubt && state->m_revision >= in_doubt->first)
       in_doubt.reset();
     auto expected = CheckExpected(*state, write);
     if (!expected)
       co_return expected.error();
     const model::Change change = ChangeFor(write, state->m_revision + 1);
-    // The head's condition lets at most one writer take each revision, and the
-    // operation's lets each operation take at most one, so a second try while
-    // the first is in doubt can't double it.
+    // The condition on the head item allows at most one writer per revision,
+    // and the condition on the operation at most one revision per operation. So
+    // another attempt can't commit the write twice while the first is in doubt.
     auto done = co_await m_table->Transact(WritesFor(change));
     if (done && *done == backends::TransactResult::kCommitted) {
       Offer({change});
--- a/src/libverbenalead/daemon/config_keeper.h
+++ b/src/libverbenalead/daemon/config_keeper.h
@@ -17,51 +17,57 @@
 
 namespace verbenalead::daemon {
 
-/// The configuration in force in this process, and the way to change it: by
-/// transactions on the platform's table, which mint one sequence of revisions.
-/// May be used from several threads.
+/// Holds the configuration in force in this process and commits changes to it.
+/// A change is a transaction on the platform's table that takes the next
+/// revision. So all processes see one sequence of revisions, and a write that
+/// names the revision it expects can't overwrite another write. May be used
+/// from several threads.
 class ConfigKeeper {
  public:
   using State = std::shared_ptr<const decide::ConfigState>;
   using Pause = std::function<Awaitable<void>(Duration)>;
 
-  /// `table` may be null in a process that only hears changes from peers.
+  /// `table` may be null in a process that receives changes from peers only.
   explicit ConfigKeeper(backends::Table* table);
-  /// For tests: `pause` stands in for the wait between two tries.
+  /// For tests: `pause` replaces the wait between two attempts.
   ConfigKeeper(backends::Table* table, Pause pause);
   ~ConfigKeeper();
 
   State current() const;
-  /// Puts `changes` into force as far as they follow on without a gap.
+  /// Applies those of `changes` that follow the revision in force without a
+  /// gap; changes that are already in force are skipped.
   void Offer(const std::vector<model::Change>& changes);
-  /// Takes over a whole state if it is newer than ours.
+  /// Replaces the state in force by `state` if `state` is newer.
   void OfferState(decide::ConfigState state);
-  /// The changes after `revision`; nullopt if they are no longer remembered.
+  /// Returns the changes after `revision`, or nullopt if some of them are no
+  /// longer in memory.
   std::optional<std::vector<model::Change>> ChangesAfter(
       uint64_t revision) const;
-  /// Waits until a revision above `revision` is in force, or `deadline`.
+  /// Waits until a revision above `revision` is in force, or until `deadline`.
   Awaitable<void> WaitBeyond(uint64_t revision, TimePoint deadline);
 
-  /// Notes that somebody has `revision` in force, so that this process knows
-  /// that it is behind.
+  /// Records that another process has `revision` in force. While heard() is
+  /// above the revision in force here, this process is behind.
   void Hear(uint64_t revision);
   uint64_t heard() const;
 
-  /// When CatchUp last reached the end of the log.
+  /// Time at which CatchUp() last reached the end of the log.
   TimePoint read_at() const;
-  /// Reads what is new from the table.
+  /// Reads the changes after the revision in force from the table and applies
+  /// them.
   Awaitable<AsyncResult<bool>> CatchUp();
-  /// Writes the state in force to the table once it is `kSnapshotEvery` or more
-  /// revisions past the last one this process knows of. Unconditional: an older
-  /// snapshot than the one it replaces costs a starting process some more
-  /// reading, and nothing else.
+  /// Writes a snapshot of the state in force to the table if it is
+  /// `kSnapshotEvery` or more revisions past the last snapshot known to this
+  /// process. The write is unconditional: if it replaces a newer snapshot by an
+  /// older one, a starting process only has to read more changes.
   Awaitable<AsyncResult<bool>> WriteSnapshot();
   static constexpr uint64_t kSnapshotEvery = 500;
 
-  /// Commits `write`.
-  /// kConflict: somebody else's write came first (the reason names it).
-  /// kInvalid: a reference is wrong, or the operation id named another write.
-  /// kTimeout: unknown; ask again with the same operation id.
+  /// Commits `write`. Failures:
+  /// kConflict: another write was committed first; the reason names it.
+  /// kInvalid: a reference is wrong, or the operation id was used for a
+  /// different write.
+  /// kTimeout: the outcome is unknown; retry with the same operation id.
   /// Any other failure: the write has not taken effect and never will.
   Awaitable<AsyncResult<model::Change>> Commit(model::ResourceWrite write);
 
@@ -76,7 +82,7 @@
                                   const model::ResourceWrite& write) const;
   std::string WinnerOf(const decide::ConfigState& state,
                        const model::ResourceKey& key) const;
-  /// Wakes those who wait. Called under the lock.
+  /// Resumes all coroutines in WaitBeyond(). The caller must hold m_mutex.
   void WakeAll();
 
   backends::Table* const m_table;
--- a/src/libverbenalead/daemon/config_keeper_test.cc
+++ b/src/libverbenalead/daemon/config_keeper_test.cc
@@ -22,7 +22,7 @@
 using backends::TableWrite;
 using backends::TransactResult;
 
-/// What becomes of one call to the table.
+/// What happens to one call to the table and to its answer.
 enum class CallOutcome {
   kAnswered,
   kAnswerLost,
@@ -31,8 +31,8 @@
   kNotSent
 };
 
-/// The table's content, and the calls under way, which the test lets go on one
-/// by one in whatever order it likes.
+/// The content of the simulated table and the calls in progress. The test
+/// completes the calls one by one, in any order.
 struct TableState {
   struct Turn {
     explicit Turn(asio::io_context& context)
@@ -81,7 +81,7 @@
     m_context.poll();
   }
 
-  /// All accepted changes in order.
+  /// All committed changes, in the order of their revisions.
   std::vector<model::Change> Log() const {
     std::vector<model::Change> log;
     for (const auto& [key, item] : m_items) {
@@ -154,7 +154,7 @@
   co_return;
 }
 
-/// One commit that an operator asked for.
+/// A commit that an operator has requested.
 struct Commit {
   model::ResourceWrite m_write;
   std::optional<AsyncResult<model::Change>> m_result;
@@ -177,7 +177,8 @@
   (void)ignored;
 }
 
-/// Daemons, their messages and the oracle: the table's own log of changes.
+/// Daemons, the messages between them, and checks of their state against the
+/// log of changes in the table.
 struct Fleet {
   static constexpr size_t kDaemons = 5;
 
@@ -207,14 +208,14 @@
     m_table_state.Poll();
   }
 
-  /// Lets every call go through until nothing is under way.
+  /// Answers all calls until none is in progress.
   void Settle() {
     while (!m_table_state.m_turns.empty())
       m_table_state.Resume(0, CallOutcome::kAnswered);
   }
 
-  /// No daemon lowers its revision, and each holds exactly the accepted
-  /// changes up to its revision.
+  /// Checks that no daemon has lowered its revision, and that each holds
+  /// exactly the committed changes up to its revision.
   void CheckDaemons() {
     const std::vector<model::Change> log = m_table_state.Log();
     for (size_t i = 0; i < kDaemons; ++i) {
@@ -230,7 +231,9 @@
     }
   }
 
-  /// What operators were told is true.
+  /// Checks the results that operators received against the log. Each operation
+  /// is in it at most once, a write that succeeded is in it, and a write that
+  /// failed with a known outcome isn't.
   void CheckCommits() {
     const std::vector<model::Change> log = m_table_state.Log();
     std::map<std::string, size_t> entries;
@@ -272,8 +275,9 @@
   return write;
 }
 
-/// An operator's write: blind, compare-and-set by what the daemon shows, or a
-/// repeat of an earlier one through whichever daemon.
+/// Starts a write of an operator: unconditional, conditional on the revision in
+/// force at the daemon (compare-and-swap), or a retry of an earlier write
+/// through any daemon.
 void Ask(Fleet& fleet, uint32_t random) {
   const size_t daemon = random % Fleet::kDaemons;
   random /= Fleet::kDaemons;
@@ -308,7 +312,8 @@
                              kOutcomes[random % 8]);
 }
 
-/// Messages arrive late, twice, out of order, at restarted daemons, or never.
+/// Writes or delivers a message between daemons. Messages may arrive late,
+/// twice, out of order, after a restart of the receiver, or never.
 void ExchangeMessages(Fleet& fleet, uint32_t random) {
   const size_t from = random / 2 % Fleet::kDaemons;
   const size_t to = random / 16 % Fleet::kDaemons;
@@ -336,7 +341,7 @@
   } else if (kind < 13) {
     ExchangeMessages(fleet, random);
   } else if (kind == 13 && !fleet.m_table_state.m_late.empty()) {
-    // A write whose sender has long given up reaches the table.
+    // A write reaches the table long after its sender has timed out.
     fleet.m_table_state.Apply(fleet.m_table_state.m_late.front());
     fleet.m_table_state.m_late.erase(fleet.m_table_state.m_late.begin());
   } else if (kind == 14) {
@@ -347,7 +352,7 @@
                    asio::detached);
     fleet.m_table_state.Poll();
   } else if (kind == 15 && random % 8 == 0) {
-    // The process is replaced; what it had sent to the table goes on.
+    // The daemon is restarted; its calls to the table remain in progress.
     const size_t daemon = random / 8 % Fleet::kDaemons;
     fleet.m_daemons[daemon] = fleet.NewKeeper();
     fleet.m_seen[daemon] = 0;
@@ -366,21 +371,22 @@
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // The operator sees 409 although its own write is in force. The table's
-  // answer is lost and the write is slow: it lands after the look-up of the
-  // operation and before the read of the log, which then shows another
-  // revision than the operator expected: the operator's own.
+  // Guards against a conflict (409) that is reported to an operator although
+  // its own write is in force. It arose when the answer of the table was lost
+  // and the write took effect after the operation had been looked up and before
+  // the log was read: the log then showed another revision than the operator
+  // expected, which was the operator's own write.
   void OwnWriteIsNotReportedAsConflict() {
     Fleet fleet;
     model::ResourceWrite write = WriteOf("a", "op1");
     write.m_expected_revision = 0;
     auto commit = fleet.Start(0, write);
-    // Snapshot, log and operation are read, and the write is sent.
+    // Snapshot, log and operation are read; then the write is sent and delayed.
     fleet.m_table_state.Resume(0, CallOutcome::kAnswered);
     fleet.m_table_state.Resume(0, CallOutcome::kAnswered);
     fleet.m_table_state.Resume(0, CallOutcome::kAnswered);
     fleet.m_table_state.Resume(0, CallOutcome::kDelayed);
-    // Snapshot and the first of the two others are read again.
+    // The snapshot and the first of log and operation are read again.
     fleet.m_table_state.Resume(0, CallOutcome::kAnswered);
     fleet.m_table_state.Resume(0, CallOutcome::kAnswered);
     fleet.m_table_state.Apply(fleet.m_table_state.m_late.front());
@@ -447,7 +453,8 @@
                    RunSnapshot(fleet.m_daemons[0]), asio::detached);
     fleet.m_table_state.Poll();
     fleet.Settle();
-    // Of the log only what came after is needed.
+    // A start from the snapshot needs only the changes after it, so all earlier
+    // ones are removed.
     std::erase_if(fleet.m_table_state.m_items, [](const auto& item) {
       return item.first.first == "change";
     });
@@ -457,15 +464,16 @@
                    *fleet.m_daemons[1]->current());
   }
 
-  // Operators race through five daemons while the table answers late, loses
-  // requests and answers and lands writes long after; daemons exchange old
-  // news, wake late and are replaced. 100 runs of 400 steps. After each step
-  // every daemon holds a prefix of the table's log and none has gone back; in
-  // the end what operators were told is true and all daemons agree.
+  // Operators write concurrently through five daemons while the table answers
+  // late, loses requests and answers, and applies writes long after they were
+  // sent; daemons exchange outdated messages, resume late and are restarted.
+  // 100 runs of 400 steps. After each step every daemon must hold a prefix of
+  // the table's log and none may have lowered its revision. At the end the
+  // results that operators received must be true, and all daemons must agree.
   void NoChangeIsDuplicatedLostOrReverted() {
-    const bool good = rc::check("accepted is in force, none goes back", [] {
-      // At full size from the first run on, or early runs would be dull. Not
-      // shrunk: the trial took more than nine minutes over it.
+    const bool good = rc::check("states match the log, none is lowered", [] {
+      // Full size from the first run on, since small sizes produce hardly any
+      // concurrency. Not shrunk, since shrinking took more than nine minutes.
       const auto steps = *rc::gen::noShrink(rc::gen::resize(
           rc::kNominalSize,
           rc::gen::container<std::vector<uint32_t>>(
--- a/src/libverbenalead/daemon/config_messages.cc
+++ b/src/libverbenalead/daemon/config_messages.cc
@@ -76,8 +76,9 @@
                                         Endpoint endpoint,
                                         uint64_t revision,
                                         TimePoint deadline) {
-  // The first message holds the change alone; who lacks earlier ones answers
-  // with the revision it stands at, and is sent all from there.
+  // The first message contains only the last change. A process that lacks
+  // earlier ones answers with its revision, and the second message contains all
+  // changes after that.
   uint64_t held = revision - 1;
   for (int attempt = 0; attempt < 2; ++attempt) {
     wire::Request request;
--- a/src/libverbenalead/daemon/config_messages.h
+++ b/src/libverbenalead/daemon/config_messages.h
@@ -11,26 +11,27 @@
 
 namespace verbenalead::daemon {
 
-/// What a process that stands at `revision` is sent: the changes it lacks, or
-/// the whole state where those are no longer remembered. JSON.
+/// Returns, as JSON, the changes that a process with `revision` in force lacks,
+/// or the whole state if `keeper` no longer has all of these changes in memory.
 std::string ConfigSince(const ConfigKeeper& keeper, uint64_t revision);
 
-/// Takes in what ConfigSince wrote.
+/// Parses a message that ConfigSince() wrote and applies it to `keeper`.
 Result<void> TakeConfig(ConfigKeeper& keeper, std::string_view json);
 
-/// Asks the process at `endpoint` for what is new. It may hold its answer back
-/// for `hold` while there is nothing. Fails with kRefused where the process
-/// has itself not learned the newest configuration, or is cut off. Returns
-/// whether the answer is what the table held a moment ago; with no `hold` the
-/// asked process reads it for that.
+/// Fetches the changes that `keeper` lacks from the process at `endpoint` and
+/// applies them. While there are none, that process may delay its answer by up
+/// to `hold` (long polling). Fails with kRefused if that process has not yet
+/// fetched the newest configuration itself, or has lost contact with the table
+/// and its peers. Returns whether the answer is known to match a recent read of
+/// the table; with a `hold` of zero the process reads the table to ensure that.
 Awaitable<AsyncResult<bool>> FetchConfig(ConfigKeeper& keeper,
                                          wire::Client& peers,
                                          Endpoint endpoint,
                                          Duration hold,
                                          Duration timeout);
 
-/// Hands `keeper`'s configuration to the process at `endpoint` until it holds
-/// `revision`.
+/// Sends the configuration of `keeper` to the process at `endpoint`. Succeeds
+/// when that process has confirmed that it holds `revision`.
 Awaitable<AsyncResult<bool>> PushConfig(const ConfigKeeper& keeper,
                                         wire::Client& peers,
                                         Endpoint endpoint,
--- a/src/libverbenalead/daemon/crash_note_exchange.cc
+++ b/src/libverbenalead/daemon/crash_note_exchange.cc
@@ -21,14 +21,16 @@
 namespace json = boost::json;
 
 constexpr char kPath[] = "/v1/crash-notes";
-/// News goes out at once; whoever did not answer is tried again this often.
+/// New notes are sent at once. An entry that did not answer is retried at this
+/// interval.
 constexpr Duration kRetryInterval = 500ms;
 constexpr Duration kTimeout = 1s;
-/// Notes kept for an entry that does not answer; the oldest are dropped, and
-/// with them at most the knowledge that one more target may crash.
+/// Maximum number of notes kept for an entry that does not answer; if there are
+/// more, the oldest are dropped. An entry that lacks a note may let the request
+/// of that note crash one more target.
 constexpr size_t kMaxPending = 1000;
 
-/// What one entry has not been told yet.
+/// The notes that one entry has not confirmed yet.
 struct PendingNotes {
   std::vector<decide::CrashNote> m_notes;
   bool m_sending = false;
@@ -59,7 +61,8 @@
                              notes.end());
 }
 
-/// Adds `news` to what the entry lacks; the oldest notes give way.
+/// Adds `new_notes` to the notes pending for an entry. If there are more than
+/// kMaxPending then, the oldest are dropped.
 void Add(PendingNotes& pending,
          const std::vector<decide::CrashNote>& new_notes) {
   auto& notes = pending.m_notes;
@@ -137,8 +140,8 @@
   const auto executor = co_await boost::asio::this_coro::executor;
   auto pending = std::make_shared<PendingNotesByEntry>();
   auto wake = std::make_shared<boost::asio::steady_timer>(executor);
-  // A look every 50 ms was too slow: a caller that tries one entry after the
-  // other needs a few milliseconds for each.
+  // New notes wake the loop. Polling every 50 ms was too slow: a caller that
+  // tries one entry after the other needs only a few milliseconds for each.
   std::function<void()> on_new_notes = [executor, wake] {
     boost::asio::post(executor, [wake] { wake->cancel(); });
   };
--- a/src/libverbenalead/daemon/crash_note_exchange.h
+++ b/src/libverbenalead/daemon/crash_note_exchange.h
@@ -11,22 +11,25 @@
 
 namespace verbenalead::daemon {
 
-/// The JSON form of crash notes. Times travel as ages, since clocks differ.
+/// The JSON form of crash notes. Times are sent as ages, since the clocks of
+/// hosts differ.
 std::string ToJson(const std::vector<decide::CrashNote>& notes, TimePoint now);
 Result<std::vector<decide::CrashNote>> ParseCrashNotes(std::string_view json,
                                                        TimePoint now);
 
-/// `handler`, and before it POST /v1/crash-notes, by which another entry tells
-/// under which requests targets crashed.
+/// Returns a handler that serves POST /v1/crash-notes, by which another entry
+/// reports the requests under which targets crashed, and passes all other
+/// requests to `handler`.
 wire::Handler TakeCrashNotes(QuarantineKeeper& quarantine,
                              wire::Handler handler);
 
-/// Tells the other entries each note that is new here, and again to those that
-/// did not answer. Runs until the process ends.
+/// Sends each new crash note of this entry to all other entries, and retries
+/// for entries that did not answer. Runs until the process ends.
 ///
-/// Made for a request that crashes what runs it, and whose caller sends it
-/// again through another entry: without the news each of 8 entries would let
-/// it take two targets. Notes are rare, so each goes to every entry.
+/// The load it answers is a request that crashes each target that runs it and
+/// whose caller sends it again through other entries: without the exchange each
+/// of 8 entries would let the request crash two targets. Notes are rare, so
+/// each one is sent to every entry.
 Awaitable<void> ExchangeCrashNotes(QuarantineKeeper& quarantine,
                                    HostDirectory& hosts,
                                    wire::Client& peers,
--- a/src/libverbenalead/daemon/credentials.h
+++ b/src/libverbenalead/daemon/credentials.h
@@ -8,9 +8,10 @@
 
 namespace verbenalead::daemon {
 
-/// The key in the file that the setting platform.credentials_file names;
-/// nullopt where none is named. Throws std::runtime_error if the file is not as
-/// it should be: a daemon whose every request would be refused must not start.
+/// Loads the signing key from the file that the setting
+/// platform.credentials_file names; nullopt if the setting is empty. Throws
+/// std::runtime_error if the file can't be read or is malformed, so that a
+/// daemon does not start whose every request to the platform would be refused.
 std::optional<backends::SigningKey> CredentialsIn(const Settings& settings);
 
 }  // namespace verbenalead::daemon
--- a/src/libverbenalead/daemon/entry_access.h
+++ b/src/libverbenalead/daemon/entry_access.h
@@ -10,18 +10,18 @@
 
 namespace verbenalead::daemon {
 
-/// Who may speak to an entry, and how: the certificate shown to callers and
-/// operators, and the operators' tokens.
+/// Access control of the listeners of an entry: the TLS certificate presented
+/// to callers and operators, and the tokens that operators must send.
 class EntryAccess {
  public:
   explicit EntryAccess(const Settings& settings);
 
-  /// Fails if a file is bad, or if the operators' API would stand open: without
-  /// tokens it may listen on loopback only.
+  /// Fails if a file can't be used, or if the operators' API would be reachable
+  /// without authentication: without tokens it may listen on loopback only.
   AsyncResult<bool> Check() const;
-  /// Reads the certificate anew; on failure the earlier one stays in use.
+  /// Reads the certificate again; on failure the previous one stays in use.
   AsyncResult<bool> Reload();
-  /// Null: no TLS.
+  /// Null if TLS is not configured.
   std::shared_ptr<const http::TlsKeeper> tls() const { return m_tls; }
   const std::vector<std::string>& tokens() const { return m_tokens; }
 
--- a/src/libverbenalead/daemon/entry_daemon.cc
+++ b/src/libverbenalead/daemon/entry_daemon.cc
@@ -45,9 +45,10 @@
 
 constexpr Duration kDrainTimeout = 2s;
 constexpr Duration kStopPoll = 20ms;
-/// A stopping entry goes on accepting for as long as callers keep a list of
-/// entries that still names it: the list's time to live, and a margin for the
-/// other entries to hear of the stop and for callers to fetch the next list.
+/// A stopping entry accepts connections for as long as callers may use a list
+/// of entries that still names it. This is the time to live of the list, plus a
+/// margin for notifying the other entries and for callers to fetch the next
+/// list.
 constexpr Duration kAcceptAfterStop = front::kEntriesTtl + 2s;
 
 }  // namespace
@@ -191,7 +192,7 @@
     return front::MakeOperatorsApi(std::move(context));
   }
 
-  /// Null where the settings name no object store.
+  /// The object store of journal segments; null if none is configured.
   backends::ObjectStore* Segments() {
     const bool configured = !m_settings.Text("platform.object_store").empty();
     return configured ? &m_objects : nullptr;
@@ -213,7 +214,8 @@
     co_return true;
   }
 
-  /// The claims' share of the table's writes depends on how many entries share.
+  /// Keeps the number of entries current by which claims divide the write
+  /// capacity of the table.
   Awaitable<void> UpdateEntryCount() {
     while (true) {
       m_runner.SetEntries(m_hosts.Hosts(model::HostRole::kEntry).size());
@@ -234,8 +236,8 @@
     while (Now() < stop_accepting)
       co_await Sleep(kStopPoll);
     m_callers.StopAccepting();
-    // Asked of the server, not of the runner: a request may still be read, or
-    // the end of its answer written.
+    // Waits for the server instead of the runner, which counts a request
+    // neither while it is received nor while the end of its answer is sent.
     do {
       co_await Sleep(kStopPoll);
     } while (Now() < deadline && m_callers.busy() > 0);
@@ -243,7 +245,7 @@
     m_threads.Stop();
   }
 
-  /// SIGHUP: certificates and keys are replaced without a restart.
+  /// On SIGHUP, reloads certificates and keys without a restart.
   Awaitable<void> ReloadOnHangup() {
     while (true) {
       co_await m_hangup.async_wait(asio::use_awaitable);
--- a/src/libverbenalead/daemon/entry_daemon.h
+++ b/src/libverbenalead/daemon/entry_daemon.h
@@ -7,15 +7,17 @@
 
 namespace verbenalead::daemon {
 
-/// The process on an entry host: callers' and operators' HTTP, configuration,
-/// admission, placement and retries.
+/// The daemon on an entry host. It serves the HTTP APIs of callers and
+/// operators, follows the configuration, admits calls, selects targets for them
+/// and retries failed attempts.
 class EntryDaemon {
  public:
   explicit EntryDaemon(const Settings& settings);
   ~EntryDaemon();
 
-  /// Serves until SIGTERM or SIGINT and all running requests are done. Returns
-  /// the exit code; a failure to listen is logged.
+  /// Serves until SIGTERM or SIGINT, then until running requests have ended or
+  /// the setting stop.grace has passed. Returns the exit code; a failure to
+  /// listen is logged.
   int Run();
 
  private:
--- a/src/libverbenalead/daemon/entry_peer_api.cc
+++ b/src/libverbenalead/daemon/entry_peer_api.cc
@@ -12,18 +12,18 @@
 
 constexpr std::string_view kTracePrefix = "/v1/trace/";
 
-/// Longest time that a question for news is held back.
+/// Longest time by which the answer to a request for changes is delayed.
 constexpr uint64_t kMaxHoldMs = 30000;
 
-/// Age at which a read of the table still stands for the newest.
+/// Greatest age of a read of the table whose result still counts as current.
 constexpr Duration kMaxReadAge = 500ms;
 
 uint64_t NumberIn(const wire::Request& request, const char* name) {
   return std::strtoull(wire::QueryValue(request, name).c_str(), nullptr, 10);
 }
 
-/// Answers at once if there is news, and else when it comes or the asker's
-/// patience is at its end.
+/// Answers at once if there are changes after the requested revision; otherwise
+/// when a change arrives or the hold time of the request has passed.
 Awaitable<wire::Response> GetConfig(EntryPeerContext context,
                                     wire::Request request) {
   const uint64_t after = NumberIn(request, "after");
@@ -35,14 +35,16 @@
   const auto hold = std::chrono::milliseconds(
       std::min(NumberIn(request, "hold_ms"), kMaxHoldMs));
   co_await context.m_config->WaitBeyond(after, Now() + hold);
-  // A process that has not learned the newest, or is cut off, is no source:
-  // whoever relied on it would take silence for "nothing new".
+  // A process that has not fetched the newest configuration, or has lost
+  // contact, must not answer: the peer would take an empty answer as proof that
+  // its own configuration is the newest.
   if (!context.m_ready())
     co_return wire::Response{503, {}, "not ready"};
   wire::Response response =
       wire::JsonResponse(200, ConfigSince(*context.m_config, after));
-  // Read just now is new enough, so that a fleet that starts at once costs the
-  // table two reads a second for each entry it asks.
+  // A read less than kMaxReadAge ago counts as current. So when all processes
+  // start at once, each entry that they query reads the table at most twice a
+  // second.
   if (Now() - context.m_config->read_at() < kMaxReadAge)
     response.m_headers[peer::kFromTable] = "true";
   co_return response;
@@ -53,8 +55,9 @@
   auto applied = CatchFailure(
       [&] { return TakeConfig(*context.m_config, request.m_body); });
   const uint64_t revision = context.m_config->current()->m_revision;
-  // One that is still learning may forget nothing it was told, but can't yet
-  // vouch for it.
+  // A process that has not fetched the newest configuration yet applies the
+  // changes too, but answers 503, so that the sender doesn't count it among the
+  // processes that hold them.
   const int status = !applied ? 400 : context.m_ready() ? 200 : 503;
   return {status, {}, std::to_string(revision)};
 }
--- a/src/libverbenalead/daemon/entry_peer_api.h
+++ b/src/libverbenalead/daemon/entry_peer_api.h
@@ -9,21 +9,26 @@
 
 namespace verbenalead::daemon {
 
-/// What the entry's API for our other processes asks of its daemon.
+/// Parts of the entry daemon that its API for the other daemons uses.
 struct EntryPeerContext {
   ConfigKeeper* m_config = nullptr;
   Journal* m_journal = nullptr;
-  /// Whether the configuration here is the newest as far as one can know.
+  /// Whether this process may vouch for its configuration: see
+  /// ConfigFollower::ready().
   std::function<bool()> m_ready;
 };
 
-/// What an entry answers to our other processes:
+/// Returns the handler of the requests that other daemons send to an entry:
 ///
-///     GET  /v1/config?after=REVISION&hold_ms=N   changes, or the whole state
-///     if
-///                                     too old; held back while there are none
-///     POST /v1/config                 takes changes; answers the revision held
-///     GET  /v1/trace/REQUEST          this process's lines
+///     GET  /v1/config?after=REVISION&hold_ms=N
+///         Returns the changes after REVISION, or the whole state if these are
+///         no longer in memory. While there are none, the answer is delayed by
+///         up to N milliseconds. With fresh=1 the table is read first, unless
+///         it was read a moment ago.
+///     POST /v1/config
+///         Applies the changes in the body; returns the revision in force.
+///     GET  /v1/trace/REQUEST
+///         Returns the journal lines of this process for the request.
 wire::Handler MakeEntryPeerApi(EntryPeerContext context);
 
 }  // namespace verbenalead::daemon
--- a/src/libverbenalead/daemon/fence_minter.cc
+++ b/src/libverbenalead/daemon/fence_minter.cc
@@ -13,7 +13,7 @@
                          uint64_t owner,
                          backends::Table& table)
     : m_host(std::move(host)),
-      // The id tells apart two processes that started in the same millisecond.
+      // The id distinguishes processes that started in the same millisecond.
       m_owner("{\"owner\":\"" + std::to_string(owner) + "-" + NewId() + "\"}"),
       m_table(table) {}
 
@@ -36,7 +36,8 @@
   std::vector<backends::TableWrite> writes;
   writes.push_back(std::move(write));
   auto done = co_await m_table.Transact(std::move(writes));
-  // A lost answer costs one number: the next try reads it back as ours.
+  // If the answer was lost, one token is skipped: the next call finds this
+  // process as the owner of the item and issues the token after it.
   if (!done)
     co_return done.error();
   if (*done != backends::TransactResult::kCommitted) {
--- a/src/libverbenalead/daemon/fence_minter.h
+++ b/src/libverbenalead/daemon/fence_minter.h
@@ -8,22 +8,24 @@
 
 namespace verbenalead::daemon {
 
-/// Mints the fencing numbers of one host's orders: an item of the table that
-/// holds the last number and the process that minted it. The first number of a
-/// process takes the host over; a process that then finds another one's number
-/// there has been taken over itself, however long it was paused.
+/// Issues the fencing tokens of the orders that a process gives to its host. A
+/// table item per host holds the last token and the process that issued it. The
+/// first token of a process supersedes the previous process of the host. A
+/// process that later finds a token of another process there has been
+/// superseded itself; so a process that resumes after a long pause can't give
+/// orders any more.
 class FenceMinter {
  public:
   FenceMinter(std::string host, uint64_t owner, backends::Table& table);
 
-  /// kConflict: this process has been taken over, for good. Any other failure:
-  /// try again.
+  /// Issues the next token. kConflict: this process has been superseded, which
+  /// is final. Any other failure may be retried.
   Awaitable<AsyncResult<uint64_t>> Mint();
 
  private:
   const std::string m_host;
-  /// Written into the item, so that a mint whose answer was lost is known for
-  /// ours when it is read back.
+  /// Identifies this process in the item, so that a token whose write was
+  /// committed but not answered is recognised when the item is read again.
   const std::string m_owner;
   backends::Table& m_table;
   bool m_minted = false;
--- a/src/libverbenalead/daemon/host_directory.h
+++ b/src/libverbenalead/daemon/host_directory.h
@@ -11,8 +11,9 @@
 
 namespace verbenalead::daemon {
 
-/// The hosts of the platform's list as last read. The list is a hint; while it
-/// can't be read the hosts known so far are kept. May be used from several
+/// The hosts of the platform's host list as last read. The list may lag behind
+/// the hosts that really run, so it is only a hint. While it can't be read, the
+/// result of the last successful read stays in use. May be used from several
 /// threads.
 class HostDirectory {
  public:
--- a/src/libverbenalead/daemon/journal.cc
+++ b/src/libverbenalead/daemon/journal.cc
@@ -6,11 +6,13 @@
 namespace verbenalead::daemon {
 namespace {
 
-/// Lines kept for one request; a call has three attempts of a few lines each.
+/// Maximum number of lines kept for one request. A call has up to three
+/// attempts, with a few lines each.
 constexpr size_t kMaxLines = 64;
 
-/// Bytes that wait for the object store. While it is down or slow, lines are
-/// dropped before memory that requests need: about 4,000 lines.
+/// Maximum number of bytes buffered for the object store: about 4,000 lines.
+/// While the store is down or slow, further lines are dropped, so that the
+/// buffer doesn't take the memory that requests need.
 constexpr size_t kMaxSegment = size_t{1} << 20;
 
 int64_t UnixMicroseconds() {
--- a/src/libverbenalead/daemon/journal.h
+++ b/src/libverbenalead/daemon/journal.h
@@ -13,19 +13,21 @@
 
 namespace verbenalead::daemon {
 
-/// What this process has decided about recent requests, for `vlctl trace`.
-/// Bounded: the oldest requests are forgotten first. May be used from several
-/// threads; requests are spread over shards, each under its own lock.
+/// Log lines of this process about recent requests, kept in memory for
+/// `vlctl trace`. The number of requests is bounded; the oldest are evicted
+/// first. May be used from several threads; requests are distributed over
+/// shards, each with its own lock.
 class Journal {
  public:
-  /// Remembers `max_requests` at most; `host` is named in each line.
+  /// Keeps the lines of about `max_requests` requests; `host` is named in each
+  /// line.
   Journal(std::string host, size_t max_requests);
 
-  /// Writes `line` to the log and remembers it under `request`.
+  /// Writes `line` to the log and keeps it under `request`.
   void Record(const std::string& request, LogLine line);
-  /// The lines written since the last call, for a segment in the object store.
-  /// Empty if there are none. Starts with the number of lines that were dropped
-  /// because the store had not taken them in time.
+  /// Removes and returns the lines recorded since the last call, as a segment
+  /// for the object store; empty if there are none. If lines had to be dropped
+  /// because the store was too slow, the segment starts with their number.
   std::string TakeSegment();
   /// The lines of `request`, oldest first: "unix_us=... host=... event=...".
   std::vector<std::string> Find(const std::string& request) const;
--- a/src/libverbenalead/daemon/journal_test.cc
+++ b/src/libverbenalead/daemon/journal_test.cc
@@ -36,8 +36,8 @@
     CPPUNIT_ASSERT_EQUAL(size_t{4}, journal.Find("r7").size());
   }
 
-  // The object store takes nothing for a long while. Memory must not grow, and
-  // whoever reads the next segment must see that lines are missing.
+  // While the object store accepts nothing for a long time, memory must not
+  // grow, and the next segment must state that lines are missing.
   void SegmentIsBoundedAndReportsDroppedLines() {
     Journal journal("h", 16);
     const std::string filler(1000, 'x');
--- a/src/libverbenalead/daemon/leaving_entries.h
+++ b/src/libverbenalead/daemon/leaving_entries.h
@@ -12,13 +12,14 @@
 
 namespace verbenalead::daemon {
 
-/// The entries that have said that they stop. The list of hosts learns it
-/// late, and until then callers would be sent to them. May be used from several
-/// threads.
+/// The entries that have announced that they are stopping. The host list shows
+/// this only after a delay, during which callers would still be directed to
+/// them. May be used from several threads.
 class LeavingEntries {
  public:
   void Add(const std::string& host);
-  /// A notice holds for a while only: the host may have been started again.
+  /// Whether `host` has announced its stop recently. A notice expires, since
+  /// the host may have been started again.
   bool Contains(const std::string& host) const;
 
  private:
@@ -26,13 +27,13 @@
   std::map<std::string, TimePoint> m_since;
 };
 
-/// `handler`, and before it POST /v1/leaving, by which an entry says that it
-/// stops.
+/// Returns a handler that serves POST /v1/leaving, by which an entry announces
+/// that it is stopping, and passes all other requests to `handler`.
 wire::Handler TakeLeavingNotices(LeavingEntries& leaving,
                                  wire::Handler handler);
 
-/// Tells `entries` that `host` stops. One that can't be reached is passed over:
-/// it learns it from the list of hosts.
+/// Notifies `entries` that `host` is stopping. An entry that can't be reached
+/// is skipped; it sees the stop in the host list later.
 Awaitable<void> TellLeaving(wire::Client& peers,
                             std::string host,
                             std::vector<model::Host> entries);
--- a/src/libverbenalead/daemon/permit_table.h
+++ b/src/libverbenalead/daemon/permit_table.h
@@ -9,15 +9,17 @@
 
 namespace verbenalead::daemon {
 
-/// The permits of one pool as an item of the platform's table.
+/// Reads and writes the load permits of one pool, which are one item of the
+/// platform's table.
 class PermitTable {
  public:
   PermitTable(std::string pool, backends::Table& table)
       : m_pool(std::move(pool)), m_table(table) {}
 
-  /// A pool whose permits were never written reads as empty, revision 0.
+  /// Returns no permits and revision 0 if the item does not exist yet.
   Awaitable<AsyncResult<decide::PermitBoard>> Read();
-  /// Writes `board` if the item stands at the revision before its own.
+  /// Writes `board` if the revision of the stored item is one below the
+  /// revision of `board` (compare-and-swap).
   Awaitable<decide::WriteResult> Write(decide::PermitBoard board);
 
  private:
--- a/src/libverbenalead/daemon/quarantine_keeper.h
+++ b/src/libverbenalead/daemon/quarantine_keeper.h
@@ -10,11 +10,14 @@
 
 namespace verbenalead::daemon {
 
-/// The entry's quarantine, under its lock. May be used from several threads.
+/// The quarantine of the entry with a lock around it: the requests that must
+/// not run because targets crashed under them. May be used from several
+/// threads.
 class QuarantineKeeper {
  public:
-  /// `on_news` is called, from any thread, after each crash that is to be told
-  /// to other entries. Set before the first one.
+  /// Sets the function that is called, from any thread, after each crash that
+  /// has to be reported to the other entries. Must be set before the first
+  /// crash.
   void SetOnNews(std::function<void()> on_new_notes) {
     m_on_news = std::move(on_new_notes);
   }
--- a/src/libverbenalead/daemon/readiness.cc
+++ b/src/libverbenalead/daemon/readiness.cc
@@ -9,10 +9,12 @@
 namespace verbenalead::daemon {
 namespace {
 
-/// When a caller may come back: a process learns the newest in about a second.
+/// Retry-After of a refused call: a process fetches the newest configuration in
+/// about a second.
 constexpr Duration kRetryAfter = 1s;
 
-/// Paths that bring new work: callers' and the attempts of entries.
+/// Whether a request to `path` is new work: a call of a caller, or an attempt
+/// that an entry sends to a target.
 bool IsNewWork(const std::string& path) {
   constexpr std::string_view kWorkPaths[] = {"/v1/completions", "/v1/chat/",
                                              "/services/", "/v1/attempt"};
--- a/src/libverbenalead/daemon/readiness.h
+++ b/src/libverbenalead/daemon/readiness.h
@@ -7,10 +7,11 @@
 
 namespace verbenalead::daemon {
 
-/// `handler`, but while `ready` returns false new work is refused as not run:
-/// a process that has not learned the newest configuration, or has lost touch
-/// with table and peers, could serve a version that was replaced long ago.
-/// What asks about the process itself is still answered.
+/// Returns a handler that refuses new work, as not run, while `ready` returns
+/// false, and passes all other requests to `handler`. A process that has not
+/// fetched the newest configuration, or has lost contact with the table and its
+/// peers, could serve a version that was replaced long ago. Requests about the
+/// process itself, such as its status, are still answered.
 wire::Handler WithReadiness(std::function<bool()> ready, wire::Handler handler);
 
 }  // namespace verbenalead::daemon
--- a/src/libverbenalead/daemon/recorded_answer.h
+++ b/src/libverbenalead/daemon/recorded_answer.h
@@ -9,15 +9,15 @@
 
 namespace verbenalead::daemon {
 
-/// The answer to a non-idempotent call, as it is kept in the table for whoever
-/// calls again with the same key.
+/// The answer to a non-idempotent call as it is stored in the table. It is
+/// returned to later calls with the same idempotency key, which don't run.
 struct RecordedAnswer {
   model::Outcome m_outcome = model::Outcome::kUnknown;
   int m_status = 0;
   std::string m_content_type;
   std::string m_body;
-  /// False: the answer was streamed, too long or not text, so m_body does not
-  /// hold it, and must not be shown as if it did.
+  /// Whether m_body holds the answer. False if the answer was streamed, too
+  /// long or not text; m_body must then not be returned as the answer.
   bool m_whole = false;
   std::string m_request;
   std::string m_target;
@@ -28,8 +28,8 @@
                           const RecordedAnswer&) = default;
 };
 
-/// Whether `text` is UTF-8, and so can stand in a JSON document. One that is
-/// not would make the table refuse the whole group of writes that carries it.
+/// Whether `text` is valid UTF-8 and can be part of a JSON document. The table
+/// would refuse the whole group of writes that contains an invalid text.
 bool IsJsonText(std::string_view text);
 
 std::string ToJson(const RecordedAnswer& answer);
--- a/src/libverbenalead/daemon/revision_client.h
+++ b/src/libverbenalead/daemon/revision_client.h
@@ -7,8 +7,9 @@
 
 namespace verbenalead::daemon {
 
-/// Names our configuration revision on each request to our other processes, so
-/// that whoever is behind learns it from the traffic itself.
+/// Client that adds the configuration revision of this process as a header to
+/// each request to another daemon. A receiver with an older configuration
+/// detects from it that it is behind and fetches the changes.
 class RevisionClient : public wire::Client {
  public:
   RevisionClient(wire::Client& client, const ConfigKeeper& config)
@@ -22,7 +23,8 @@
   const ConfigKeeper& m_config;
 };
 
-/// `handler`, which tells `config` of each revision that a request names.
+/// Returns a handler that records the revision header of each request in
+/// `config` and passes the request to `handler`.
 wire::Handler WithRevision(ConfigKeeper& config, wire::Handler handler);
 
 }  // namespace verbenalead::daemon
--- a/src/libverbenalead/daemon/target_directory.cc
+++ b/src/libverbenalead/daemon/target_directory.cc
@@ -12,8 +12,9 @@
 namespace {
 
 constexpr Duration kReportTimeout = 1s;
-/// How long a target holds its answer back while nothing changes. Below the age
-/// at which its last report no longer counts as a sign of life.
+/// How long a target delays its answer while nothing changes. Less than
+/// decide::kReportStale, the age after which a report no longer shows that its
+/// target is alive, so that an idle target stays in use.
 constexpr Duration kHold = 1500ms;
 constexpr int kPollsPerHostList = 4;
 constexpr int kUnchanged = 204;
@@ -45,8 +46,9 @@
   }
 }
 
-/// The list may say that a target leaves before the target does, and its
-/// answer may be held back: nothing new must go there meanwhile.
+/// Marks a target as leaving as soon as the host list does. The report of the
+/// target may show it later, since its answer may be delayed; meanwhile no new
+/// calls must be sent there.
 void TargetDirectory::MarkLeaving(const model::Host& host) {
   Known& known = m_known[host.name()];
   if (known.m_report.m_name.empty() || known.m_report.m_leaving)
@@ -67,8 +69,8 @@
     TakeReport(host, *response);
     co_return;
   }
-  // The next question is to be answered at once, not held back: whether the
-  // target is alive is in doubt now.
+  // Without a mark the target answers the next request at once. A delayed
+  // answer would not show in time whether the target is alive.
   m_known[host.name()].m_seen.clear();
   LogLine("target_silent")
       .With("target", host.name())
@@ -93,7 +95,8 @@
     known.m_seen = wire::Get(response.m_headers, peer::kReportMark);
   }
   known.m_report.m_leaving |= host.leaving();
-  // Reached where the host list says: a target knows only what it binds.
+  // The address comes from the host list: the target only has the address that
+  // it binds, which other hosts may not be able to reach.
   known.m_report.m_peer = host.peer();
   decide::Heard(m_members, host.name(), Now());
   m_config.HeardFrom(known.m_report.m_revision);
--- a/src/libverbenalead/daemon/target_directory.h
+++ b/src/libverbenalead/daemon/target_directory.h
@@ -14,9 +14,10 @@
 
 namespace verbenalead::daemon {
 
-/// Keeps the entry's view of targets fresh: asks those that it watches how they
-/// are, and hands the reports to the routers. A target holds its answer back
-/// while nothing changes.
+/// Keeps the view that this entry has of the targets current: polls the status
+/// of the targets that the entry watches and passes their reports to the
+/// routers, which select targets by them. A target delays its answer while its
+/// report doesn't change (long polling).
 class TargetDirectory {
  public:
   TargetDirectory(PoolRouters& routers,
@@ -39,11 +40,13 @@
   Awaitable<void> Run();
 
  private:
-  /// What was last heard of a target.
+  /// The last report of a target.
   struct Known {
+    /// Whether a status request to the target is in progress.
     bool m_asking = false;
     model::TargetReport m_report;
-    /// The target's mark of that report, to ask for what differs from it.
+    /// The mark by which the target identifies that report; sent with the next
+    /// status request, so that the target answers when its report differs.
     std::string m_seen;
   };
 
@@ -56,7 +59,7 @@
   HostDirectory& m_hosts;
   ConfigFollower& m_config;
   const Duration m_poll;
-  // Of the thread that runs Run().
+  // Used only by the thread that runs Run().
   decide::MembersState m_members;
   std::vector<model::Host> m_listed;
   std::map<std::string, Known> m_known;
--- a/src/libverbenalead/daemon/trace_gatherer.cc
+++ b/src/libverbenalead/daemon/trace_gatherer.cc
@@ -21,14 +21,16 @@
 constexpr Duration kFlushInterval = 1s;
 constexpr Duration kMaxFlushInterval = 30s;
 constexpr char kSegmentPrefix[] = "journal/";
-/// Segments of one entry that a trace reads, the newest first: half a minute
-/// of a busy one. More would not be read within 200 ms.
+/// Number of the newest segments of an entry that a trace reads: half a minute
+/// of a busy entry. More could not be read within 200 ms.
 constexpr size_t kMaxSegmentsRead = 32;
-/// How far back segments are listed; a list holds a thousand keys, the oldest
-/// first, and the newest are wanted.
+/// Age up to which segments are listed. A list contains at most a thousand
+/// keys, the oldest first; without a start near the present it would not reach
+/// the newest segments.
 constexpr int64_t kSearchWindowMs = 600'000;
 
-/// Answers that are awaited at once; all on one thread.
+/// The answers of the concurrent requests of one trace. All of them run on one
+/// thread.
 struct PendingAnswers {
   explicit PendingAnswers(const asio::any_io_executor& executor)
       : m_done(executor, TimePoint::max()) {}
@@ -79,7 +81,7 @@
   }
 }
 
-/// The lines of `request` in one segment.
+/// Adds the lines of `request` in the segment `key` to `pending`.
 Awaitable<void> ReadSegment(std::shared_ptr<PendingAnswers> pending,
                             backends::ObjectStore& store,
                             std::string key,
--- a/src/libverbenalead/daemon/trace_gatherer.h
+++ b/src/libverbenalead/daemon/trace_gatherer.h
@@ -11,17 +11,19 @@
 
 namespace verbenalead::daemon {
 
-/// Writes what the journal of `host` has gathered to the object store each
-/// second, so that a trace outlives the process. Runs until the process ends.
+/// Writes the lines that `journal` has buffered since the last write to the
+/// object store, as a segment of `host`, each second. So the trace of a request
+/// stays available after the process has ended. Runs until the process ends.
 Awaitable<void> FlushJournal(Journal& journal,
                              backends::ObjectStore& store,
                              std::string host);
 
-/// The lines of `request` from this process and from all of `hosts`, in order
-/// of time. Hosts that don't answer are named in a line of their own, so that
-/// a gap is never taken for "nothing happened there". Where no process knows
-/// the outcome, recent segments of all entries are searched: theirs may have
-/// died or been replaced. `store` may be null.
+/// Returns the journal lines of `request` from this process and from all
+/// `hosts`, in order of time. A host that doesn't answer is named in a line of
+/// its own, so that its missing lines aren't taken for inactivity. If no
+/// process has a line with the outcome, the recent segments of all entries in
+/// `hosts` are searched, since the entry of the request may have crashed or
+/// been replaced. `store` may be null; segments are not searched then.
 Awaitable<std::vector<std::string>> GatherTrace(std::string request,
                                                 const Journal& journal,
                                                 wire::Client& peers,
