--- a/src/libverbenalead/daemon/attempt_runner.cc
+++ b/src/libverbenalead/daemon/attempt_runner.cc
@@ -19,15 +19,15 @@
 using model::Outcome;
 
 constexpr char kEventStream[] = "text/event-stream";
-constexpr size_t kMaxAnswer = size_t{16} << 20;
+constexpr size_t kMaxBufferedAnswer = size_t{16} << 20;
 /// How long the question "did it start?" may take.
 constexpr Duration kVoidTimeout = 2s;
 constexpr char kCallerGone[] = "caller_gone";
 
-wire::Request MakeAttempt(const model::Call& call,
-                          const decide::Placement& placement,
-                          uint32_t number,
-                          wire::Request request) {
+wire::Request MakeAttemptRequest(const model::Call& call,
+                                 const decide::Placement& placement,
+                                 uint32_t number,
+                                 wire::Request request) {
   wire::Headers headers = PassedRequestHeaders(request.m_headers);
   if (!call.idempotent())
     headers["idempotency-key"] = call.idempotency_key();
@@ -49,10 +49,10 @@
   return request;
 }
 
-wire::ResponseHead HeadForCaller(const wire::ResponseHead& head,
-                                 const model::Call& call,
-                                 const decide::Placement& placement,
-                                 uint32_t number) {
+wire::ResponseHead MakeCallerHead(const wire::ResponseHead& head,
+                                  const model::Call& call,
+                                  const decide::Placement& placement,
+                                  uint32_t number) {
   wire::ResponseHead out{head.m_status, PassedResponseHeaders(head.m_headers)};
   out.m_headers[peer::kRequestId] = call.id();
   out.m_headers[peer::kTarget] = placement.m_target;
@@ -63,15 +63,16 @@
 }
 
 /// True if `head` answers this attempt and no other.
-bool Answers(const wire::ResponseHead& head,
-             const model::Call& call,
-             uint32_t number) {
+bool IsAnswerTo(const wire::ResponseHead& head,
+                const model::Call& call,
+                uint32_t number) {
   return wire::Get(head.m_headers, peer::kCall) == call.instance() &&
          wire::Get(head.m_headers, peer::kAttempt) == std::to_string(number);
 }
 
 /// The last event of a stream that is broken off: it names the outcome.
-std::string ErrorEvent(const AttemptReport& report, const model::Call& call) {
+std::string MakeErrorEvent(const AttemptReport& report,
+                           const model::Call& call) {
   const Outcome outcome = report.m_end == AttemptEnd::kFailed
                               ? Outcome::kFailed
                               : Outcome::kUnknown;
@@ -91,16 +92,16 @@
   wire::ResponseWriter& m_writer;
   decide::AttemptEvidence m_evidence;
   AttemptReport m_report;
-  wire::ResponseHead m_onward;
+  wire::ResponseHead m_forwarded_head;
   bool m_streamed = false;
-  bool m_caller_there = true;
-  std::string m_whole;
+  bool m_caller_connected = true;
+  std::string m_buffered_body;
   AnswerCheck m_check;
 
   /// A caller that has gone is told nothing more: its attempt is not tried
   /// again, as if an answer had begun.
-  void CallerGone() {
-    m_caller_there = false;
+  void RecordCallerGone() {
+    m_caller_connected = false;
     m_report.m_answer_begun = true;
     m_report.m_reason = kCallerGone;
   }
@@ -113,11 +114,11 @@
                                             wire::ResponseWriter& writer) {
   Attempt attempt{call, placement, number, writer};
   if (call.idempotent() && writer.gone()) {
-    attempt.CallerGone();
+    attempt.RecordCallerGone();
     co_return std::move(attempt.m_report);
   }
   wire::Request message =
-      MakeAttempt(call, placement, number, std::move(request));
+      MakeAttemptRequest(call, placement, number, std::move(request));
   auto opened = co_await m_peers.Open(placement.m_peer, std::move(message),
                                       call.deadline());
   if (opened) {
@@ -128,7 +129,7 @@
         opened.error().m_code != FailureCode::kUnreachable;
     NoteLoss(attempt, opened.error());
   }
-  if (!attempt.m_caller_there && call.idempotent())
+  if (!attempt.m_caller_connected && call.idempotent())
     co_return std::move(attempt.m_report);
   // Past its deadline an idempotent call is told "unknown" at once: the answer
   // to the question could only come after its caller has stopped waiting.
@@ -142,7 +143,7 @@
 
 void AttemptRunner::NoteLoss(Attempt& attempt, const Failure& failure) {
   if (failure.m_code == FailureCode::kCancelled) {
-    attempt.CallerGone();
+    attempt.RecordCallerGone();
     return;
   }
   attempt.m_report.m_reason = ToString(failure);
@@ -161,7 +162,7 @@
     NoteLoss(attempt, head.error());
     co_return;
   }
-  if (!Answers(*head, attempt.m_call, attempt.m_number)) {
+  if (!IsAnswerTo(*head, attempt.m_call, attempt.m_number)) {
     LogLine("answer_dropped")
         .With("request", attempt.m_call.id())
         .With("attempt", uint64_t{attempt.m_number})
@@ -184,8 +185,8 @@
   }
   attempt.m_evidence.m_entered = true;
   attempt.m_report.m_version = wire::Get(head->m_headers, peer::kVersion);
-  attempt.m_onward = HeadForCaller(*head, attempt.m_call, attempt.m_placement,
-                                   attempt.m_number);
+  attempt.m_forwarded_head = MakeCallerHead(
+      *head, attempt.m_call, attempt.m_placement, attempt.m_number);
   attempt.m_streamed =
       wire::Get(head->m_headers, "content-type").starts_with(kEventStream);
   if (co_await ReadPieces(reader, attempt))
@@ -205,29 +206,30 @@
     attempt.m_check.Add(**piece);
     if (attempt.m_streamed) {
       co_await PassOn(std::move(**piece), attempt);
-      if (!attempt.m_caller_there && attempt.m_call.idempotent())
+      if (!attempt.m_caller_connected && attempt.m_call.idempotent())
         co_return false;
-    } else if (attempt.m_whole.size() + (*piece)->size() > kMaxAnswer) {
+    } else if (attempt.m_buffered_body.size() + (*piece)->size() >
+               kMaxBufferedAnswer) {
       attempt.m_evidence.m_ended_badly = true;
       attempt.m_report.m_reason = "the answer is too long";
       co_return false;
     } else {
-      attempt.m_whole += **piece;
+      attempt.m_buffered_body += **piece;
     }
   }
 }
 
 Awaitable<void> AttemptRunner::PassOn(std::string piece, Attempt& attempt) {
-  if (!attempt.m_caller_there)
+  if (!attempt.m_caller_connected)
     co_return;
-  bool there = true;
+  bool connected = true;
   if (!attempt.m_report.m_answer_begun)
-    there = co_await attempt.m_writer.Start(attempt.m_onward);
+    connected = co_await attempt.m_writer.Start(attempt.m_forwarded_head);
   attempt.m_report.m_answer_begun = true;
-  if (there)
-    there = co_await attempt.m_writer.Write(std::move(piece));
-  if (!there)
-    attempt.CallerGone();
+  if (connected)
+    connected = co_await attempt.m_writer.Write(std::move(piece));
+  if (!connected)
+    attempt.RecordCallerGone();
 }
 
 void AttemptRunner::JudgeEnd(const wire::Headers& trailers, Attempt& attempt) {
@@ -244,16 +246,17 @@
     report.m_broken = true;
     return;
   }
-  report.m_answer = {attempt.m_onward.m_status, attempt.m_onward.m_headers,
-                     std::move(attempt.m_whole)};
+  report.m_answer = {attempt.m_forwarded_head.m_status,
+                     attempt.m_forwarded_head.m_headers,
+                     std::move(attempt.m_buffered_body)};
 }
 
 Awaitable<void> AttemptRunner::BreakOff(Attempt& attempt) {
   const AttemptReport& report = attempt.m_report;
-  if (!report.m_answer_begun || !attempt.m_caller_there ||
+  if (!report.m_answer_begun || !attempt.m_caller_connected ||
       report.m_end == AttemptEnd::kCompleted)
     co_return;
-  std::string event = ErrorEvent(report, attempt.m_call);
+  std::string event = MakeErrorEvent(report, attempt.m_call);
   co_await attempt.m_writer.Write(std::move(event));
 }
 
--- a/src/libverbenalead/daemon/attempt_server.cc
+++ b/src/libverbenalead/daemon/attempt_server.cc
@@ -16,7 +16,7 @@
 
 /// How long the answer to a call that may run only once is waited for, piece by
 /// piece, beyond its caller's time: its outcome is to be recorded.
-constexpr Duration kPieceTimeout = 60s;
+constexpr Duration kRecordedPieceTimeout = 60s;
 constexpr int kFirstErrorStatus = 400;
 
 uint64_t NumberIn(const wire::Headers& headers, const char* name) {
@@ -35,32 +35,32 @@
   return digest ? *digest : Digest();
 }
 
-wire::Request ForEngine(const wire::Request& request) {
-  wire::Request onward;
-  onward.m_method = wire::Get(request.m_headers, peer::kMethod);
-  onward.m_path = wire::Get(request.m_headers, peer::kPath);
-  onward.m_body = request.m_body;
-  onward.m_headers = PassedRequestHeaders(request.m_headers);
+wire::Request MakeEngineRequest(const wire::Request& request) {
+  wire::Request forwarded;
+  forwarded.m_method = wire::Get(request.m_headers, peer::kMethod);
+  forwarded.m_path = wire::Get(request.m_headers, peer::kPath);
+  forwarded.m_body = request.m_body;
+  forwarded.m_headers = PassedRequestHeaders(request.m_headers);
   for (const char* name : {peer::kRequestId, peer::kOrganisation})
-    onward.m_headers[name] = wire::Get(request.m_headers, name);
-  return onward;
+    forwarded.m_headers[name] = wire::Get(request.m_headers, name);
+  return forwarded;
 }
 
 /// The bound that the entry set by what it takes for the pool's mean; none for
 /// an attempt that is to go here whatever runs.
-uint32_t MaxRunningIn(const wire::Request& request) {
+uint32_t MaxRunningOf(const wire::Request& request) {
   const std::string text = wire::Get(request.m_headers, peer::kMaxRunning);
   if (text.empty())
     return UINT32_MAX;
   return static_cast<uint32_t>(NumberIn(request.m_headers, peer::kMaxRunning));
 }
 
-bool MayRepeat(const wire::Request& request) {
+bool IsIdempotent(const wire::Request& request) {
   return wire::Get(request.m_headers, "idempotency-key").empty();
 }
 
 /// The fields by which the entry knows which attempt is answered.
-void Address(const decide::Attempt& attempt, wire::Headers& headers) {
+void SetAttemptHeaders(const decide::Attempt& attempt, wire::Headers& headers) {
   headers[peer::kCall] = attempt.m_call;
   headers[peer::kAttempt] = std::to_string(attempt.m_number);
 }
@@ -68,8 +68,9 @@
 /// Until when the next piece of an answer is waited for. An engine that pauses
 /// within its caller's time still answers; to end it sooner would cut what the
 /// caller waits for.
-TimePoint PieceDeadline(TimePoint deadline, bool may_repeat) {
-  return may_repeat ? deadline : std::max(deadline, Now() + kPieceTimeout);
+TimePoint PieceDeadline(TimePoint deadline, bool idempotent) {
+  return idempotent ? deadline
+                    : std::max(deadline, Now() + kRecordedPieceTimeout);
 }
 
 }  // namespace
@@ -82,7 +83,7 @@
   uint64_t m_generation = 0;
   Digest m_digest;
   /// False for a call that may run only once.
-  bool m_may_repeat = true;
+  bool m_idempotent = true;
   /// Attempts that ran when it came.
   uint32_t m_running = 0;
   /// When its caller stops waiting.
@@ -102,16 +103,20 @@
   const std::string request_id = wire::Get(request.m_headers, peer::kRequestId);
   const uint64_t incarnation = NumberIn(request.m_headers, peer::kIncarnation);
   const Digest wanted = DigestIn(request.m_headers);
-  Entered entered;
-  bool busier = false;
+  Entered admitted;
+  bool over_max_running = false;
   const decide::EnterResult result = m_gate.With([&](decide::GateState& gate) {
-    entered = {attempt,       request_id,         gate.m_generation,
-               gate.m_digest, MayRepeat(request), gate.m_running};
+    admitted = {attempt,
+                request_id,
+                gate.m_generation,
+                gate.m_digest,
+                IsIdempotent(request),
+                gate.m_running};
     // An attempt that came before may be running: of that one, and so of this
     // copy, "not run" would be untrue.
-    busier = !gate.m_attempts.contains(attempt) &&
-             gate.m_running > MaxRunningIn(request);
-    if (busier) {
+    over_max_running = !gate.m_attempts.contains(attempt) &&
+                       gate.m_running > MaxRunningOf(request);
+    if (over_max_running) {
       decide::VoidAttempt(gate, attempt, Now());
       return decide::EnterResult::kFull;
     }
@@ -124,55 +129,57 @@
     co_return;
   }
   if (result != decide::EnterResult::kEntered) {
-    const std::string reason = busier ? peer::kBusier : ToString(result);
-    co_await Refuse(entered, reason, writer);
+    const std::string reason =
+        over_max_running ? peer::kBusier : ToString(result);
+    co_await Refuse(admitted, reason, writer);
     co_return;
   }
-  m_journal.Record(request_id, LogLine("entered")
-                                   .With("call", attempt.m_call)
-                                   .With("attempt", uint64_t{attempt.m_number})
-                                   .With("target", m_host)
-                                   .With("digest", ToString(entered.m_digest)));
-  co_await Forward(entered, std::move(request), writer);
+  m_journal.Record(request_id,
+                   LogLine("entered")
+                       .With("call", attempt.m_call)
+                       .With("attempt", uint64_t{attempt.m_number})
+                       .With("target", m_host)
+                       .With("digest", ToString(admitted.m_digest)));
+  co_await Forward(admitted, std::move(request), writer);
   m_gate.With([&](decide::GateState& gate) {
     decide::Leave(gate, attempt, Now());
     return 0;
   });
 }
 
-Awaitable<void> AttemptServer::Refuse(Entered entered,
+Awaitable<void> AttemptServer::Refuse(Entered admitted,
                                       std::string reason,
                                       wire::ResponseWriter& writer) {
-  m_journal.Record(entered.m_request,
+  m_journal.Record(admitted.m_request,
                    LogLine("gate_refused")
-                       .With("attempt", uint64_t{entered.m_attempt.m_number})
+                       .With("attempt", uint64_t{admitted.m_attempt.m_number})
                        .With("target", m_host)
                        .With("reason", reason));
   wire::Response response;
   response.m_status = 503;
   response.m_headers[peer::kOutcome] = "refused";
   response.m_headers[peer::kReason] = reason;
-  Address(entered.m_attempt, response.m_headers);
-  response.m_headers[peer::kRunning] = std::to_string(entered.m_running);
+  SetAttemptHeaders(admitted.m_attempt, response.m_headers);
+  response.m_headers[peer::kRunning] = std::to_string(admitted.m_running);
   co_await writer.Send(std::move(response));
 }
 
-Awaitable<void> AttemptServer::Forward(Entered entered,
+Awaitable<void> AttemptServer::Forward(Entered admitted,
                                        wire::Request request,
                                        wire::ResponseWriter& writer) {
   const auto wait =
       std::chrono::milliseconds(NumberIn(request.m_headers, peer::kDeadline));
   const TimePoint deadline = Now() + wait;
-  entered.m_deadline = deadline;
-  auto opened = co_await m_engine.Send(ForEngine(request), deadline);
+  admitted.m_deadline = deadline;
+  auto opened = co_await m_engine.Send(MakeEngineRequest(request), deadline);
   if (!opened && opened.error().m_code == FailureCode::kUnreachable) {
-    co_await Refuse(entered, "engine_unreachable", writer);
+    co_await Refuse(admitted, "engine_unreachable", writer);
     co_return;
   }
   // What may run only once is not cut short: the entry may have gone, but the
   // effect would be half done.
   std::unique_ptr<wire::CancelWhenGone> cancel;
-  if (opened && entered.m_may_repeat)
+  if (opened && admitted.m_idempotent)
     cancel = std::make_unique<wire::CancelWhenGone>(writer, **opened);
   AsyncResult<wire::ResponseHead> head = wire::ResponseHead();
   if (opened)
@@ -180,11 +187,11 @@
   else
     head = opened.error();
   if (!head) {
-    m_journal.Record(entered.m_request,
+    m_journal.Record(admitted.m_request,
                      LogLine("engine_failed").With(head.error()));
     wire::ResponseHead failed{502, {}};
     failed.m_headers[peer::kOutcome] = "ran";
-    Address(entered.m_attempt, failed.m_headers);
+    SetAttemptHeaders(admitted.m_attempt, failed.m_headers);
     co_await writer.Start(std::move(failed));
     wire::Headers trailers;
     trailers[peer::kOutcome] = "failed";
@@ -192,43 +199,43 @@
     co_await writer.Finish(std::move(trailers));
     co_return;
   }
-  co_await PassOn(entered, **opened, std::move(*head), writer);
+  co_await PassOn(admitted, **opened, std::move(*head), writer);
 }
 
-bool AttemptServer::Passes(const Entered& entered, const Digest& reported) {
+bool AttemptServer::Passes(const Entered& admitted, const Digest& reported) {
   return m_gate.With([&](decide::GateState& gate) {
-    return decide::MayPass(gate, entered.m_generation, reported);
+    return decide::MayPass(gate, admitted.m_generation, reported);
   });
 }
 
-Awaitable<void> AttemptServer::PassOn(Entered entered,
+Awaitable<void> AttemptServer::PassOn(Entered admitted,
                                       wire::ResponseReader& reader,
                                       wire::ResponseHead head,
                                       wire::ResponseWriter& writer) {
   const Digest reported = DigestIn(head.m_headers);
   // An error that an engine answers is not made from weights.
   const bool exempt = reported.empty() && head.m_status >= kFirstErrorStatus;
-  wire::ResponseHead onward{head.m_status,
-                            PassedResponseHeaders(head.m_headers)};
-  Address(entered.m_attempt, onward.m_headers);
-  onward.m_headers[peer::kOutcome] = "ran";
-  onward.m_headers[peer::kTarget] = m_host;
-  onward.m_headers[peer::kRunning] = std::to_string(entered.m_running);
-  onward.m_headers[peer::kDigest] = ToString(reported);
-  onward.m_headers[peer::kVersion] = ToString(reported);
-  bool alive = co_await writer.Start(std::move(onward));
+  wire::ResponseHead forwarded{head.m_status,
+                               PassedResponseHeaders(head.m_headers)};
+  SetAttemptHeaders(admitted.m_attempt, forwarded.m_headers);
+  forwarded.m_headers[peer::kOutcome] = "ran";
+  forwarded.m_headers[peer::kTarget] = m_host;
+  forwarded.m_headers[peer::kRunning] = std::to_string(admitted.m_running);
+  forwarded.m_headers[peer::kDigest] = ToString(reported);
+  forwarded.m_headers[peer::kVersion] = ToString(reported);
+  bool alive = co_await writer.Start(std::move(forwarded));
   AnswerCheck check;
   std::string reason;
   // A call that may run only once is read to its end even if nobody listens.
-  while (alive || !entered.m_may_repeat) {
+  while (alive || !admitted.m_idempotent) {
     // Checked before each piece: a load that began meanwhile, or an engine
     // that answers with another version, ends the answer as failed.
-    if (!exempt && !Passes(entered, reported)) {
+    if (!exempt && !Passes(admitted, reported)) {
       reason = "version_changed";
       break;
     }
     auto piece = co_await reader.ReadBody(
-        PieceDeadline(entered.m_deadline, entered.m_may_repeat));
+        PieceDeadline(admitted.m_deadline, admitted.m_idempotent));
     if (!piece) {
       reason = ToString(piece.error());
       break;
@@ -242,9 +249,9 @@
   check.Fill(trailers);
   trailers[peer::kOutcome] = reason.empty() ? "completed" : "failed";
   trailers[peer::kReason] = reason;
-  m_journal.Record(entered.m_request,
+  m_journal.Record(admitted.m_request,
                    LogLine("answered")
-                       .With("attempt", uint64_t{entered.m_attempt.m_number})
+                       .With("attempt", uint64_t{admitted.m_attempt.m_number})
                        .With("target", m_host)
                        .With("digest", ToString(reported))
                        .With("bytes", check.length())
@@ -257,15 +264,15 @@
   const decide::Attempt attempt = AttemptOf(request);
   const std::string request_id = wire::Get(request.m_headers, peer::kRequestId);
   const uint64_t incarnation = NumberIn(request.m_headers, peer::kIncarnation);
-  const bool never = m_gate.With([&](decide::GateState& gate) {
+  const bool never_started = m_gate.With([&](decide::GateState& gate) {
     return decide::AnswerVoid(gate, attempt, incarnation, Now()) ==
            decide::VoidReply::kNeverStarted;
   });
   m_journal.Record(request_id, LogLine("void_attempt")
                                    .With("attempt", uint64_t{attempt.m_number})
                                    .With("target", m_host)
-                                   .With("never_started", never));
-  return {200, {}, never ? "never_started" : "started"};
+                                   .With("never_started", never_started));
+  return {200, {}, never_started ? "never_started" : "started"};
 }
 
 }  // namespace verbenalead::daemon
--- a/src/libverbenalead/daemon/attempt_server.h
+++ b/src/libverbenalead/daemon/attempt_server.h
@@ -36,17 +36,17 @@
 
   Awaitable<void> ServeAttempt(wire::Request request,
                                wire::ResponseWriter& writer);
-  Awaitable<void> Forward(Entered entered,
+  Awaitable<void> Forward(Entered admitted,
                           wire::Request request,
                           wire::ResponseWriter& writer);
-  Awaitable<void> PassOn(Entered entered,
+  Awaitable<void> PassOn(Entered admitted,
                          wire::ResponseReader& reader,
                          wire::ResponseHead head,
                          wire::ResponseWriter& writer);
-  Awaitable<void> Refuse(Entered entered,
+  Awaitable<void> Refuse(Entered admitted,
                          std::string reason,
                          wire::ResponseWriter& writer);
-  bool Passes(const Entered& entered, const Digest& reported);
+  bool Passes(const Entered& admitted, const Digest& reported);
 
   const std::string m_host;
   GateKeeper& m_gate;
--- a/src/libverbenalead/daemon/attempt_server_test.cc
+++ b/src/libverbenalead/daemon/attempt_server_test.cc
@@ -17,30 +17,30 @@
 
 class AttemptServerTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(AttemptServerTest);
-  CPPUNIT_TEST(AnEngineMayPauseForAsLongAsItsCallHas);
-  CPPUNIT_TEST(WhatRunsOnceIsReadOnAfterItsCallersTime);
+  CPPUNIT_TEST(EngineMayPauseUntilCallDeadline);
+  CPPUNIT_TEST(NonIdempotentAnswerIsReadAfterDeadline);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void AnEngineMayPauseForAsLongAsItsCallHas() {
-    const TimePoint begun = Now();
+  void EngineMayPauseUntilCallDeadline() {
+    const TimePoint start = Now();
     const wire::RecordingWriter caller = Serve(kTimeLeft, "");
     CPPUNIT_ASSERT(caller.m_whole);
     CPPUNIT_ASSERT_EQUAL(std::string("answer"), caller.m_body);
     for (const TimePoint deadline : m_client.m_body_deadlines) {
-      CPPUNIT_ASSERT(deadline >= begun + kTimeLeft);
+      CPPUNIT_ASSERT(deadline >= start + kTimeLeft);
       CPPUNIT_ASSERT(deadline <= Now() + kTimeLeft);
     }
   }
 
   // A confirmation whose answer is dropped as its caller's time is over would
   // have no recorded outcome.
-  void WhatRunsOnceIsReadOnAfterItsCallersTime() {
-    const TimePoint begun = Now();
+  void NonIdempotentAnswerIsReadAfterDeadline() {
+    const TimePoint start = Now();
     Serve(1ms, "fee-1");
     CPPUNIT_ASSERT(!m_client.m_body_deadlines.empty());
     for (const TimePoint deadline : m_client.m_body_deadlines)
-      CPPUNIT_ASSERT(deadline > begun + 10s);
+      CPPUNIT_ASSERT(deadline > start + 10s);
   }
 
  private:
--- a/src/libverbenalead/daemon/passed_headers.cc
+++ b/src/libverbenalead/daemon/passed_headers.cc
@@ -10,7 +10,7 @@
 
 /// Fields that speak of one connection (RFC 9110, 7.6.1), or that each hop
 /// writes itself.
-const std::set<std::string>& HopFields() {
+const std::set<std::string>& HopByHopFields() {
   static const std::set<std::string> kFields = {
       "connection", "content-length",      "expect",
       "host",       "keep-alive",          "proxy-authenticate",
@@ -21,7 +21,7 @@
 
 /// Fields by which our processes speak of an attempt: a caller or a back end
 /// that sent one would speak in their name.
-const std::set<std::string>& OwnFields() {
+const std::set<std::string>& InternalFields() {
   static const std::set<std::string> kFields = {
       peer::kRequestId,    peer::kAttempt,      peer::kIncarnation,
       peer::kPath,         peer::kMethod,       peer::kDigest,
@@ -32,10 +32,10 @@
   return kFields;
 }
 
-wire::Headers Passed(const wire::Headers& headers) {
+wire::Headers FilterHeaders(const wire::Headers& headers) {
   wire::Headers passed;
   for (const auto& [name, value] : headers) {
-    if (!HopFields().contains(name) && !OwnFields().contains(name))
+    if (!HopByHopFields().contains(name) && !InternalFields().contains(name))
       passed[name] = value;
   }
   return passed;
@@ -44,11 +44,11 @@
 }  // namespace
 
 wire::Headers PassedRequestHeaders(const wire::Headers& headers) {
-  return Passed(headers);
+  return FilterHeaders(headers);
 }
 
 wire::Headers PassedResponseHeaders(const wire::Headers& headers) {
-  return Passed(headers);
+  return FilterHeaders(headers);
 }
 
 }  // namespace verbenalead::daemon
--- a/src/libverbenalead/daemon/pool_router.cc
+++ b/src/libverbenalead/daemon/pool_router.cc
@@ -35,7 +35,7 @@
 Awaitable<decide::AdmitAction> PoolRouter::Admit(model::Call call) {
   const auto executor = co_await asio::this_coro::executor;
   auto waiter = std::make_shared<Waiter>(executor);
-  bool sweep = false;
+  bool start_sweep = false;
   {
     std::lock_guard lock(m_mutex);
     const TimePoint now = Now();
@@ -44,9 +44,9 @@
     decide::CountFirstAttempt(m_budget);
     Deliver(decide::Tick(m_admit, decide::UsableCapacity(m_place, now), now));
     Deliver(decide::Arrive(m_admit, ticket, call, now));
-    sweep = BeginSweep();
+    start_sweep = BeginSweep();
   }
-  if (sweep)
+  if (start_sweep)
     Spawn(executor, Sweep(), "sweep");
   while (!waiter->m_action) {
     boost::system::error_code ignored;
@@ -64,12 +64,12 @@
 }
 
 Awaitable<void> PoolRouter::Sweep() {
-  bool more = true;
-  while (more) {
+  bool calls_waiting = true;
+  while (calls_waiting) {
     co_await Sleep(decide::kDropEvery);
     Tick();
     std::lock_guard lock(m_mutex);
-    more = m_sweeping = m_admit.m_waiting > 0;
+    calls_waiting = m_sweeping = m_admit.m_waiting > 0;
   }
 }
 
--- a/src/libverbenalead/daemon/pool_router_test.cc
+++ b/src/libverbenalead/daemon/pool_router_test.cc
@@ -19,8 +19,8 @@
 struct Counts {
   std::atomic<int> m_started{0};
   std::atomic<int> m_refused{0};
-  std::atomic<int> m_under_way{0};
-  std::atomic<int> m_most{0};
+  std::atomic<int> m_concurrent{0};
+  std::atomic<int> m_max_concurrent{0};
 };
 
 Awaitable<void> CallOnce(PoolRouter& router,
@@ -32,17 +32,18 @@
   const model::Call call = builder.Deadline(Now() + 30s).Build();
   const decide::AdmitAction admitted = co_await router.Admit(call);
   if (admitted.m_kind == decide::AdmitAction::Kind::kStart) {
-    const int under_way = ++counts.m_under_way;
-    int most = counts.m_most;
-    while (under_way > most &&
-           !counts.m_most.compare_exchange_weak(most, under_way)) {
+    const int concurrent = ++counts.m_concurrent;
+    int max_concurrent = counts.m_max_concurrent;
+    while (concurrent > max_concurrent &&
+           !counts.m_max_concurrent.compare_exchange_weak(max_concurrent,
+                                                          concurrent)) {
     }
     const auto placement = router.Place(call, {}, {});
     co_await Sleep(1ms);
     if (placement)
       router.AttemptEnded(placement->m_target, call, decide::TargetSign::kGood,
                           1ms, 0);
-    --counts.m_under_way;
+    --counts.m_concurrent;
     router.Finish(call, 1ms);
     ++counts.m_started;
   } else {
@@ -54,14 +55,14 @@
 
 class PoolRouterTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(PoolRouterTest);
-  CPPUNIT_TEST(CallersOnSeveralThreadsAreEachToldOnce);
+  CPPUNIT_TEST(ConcurrentCallersGetOneDecisionEach);
   CPPUNIT_TEST_SUITE_END();
 
  public:
   // Every caller hears once, started or refused, and no more run at once than
   // the targets can take, while calls, reports and ticks come from four
   // threads at once.
-  void CallersOnSeveralThreadsAreEachToldOnce() {
+  void ConcurrentCallersGetOneDecisionEach() {
     IoThreads threads(4);
     PoolRouter router(1);
     model::TargetReport report;
@@ -76,17 +77,17 @@
                             CallOnce(router, threads, counts, i),
                             boost::asio::detached);
     }
-    boost::asio::co_spawn(threads.Next(), Disturb(router, report),
+    boost::asio::co_spawn(threads.Next(), ReportAndTick(router, report),
                           boost::asio::detached);
     threads.Run();
     CPPUNIT_ASSERT_EQUAL(kCalls, counts.m_started + counts.m_refused);
     CPPUNIT_ASSERT(counts.m_started > 0);
-    CPPUNIT_ASSERT(counts.m_most <= 8);
+    CPPUNIT_ASSERT(counts.m_max_concurrent <= 8);
   }
 
  private:
-  static Awaitable<void> Disturb(PoolRouter& router,
-                                 model::TargetReport report) {
+  static Awaitable<void> ReportAndTick(PoolRouter& router,
+                                       model::TargetReport report) {
     while (true) {
       router.Report(report);
       router.Tick();
--- a/src/libverbenalead/daemon/program.cc
+++ b/src/libverbenalead/daemon/program.cc
@@ -9,7 +9,7 @@
 namespace verbenalead::daemon {
 namespace {
 
-constexpr int kCouldNotRun = 1;
+constexpr int kExitFailure = 1;
 constexpr int kBadUse = 2;
 
 }  // namespace
@@ -29,10 +29,11 @@
                "print every setting with default and range, and end");
   app.add_flag("--check", check, "check the settings file, and end");
   app.set_version_flag("--version", name + " 0.1.0");
-  for (const ProgramMode& other : modes) {
-    if (!other.m_option.empty()) {
+  for (const ProgramMode& candidate : modes) {
+    if (!candidate.m_option.empty()) {
       app.add_flag_callback(
-          other.m_option, [&mode, &other] { mode = &other; }, other.m_help);
+          candidate.m_option, [&mode, &candidate] { mode = &candidate; },
+          candidate.m_help);
     }
   }
   try {
@@ -60,7 +61,7 @@
     return mode->m_run(*settings);
   } catch (const std::exception& error) {
     std::cerr << name << ": " << error.what() << "\n";
-    return kCouldNotRun;
+    return kExitFailure;
   }
 }
 
--- a/src/libverbenalead/daemon/request_runner.cc
+++ b/src/libverbenalead/daemon/request_runner.cc
@@ -14,22 +14,22 @@
 constexpr Duration kRetryAfterNoTarget = 1s;
 /// Longest pause before a call asks full targets again; the first is
 /// decide::kFullPause.
-constexpr Duration kLongestPause = 160ms;
+constexpr Duration kMaxFullPause = 160ms;
 /// Rounds after which a call is refused that targets turn away for other
 /// reasons than room: their gates are shut, or serve another version.
 constexpr int kMaxRoundsTurnedAway = 3;
-constexpr Duration kRetryAfterTable = 2s;
+constexpr Duration kRetryAfterTableFailure = 2s;
 constexpr Duration kRetryAfterHeld = 1s;
 constexpr int kConflictStatus = 409;
 constexpr int kUnprocessableStatus = 422;
-constexpr char kSetAside[] = "request_crashes_targets";
+constexpr char kQuarantinedReason[] = "request_crashes_targets";
 /// An answer longer than this is not recorded, only its outcome.
 constexpr size_t kMaxRecordedBody = 64 * 1024;
 
-front::Problem ProblemOf(const model::Call& call,
-                         Outcome outcome,
-                         std::string reason,
-                         Duration retry_after) {
+front::Problem MakeProblem(const model::Call& call,
+                           Outcome outcome,
+                           std::string reason,
+                           Duration retry_after) {
   front::Problem problem;
   problem.m_outcome = outcome;
   problem.m_reason = std::move(reason);
@@ -44,7 +44,7 @@
 }
 
 /// Whether a target turned a call away only for what else it runs.
-bool IsForRoom(const std::string& reason) {
+bool IsForCapacity(const std::string& reason) {
   return reason == peer::kFull || reason == peer::kBusier;
 }
 
@@ -80,17 +80,18 @@
                                           : TargetSign::kRefused;
 }
 
-wire::Response Recorded(const RecordedAnswer& answer, const model::Call& call) {
+wire::Response MakeRecordedResponse(const RecordedAnswer& answer,
+                                    const model::Call& call) {
   if (answer.m_outcome != Outcome::kCompleted) {
     front::Problem problem =
-        ProblemOf(call, answer.m_outcome, answer.m_reason, {});
+        MakeProblem(call, answer.m_outcome, answer.m_reason, {});
     problem.m_target = answer.m_target;
     problem.m_version = answer.m_version;
     return front::ToResponse(problem);
   }
   if (!answer.m_whole) {
     front::Problem problem =
-        ProblemOf(call, answer.m_outcome, "answer_not_kept", {});
+        MakeProblem(call, answer.m_outcome, "answer_not_kept", {});
     problem.m_status = kConflictStatus;
     problem.m_target = answer.m_target;
     problem.m_version = answer.m_version;
@@ -151,8 +152,9 @@
                                         wire::ResponseWriter& writer) {
   m_journal.Record(call.id(), LogLine("set_aside")
                                   .With("organisation", call.organisation())
-                                  .With("reason", kSetAside));
-  front::Problem problem = ProblemOf(call, Outcome::kRefused, kSetAside, {});
+                                  .With("reason", kQuarantinedReason));
+  front::Problem problem =
+      MakeProblem(call, Outcome::kRefused, kQuarantinedReason, {});
   problem.m_status = kUnprocessableStatus;
   co_await writer.Send(front::ToResponse(problem));
 }
@@ -172,16 +174,17 @@
     m_journal.Record(call.id(),
                      line.With("result", "answered_before")
                          .With("first_request", claim.m_answer.m_request));
-    co_await writer.Send(Recorded(claim.m_answer, call));
+    co_await writer.Send(MakeRecordedResponse(claim.m_answer, call));
     co_return std::nullopt;
   }
   const bool held = claim.m_kind == Kind::kHeld;
   m_journal.Record(call.id(),
                    line.With("result", held ? "held" : "unavailable"));
   front::Problem problem =
-      held ? ProblemOf(call, Outcome::kUnknown, claim.m_reason, kRetryAfterHeld)
-           : ProblemOf(call, Outcome::kRefused, "claim_table_unavailable",
-                       kRetryAfterTable);
+      held ? MakeProblem(call, Outcome::kUnknown, claim.m_reason,
+                         kRetryAfterHeld)
+           : MakeProblem(call, Outcome::kRefused, "claim_table_unavailable",
+                         kRetryAfterTableFailure);
   if (held)
     problem.m_status = kConflictStatus;
   co_await writer.Send(front::ToResponse(problem));
@@ -205,8 +208,8 @@
       co_return verdict;
     if (end == RoundEnd::kTurnedAway)
       ++turned_away;
-    const bool room_to_come = router.FoundFull();
-    if (!room_to_come || turned_away >= kMaxRoundsTurnedAway ||
+    const bool capacity_expected = router.FoundFull();
+    if (!capacity_expected || turned_away >= kMaxRoundsTurnedAway ||
         Now() + pause >= call.deadline()) {
       verdict.m_outcome =
           decide::OutcomeToTell(Outcome::kRefused, verdict.m_in_doubt);
@@ -214,7 +217,7 @@
       co_return verdict;
     }
     co_await Sleep(pause);
-    pause = std::min<Duration>(pause * 2, kLongestPause);
+    pause = std::min<Duration>(pause * 2, kMaxFullPause);
   }
 }
 
@@ -226,11 +229,11 @@
     wire::ResponseWriter& writer) {
   PoolRouter& router = m_routers.Get(call.pool());
   std::set<std::string> tried;
-  RoundEnd nowhere = RoundEnd::kFull;
+  RoundEnd end_without_target = RoundEnd::kFull;
   while (true) {
     auto placement = router.Place(call, tried, Now() - started);
     if (!placement)
-      co_return nowhere;
+      co_return end_without_target;
     tried.insert(placement->m_target);
     decide::EndedAttempt ended =
         co_await TryOne(call, std::move(*placement), request, verdict, writer);
@@ -248,12 +251,12 @@
                          .With("retry", decision.m_retry)
                          .With("over_budget", decision.m_over_budget)
                          .With("reason", verdict.m_reason));
-    if (ended.m_turned_away && !IsForRoom(verdict.m_reason))
-      nowhere = RoundEnd::kTurnedAway;
+    if (ended.m_turned_away && !IsForCapacity(verdict.m_reason))
+      end_without_target = RoundEnd::kTurnedAway;
     if (decision.m_retry && !m_quarantine.IsSetAside(call.fingerprint()))
       continue;
     if (ended.m_turned_away)
-      co_return nowhere;
+      co_return end_without_target;
     if (verdict.m_outcome == Outcome::kRefused)
       verdict.m_retry_after = kRetryAfterNoTarget;
     co_return RoundEnd::kDone;
@@ -357,8 +360,8 @@
     co_await writer.Send(std::move(answer));
     co_return;
   }
-  front::Problem problem = ProblemOf(call, verdict.m_outcome, verdict.m_reason,
-                                     verdict.m_retry_after);
+  front::Problem problem = MakeProblem(call, verdict.m_outcome,
+                                       verdict.m_reason, verdict.m_retry_after);
   problem.m_target = verdict.m_target;
   problem.m_version = last.m_version;
   problem.m_attempts = verdict.m_attempts;
--- a/src/libverbenalead/daemon/target_daemon.cc
+++ b/src/libverbenalead/daemon/target_daemon.cc
@@ -32,7 +32,7 @@
 
 constexpr Duration kHostListInterval = 1s;
 constexpr Duration kHealthInterval = 250ms;
-constexpr Duration kForgetInterval = 10s;
+constexpr Duration kAttemptCleanupInterval = 10s;
 constexpr Duration kStopPoll = 20ms;
 constexpr char kAttemptPath[] = "/v1/attempt";
 constexpr char kServiceHealthPath[] = "/healthz";
@@ -214,10 +214,10 @@
   }
 
   void StartLeaving(const char* reason) {
-    const bool news = m_gate.With([](decide::GateState& gate) {
+    const bool changed = m_gate.With([](decide::GateState& gate) {
       return !std::exchange(gate.m_leaving, true);
     });
-    if (news)
+    if (changed)
       LogLine("leaving").With("reason", reason).Info();
   }
 
@@ -247,9 +247,9 @@
     }
   }
 
-  Awaitable<void> ForgetAttempts() {
+  Awaitable<void> RemoveExpiredAttempts() {
     while (true) {
-      co_await Sleep(kForgetInterval);
+      co_await Sleep(kAttemptCleanupInterval);
       m_gate.With([](decide::GateState& gate) {
         decide::Forget(gate, Now());
         return 0;
@@ -260,9 +260,10 @@
   Awaitable<void> StopWhenAsked() {
     co_await m_signals.async_wait(asio::use_awaitable);
     StartLeaving("signal");
-    const TimePoint noticed = Now() + m_settings.Milliseconds("stop.notice");
-    const TimePoint give_up = Now() + m_settings.Milliseconds("stop.grace");
-    while (Now() < give_up && (Now() < noticed || m_attempts.serving() > 0))
+    const TimePoint notice_end = Now() + m_settings.Milliseconds("stop.notice");
+    const TimePoint grace_end = Now() + m_settings.Milliseconds("stop.grace");
+    while (Now() < grace_end &&
+           (Now() < notice_end || m_attempts.serving() > 0))
       co_await Sleep(kStopPoll);
     LogLine("stopped").With("cut_off", m_attempts.serving()).Info();
     m_threads.Stop();
@@ -338,7 +339,7 @@
   const auto executor = parts.m_threads.main();
   SpawnLoop(executor, parts.FollowHosts(), "follow_hosts");
   SpawnLoop(executor, parts.m_follower.Run(), "follow_config");
-  SpawnLoop(executor, parts.ForgetAttempts(), "forget_attempts");
+  SpawnLoop(executor, parts.RemoveExpiredAttempts(), "forget_attempts");
   SpawnLoop(executor, parts.StopWhenAsked(), "stop_when_asked");
   SpawnLoop(executor, parts.ReloadWhenAsked(), "reload_when_asked");
   if (parts.m_settings.Text("backend.kind") == "engine")
--- a/src/libverbenalead/daemon/target_peer_api.cc
+++ b/src/libverbenalead/daemon/target_peer_api.cc
@@ -23,10 +23,10 @@
 /// on the links this is made for, and at most 20 messages a second.
 constexpr Duration kNewsInterval = 50ms;
 /// Hosts learn of a version within seconds of each other.
-constexpr Duration kFollowPatience = 30s;
+constexpr Duration kManifestWaitLimit = 30s;
 /// Longest time that a report is held back, and how often it is compared.
 constexpr unsigned long long kLongestHoldMs = 10000;
-constexpr Duration kReportPoll = 100ms;
+constexpr Duration kReportPollInterval = 100ms;
 constexpr size_t kHexDigits = 2 * Digest::kBytes;
 
 /// The digest that stands in `path` after `prefix`; empty if malformed.
@@ -63,8 +63,8 @@
   const Digest whole = DigestAfter(path, kHave);
   bool alive = co_await writer.Start({200, {}});
   auto manifest = context->m_store->GetManifest(whole);
-  const TimePoint give_up = Now() + kFollowPatience;
-  while (alive && !manifest && Now() < give_up) {
+  const TimePoint wait_end = Now() + kManifestWaitLimit;
+  while (alive && !manifest && Now() < wait_end) {
     co_await Sleep(kNewsInterval);
     alive = !writer.gone();
     manifest = context->m_store->GetManifest(whole);
@@ -73,20 +73,20 @@
     co_return;
   // The count is read first: a chunk that comes between is told twice, never
   // not at all.
-  size_t told = context->m_store->Arrivals(whole, 0).size();
+  size_t sent_count = context->m_store->Arrivals(whole, 0).size();
   alive = co_await writer.Write(context->m_store->HaveBits(whole));
-  while (alive && told < manifest->chunk_count()) {
+  while (alive && sent_count < manifest->chunk_count()) {
     co_await Sleep(kNewsInterval);
-    std::string news;
-    for (uint32_t chunk : context->m_store->Arrivals(whole, told)) {
-      AppendNumber(news, chunk);
-      ++told;
+    std::string update;
+    for (uint32_t chunk : context->m_store->Arrivals(whole, sent_count)) {
+      AppendNumber(update, chunk);
+      ++sent_count;
     }
-    if (news.empty() && !context->m_store->GetManifest(whole))
+    if (update.empty() && !context->m_store->GetManifest(whole))
       co_return;
-    alive = news.empty() ? !writer.gone() : alive;
-    if (!news.empty())
-      alive = co_await writer.Write(std::move(news));
+    alive = update.empty() ? !writer.gone() : alive;
+    if (!update.empty())
+      alive = co_await writer.Write(std::move(update));
   }
   co_await writer.Finish({});
 }
@@ -119,20 +119,21 @@
       std::min(kLongestHoldMs,
                std::strtoull(wire::QueryValue(request, "hold_ms").c_str(),
                              nullptr, 10)));
-  const TimePoint give_up = Now() + hold;
+  const TimePoint wait_end = Now() + hold;
   while (true) {
     const model::TargetReport report = context->m_report();
     const std::string mark = decide::MarkOf(report);
-    const ReportNews news = decide::NewsOf(mark, seen);
-    const bool ended = Now() >= give_up;
-    if (news == ReportNews::kUrgent || (news == ReportNews::kLater && ended)) {
+    const ReportNews change = decide::NewsOf(mark, seen);
+    const bool ended = Now() >= wait_end;
+    if (change == ReportNews::kUrgent ||
+        (change == ReportNews::kLater && ended)) {
       wire::Response response = wire::JsonResponse(200, ToJson(report));
       response.m_headers[peer::kReportMark] = mark;
       co_return response;
     }
     if (ended)
       co_return wire::Response{204, {}, ""};
-    co_await Sleep(kReportPoll);
+    co_await Sleep(kReportPollInterval);
   }
 }
 
--- a/src/libverbenalead/daemon/version_keeper.cc
+++ b/src/libverbenalead/daemon/version_keeper.cc
@@ -11,15 +11,15 @@
 
 using Kind = decide::RolloutAction::Kind;
 
-constexpr Duration kStep = 20ms;
+constexpr Duration kStepInterval = 20ms;
 /// Between steps that did something: one that fails at once must not spin.
-constexpr Duration kAfterAction = 1ms;
-constexpr Duration kAfterMintFailure = 500ms;
+constexpr Duration kActionDelay = 1ms;
+constexpr Duration kMintRetryDelay = 500ms;
 constexpr Duration kLoadTimeout = std::chrono::minutes(10);
 constexpr Duration kStatusTimeout = 2s;
-constexpr Duration kCheckInterval = 1s;
-constexpr Duration kReconnect = 50ms;
-constexpr Duration kPermitPoll = 200ms;
+constexpr Duration kStatusPollInterval = 1s;
+constexpr Duration kReconnectDelay = 50ms;
+constexpr Duration kPermitPollInterval = 200ms;
 
 std::optional<Digest> DigestOf(
     const AsyncResult<backends::EngineStatus>& status) {
@@ -116,11 +116,11 @@
           return next;
         });
     if (action.m_kind == Kind::kNone) {
-      co_await Sleep(kStep);
+      co_await Sleep(kStepInterval);
       continue;
     }
     co_await Do(std::move(action));
-    co_await Sleep(kAfterAction);
+    co_await Sleep(kActionDelay);
   }
 }
 
@@ -226,7 +226,7 @@
       decide::Deposed(state, gate);
     });
   }
-  co_await Sleep(kAfterMintFailure);
+  co_await Sleep(kMintRetryDelay);
 }
 
 Awaitable<void> VersionKeeper::Order(Digest digest, uint64_t fence) {
@@ -283,7 +283,7 @@
       co_await RenewPermit();
     if (!ordered.empty() && ordered != Plan().m_digest)
       DropUnwanted(ordered);
-    co_await Sleep(kPermitPoll);
+    co_await Sleep(kPermitPollInterval);
   }
 }
 
@@ -323,7 +323,7 @@
 
 Awaitable<void> VersionKeeper::PollEngine() {
   while (true) {
-    co_await Sleep(kCheckInterval);
+    co_await Sleep(kStatusPollInterval);
     co_await LookAtEngine();
   }
 }
@@ -332,7 +332,7 @@
   while (true) {
     co_await m_engine.WaitWhileConnected();
     co_await LookAtEngine();
-    co_await Sleep(kReconnect);
+    co_await Sleep(kReconnectDelay);
   }
 }
 
--- a/src/libverbenalead/daemon/weights_fetcher.cc
+++ b/src/libverbenalead/daemon/weights_fetcher.cc
@@ -20,17 +20,17 @@
 
 constexpr Duration kAskTimeout = 1s;
 /// How soon a read notices that the core has given it up.
-constexpr Duration kCancelPoll = 250ms;
-constexpr Duration kStep = 5ms;
+constexpr Duration kCancelPollInterval = 250ms;
+constexpr Duration kStepInterval = 5ms;
 constexpr Duration kMembersInterval = 500ms;
-constexpr Duration kManifestRetry = 100ms;
+constexpr Duration kManifestRetryDelay = 100ms;
 /// A host that isn't the manifest's drawer waits this many tries for a peer.
-constexpr int kManifestPatience = 20;
+constexpr int kManifestPeerAttempts = 20;
 constexpr size_t kMaxManifest = size_t{64} << 20;
 /// Hosts asked for the manifest in one try.
-constexpr size_t kMaxAsked = 16;
+constexpr size_t kMaxPeersQueried = 16;
 /// The manifest is drawn by the host that this number's hash names.
-constexpr uint64_t kManifestNumber = ~uint64_t{0};
+constexpr uint64_t kManifestHashKey = ~uint64_t{0};
 
 bool IsTimeout(const Failure& failure) {
   return failure.m_code == FailureCode::kTimeout;
@@ -94,12 +94,12 @@
   for (uint32_t chunk : m_store.Arrivals(manifest->whole(), 0))
     decide::ChunkArrived(run->m_transfer, chunk, Now());
   const auto executor = co_await asio::this_coro::executor;
-  const TimePoint begun = Now();
+  const TimePoint start = Now();
   bool still_wanted = wanted();
   while (still_wanted && !decide::IsComplete(run->m_transfer)) {
     UpdateMembers(*run);
     DoStep(run, executor);
-    run->m_wake.expires_after(kStep);
+    run->m_wake.expires_after(kStepInterval);
     boost::system::error_code ignored;
     co_await run->m_wake.async_wait(
         asio::redirect_error(asio::use_awaitable, ignored));
@@ -109,7 +109,7 @@
   LogLine("transfer_ended")
       .With("version", version.m_name)
       .With("whole", still_wanted)
-      .With("ms", ToMilliseconds(Now() - begun))
+      .With("ms", ToMilliseconds(Now() - start))
       .Info();
   co_return still_wanted;
 }
@@ -183,16 +183,16 @@
   auto head = co_await reader.ReadHead(Now() + kAskTimeout);
   if (!head || head->m_status != 200)
     co_return false;
-  HaveReader news(run->m_manifest.chunk_count());
+  HaveReader have_reader(run->m_manifest.chunk_count());
   while (!*cancelled) {
-    auto piece = co_await reader.ReadBody(Now() + kCancelPoll);
+    auto piece = co_await reader.ReadBody(Now() + kCancelPollInterval);
     if (!piece && IsTimeout(piece.error()))
       continue;
     if (!piece)
       co_return false;
     if (!piece->has_value())
       co_return true;
-    const std::vector<uint32_t> chunks = news.Read(**piece);
+    const std::vector<uint32_t> chunks = have_reader.Read(**piece);
     if (!*cancelled)
       decide::NeighbourHas(run->m_transfer, name, chunks, Now());
   }
@@ -230,7 +230,7 @@
   wire::ResponseReader& reader = **opened;
   AsyncResult<wire::ResponseHead> head = wire::ResponseHead();
   do {
-    head = co_await reader.ReadHead(Now() + kCancelPoll);
+    head = co_await reader.ReadHead(Now() + kCancelPollInterval);
   } while (!head && IsTimeout(head.error()) && !*cancelled);
   if (!head)
     co_return head.error();
@@ -241,7 +241,7 @@
   std::string bytes;
   bytes.reserve(length);
   while (!*cancelled) {
-    auto piece = co_await reader.ReadBody(Now() + kCancelPoll);
+    auto piece = co_await reader.ReadBody(Now() + kCancelPollInterval);
     if (!piece && IsTimeout(piece.error()))
       continue;
     if (!piece)
@@ -300,8 +300,8 @@
     model::VersionSpec version) {
   std::vector<model::Host> hosts = m_hosts.Hosts(model::HostRole::kTarget);
   std::shuffle(hosts.begin(), hosts.end(), m_random);
-  if (hosts.size() > kMaxAsked)
-    hosts.resize(kMaxAsked);
+  if (hosts.size() > kMaxPeersQueried)
+    hosts.resize(kMaxPeersQueried);
   for (const model::Host& host : hosts) {
     if (host.name() == m_options.m_self.m_name)
       continue;
@@ -321,27 +321,28 @@
     model::VersionSpec version) {
   if (auto held = m_store.GetManifest(version.m_digest))
     co_return *held;
-  for (int tries = 0;; ++tries) {
+  for (int attempts = 0;; ++attempts) {
     auto text = co_await ManifestFromPeers(version);
     std::vector<std::string> members;
     for (const model::Host& host : m_hosts.Hosts(model::HostRole::kTarget)) {
       if (host.pool() == m_options.m_pool)
         members.push_back(host.name());
     }
-    const bool ours = decide::RendezvousChoice(members, kManifestNumber) ==
-                      m_options.m_self.m_name;
-    if (!text && (ours || tries > kManifestPatience)) {
+    const bool is_designated =
+        decide::RendezvousChoice(members, kManifestHashKey) ==
+        m_options.m_self.m_name;
+    if (!text && (is_designated || attempts > kManifestPeerAttempts)) {
       text = co_await m_origin.Get(version.m_manifest, kMaxManifest);
       if (text)
         m_counters.m_origin_bytes += text->size();
     }
     if (!text || Sha256(*text) != version.m_manifest_digest) {
-      if (tries > 2 * kManifestPatience) {
+      if (attempts > 2 * kManifestPeerAttempts) {
         co_return Failure{FailureCode::kCorrupt, "fetch manifest",
                           version.m_name,
                           "no manifest with the declared digest"};
       }
-      co_await Sleep(kManifestRetry);
+      co_await Sleep(kManifestRetryDelay);
       continue;
     }
     auto manifest = CatchFailure([&] { return model::ParseManifest(*text); });
@@ -351,9 +352,9 @@
       co_return Failure{FailureCode::kCorrupt, "check manifest", version.m_name,
                         "it is of another version"};
     }
-    auto begun = CatchFailure([&] { return m_store.Begin(*manifest, *text); });
-    if (!begun)
-      co_return begun.error();
+    auto stored = CatchFailure([&] { return m_store.Begin(*manifest, *text); });
+    if (!stored)
+      co_return stored.error();
     co_return *manifest;
   }
 }
--- a/src/libverbenalead/daemon/weights_store_test.cc
+++ b/src/libverbenalead/daemon/weights_store_test.cc
@@ -22,13 +22,13 @@
 
 class WeightsStoreTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(WeightsStoreTest);
-  CPPUNIT_TEST(RefusesWhatDoesNotFit);
+  CPPUNIT_TEST(RefusesVersionOverMemoryLimit);
   CPPUNIT_TEST(KeepsOnlyVerifiedChunks);
-  CPPUNIT_TEST(NewsSurvivesAnyCut);
+  CPPUNIT_TEST(ParsesUpdatesSplitAtAnyOffset);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void RefusesWhatDoesNotFit() {
+  void RefusesVersionOverMemoryLimit() {
     WeightsStore store(kBytes.size() - 1);
     const auto begun =
         CatchFailure([&] { return store.Begin(MakeManifest(), "{}"); });
@@ -58,7 +58,7 @@
   }
 
   // A host learns the same of its neighbour however the stream is cut up.
-  void NewsSurvivesAnyCut() {
+  void ParsesUpdatesSplitAtAnyOffset() {
     std::string body = "\x05";
     body += '\x02';
     AppendNumber(body, 7);
