--- a/src/libverbenalead/daemon/answer_check.h
+++ b/src/libverbenalead/daemon/answer_check.h
@@ -9,15 +9,18 @@
 
 namespace verbenalead::daemon {
 
-/// Length and digest of an answer, taken piece by piece. The target puts them
-/// into the trailers and the entry compares: bytes lost, doubled or mixed up on
-/// the way never reach a caller as a whole answer.
+/// Computes the length and the SHA-256 digest of an answer while it is
+/// streamed. The target sends both in the trailers, and the entry compares them
+/// with what it received. Without this check an answer that lost, duplicated or
+/// reordered bytes between the two could reach a caller as a complete answer.
 class AnswerCheck {
  public:
   void Add(const std::string& piece);
-  /// Writes what was added; at the end of the answer, once.
+  /// Writes length and digest of the added pieces to `trailers`. To be called
+  /// once, at the end of the answer.
   void Fill(wire::Headers& trailers);
-  /// Compares; at the end of the answer, once.
+  /// True if length and digest of the added pieces are those in `trailers`. To
+  /// be called once, at the end of the answer.
   bool Agrees(const wire::Headers& trailers);
   uint64_t length() const { return m_length; }
 
--- a/src/libverbenalead/daemon/attempt_runner.cc
+++ b/src/libverbenalead/daemon/attempt_runner.cc
@@ -20,7 +20,7 @@
 
 constexpr char kEventStream[] = "text/event-stream";
 constexpr size_t kMaxBufferedAnswer = size_t{16} << 20;
-/// How long the question "did it start?" may take.
+/// Time limit of a request that makes an attempt void.
 constexpr Duration kVoidTimeout = 2s;
 constexpr char kCallerGone[] = "caller_gone";
 
@@ -62,7 +62,7 @@
   return out;
 }
 
-/// True if `head` answers this attempt and no other.
+/// True if `head` belongs to this attempt and not to another one.
 bool IsAnswerTo(const wire::ResponseHead& head,
                 const model::Call& call,
                 uint32_t number) {
@@ -70,7 +70,7 @@
          wire::Get(head.m_headers, peer::kAttempt) == std::to_string(number);
 }
 
-/// The last event of a stream that is broken off: it names the outcome.
+/// The last event of a stream that is cut short. It contains the outcome.
 std::string MakeErrorEvent(const AttemptReport& report,
                            const model::Call& call) {
   const Outcome outcome = report.m_end == AttemptEnd::kFailed
@@ -84,7 +84,7 @@
 
 }  // namespace
 
-/// One attempt under way.
+/// The state of one attempt in progress.
 struct AttemptRunner::Attempt {
   model::Call m_call;
   decide::Placement m_placement;
@@ -98,8 +98,8 @@
   std::string m_buffered_body;
   AnswerCheck m_check;
 
-  /// A caller that has gone is told nothing more: its attempt is not tried
-  /// again, as if an answer had begun.
+  /// Nothing more can be sent to a caller that has disconnected. Marking the
+  /// answer as begun prevents a retry.
   void RecordCallerGone() {
     m_caller_connected = false;
     m_report.m_answer_begun = true;
@@ -124,15 +124,16 @@
   if (opened) {
     co_await ReadAnswer(**opened, attempt);
   } else {
-    // Only kUnreachable is certain: no byte was sent.
+    // Only kUnreachable guarantees that no byte was sent.
     attempt.m_evidence.m_sent =
         opened.error().m_code != FailureCode::kUnreachable;
     NoteLoss(attempt, opened.error());
   }
   if (!attempt.m_caller_connected && call.idempotent())
     co_return std::move(attempt.m_report);
-  // Past its deadline an idempotent call is told "unknown" at once: the answer
-  // to the question could only come after its caller has stopped waiting.
+  // Past its deadline an idempotent call ends as "unknown" without a request to
+  // make the attempt void: the reply would arrive after the caller has stopped
+  // waiting.
   const bool in_time = Now() < call.deadline();
   if (decide::NeedsVoid(attempt.m_evidence) && (in_time || !call.idempotent()))
     attempt.m_evidence.m_void = co_await MakeVoid(attempt);
@@ -152,8 +153,8 @@
 
 Awaitable<void> AttemptRunner::ReadAnswer(wire::ResponseReader& reader,
                                           Attempt& attempt) {
-  // What may run only once goes on without its caller: its outcome is recorded
-  // for whoever calls again with the same key.
+  // A non-idempotent call continues after its caller has disconnected: its
+  // outcome is recorded for a later call with the same idempotency key.
   std::unique_ptr<wire::CancelWhenGone> cancel;
   if (attempt.m_call.idempotent())
     cancel = std::make_unique<wire::CancelWhenGone>(attempt.m_writer, reader);
@@ -167,7 +168,7 @@
         .With("request", attempt.m_call.id())
         .With("attempt", uint64_t{attempt.m_number})
         .With("target", attempt.m_placement.m_target)
-        .With("reason", "it answers another attempt")
+        .With("reason", "response belongs to another attempt")
         .Warn();
     attempt.m_report.m_reason = "answer_mismatch";
     attempt.m_report.m_broken = true;
--- a/src/libverbenalead/daemon/attempt_runner.h
+++ b/src/libverbenalead/daemon/attempt_runner.h
@@ -18,27 +18,30 @@
 struct AttemptReport {
   decide::AttemptEnd m_end = decide::AttemptEnd::kDoubtful;
   std::string m_reason;
-  /// The version that the target answered with.
+  /// The model version that produced the answer, as the target reported it.
   std::string m_version;
-  /// Bytes have gone to the caller.
+  /// A part of the answer has been sent to the caller, so that a retry is not
+  /// possible.
   bool m_answer_begun = false;
-  /// The target did not behave: leave it alone for a while.
+  /// The connection failed, or the answer timed out or was inconsistent. The
+  /// target is to be avoided for a while.
   bool m_broken = false;
-  /// Attempts that ran at the target, if it said so.
+  /// Attempts running at the target, if the response contained the number.
   std::optional<uint32_t> m_running;
-  /// A whole answer that was not streamed.
+  /// The complete answer, if it was not streamed.
   wire::Response m_answer;
 };
 
-/// Sends one attempt to a target over HTTP/2 and judges what comes back. An
-/// answer is whole only if its length and digest agree with what the target
-/// says at its end.
+/// Sends one attempt to a target over HTTP/2 and classifies its end. An answer
+/// counts as complete only if its length and digest are those in the target's
+/// trailers. Only an attempt that provably did not run is reported as not run:
+/// otherwise a retry could run a call twice.
 class AttemptRunner {
  public:
   explicit AttemptRunner(wire::Client& peers) : m_peers(peers) {}
 
-  /// A server-sent event stream goes to `writer` as it comes; any other answer
-  /// is returned whole in the report.
+  /// Forwards a stream of server-sent events to `writer` as it arrives. Any
+  /// other answer is buffered and returned in the report.
   Awaitable<AttemptReport> Run(model::Call call,
                                decide::Placement placement,
                                uint32_t number,
@@ -49,14 +52,15 @@
   struct Attempt;
 
   Awaitable<void> ReadAnswer(wire::ResponseReader& reader, Attempt& attempt);
-  /// False: the answer did not come to its end.
+  /// Returns false if the answer ended early.
   Awaitable<bool> ReadPieces(wire::ResponseReader& reader, Attempt& attempt);
   Awaitable<void> PassOn(std::string piece, Attempt& attempt);
-  /// Tells the caller of a stream that is cut short how it ended; its chunked
-  /// end is withheld.
+  /// Writes an error event with the outcome to a stream that is cut short. The
+  /// terminator of the chunked encoding is not sent, so that the caller can't
+  /// take the stream for complete.
   Awaitable<void> BreakOff(Attempt& attempt);
-  /// After an attempt whose fate is in doubt: asks the target, over a
-  /// connection that works, to make it void.
+  /// After an attempt that may or may not have started: requests that the
+  /// target make it void, over a working connection.
   Awaitable<decide::VoidReply> MakeVoid(const Attempt& attempt);
   static void NoteLoss(Attempt& attempt, const Failure& failure);
   static void JudgeEnd(const wire::Headers& trailers, Attempt& attempt);
--- a/src/libverbenalead/daemon/attempt_server.cc
+++ b/src/libverbenalead/daemon/attempt_server.cc
@@ -14,8 +14,9 @@
 namespace verbenalead::daemon {
 namespace {
 
-/// How long the answer to a call that may run only once is waited for, piece by
-/// piece, beyond its caller's time: its outcome is to be recorded.
+/// Time limit for each piece of the answer to a non-idempotent call after the
+/// call's deadline. The answer is read to its end because its outcome has to be
+/// recorded.
 constexpr Duration kRecordedPieceTimeout = 60s;
 constexpr int kFirstErrorStatus = 400;
 
@@ -28,7 +29,7 @@
           static_cast<uint32_t>(NumberIn(request.m_headers, peer::kAttempt))};
 }
 
-/// The empty digest where the field is absent or malformed.
+/// Returns the empty digest if the field is absent or malformed.
 Digest DigestIn(const wire::Headers& headers) {
   const std::string text = wire::Get(headers, peer::kDigest);
   auto digest = CatchFailure([&] { return ParseDigest(text); });
@@ -46,8 +47,10 @@
   return forwarded;
 }
 
-/// The bound that the entry set by what it takes for the pool's mean; none for
-/// an attempt that is to go here whatever runs.
+/// The highest number of running attempts at which this attempt may still be
+/// admitted. The entry derives it from its estimate of the pool's mean, so that
+/// an attempt sent to a target with more load than estimated is refused.
+/// Returns UINT32_MAX if the request has no such limit.
 uint32_t MaxRunningOf(const wire::Request& request) {
   const std::string text = wire::Get(request.m_headers, peer::kMaxRunning);
   if (text.empty())
@@ -59,15 +62,15 @@
   return wire::Get(request.m_headers, "idempotency-key").empty();
 }
 
-/// The fields by which the entry knows which attempt is answered.
+/// Sets the header fields that identify the answered attempt to the entry.
 void SetAttemptHeaders(const decide::Attempt& attempt, wire::Headers& headers) {
   headers[peer::kCall] = attempt.m_call;
   headers[peer::kAttempt] = std::to_string(attempt.m_number);
 }
 
-/// Until when the next piece of an answer is waited for. An engine that pauses
-/// within its caller's time still answers; to end it sooner would cut what the
-/// caller waits for.
+/// The deadline for reading the next piece of an answer. An engine may pause
+/// until the call's deadline: a shorter limit would cut off answers for which
+/// the caller is still waiting.
 TimePoint PieceDeadline(TimePoint deadline, bool idempotent) {
   return idempotent ? deadline
                     : std::max(deadline, Now() + kRecordedPieceTimeout);
@@ -75,18 +78,18 @@
 
 }  // namespace
 
-/// An attempt that the gate let in, and what was in force then.
+/// An attempt that the gate admitted, with the engine's version at that time.
 struct AttemptServer::Entered {
   decide::Attempt m_attempt;
-  /// The request id, for the journal.
+  /// The request ID, for the journal.
   std::string m_request;
   uint64_t m_generation = 0;
   Digest m_digest;
-  /// False for a call that may run only once.
+  /// False for a call that must not run more than once.
   bool m_idempotent = true;
-  /// Attempts that ran when it came.
+  /// Attempts that were running at the target when this one arrived.
   uint32_t m_running = 0;
-  /// When its caller stops waiting.
+  /// The call's deadline.
   TimePoint m_deadline{};
 };
 
@@ -112,8 +115,8 @@
                 gate.m_digest,
                 IsIdempotent(request),
                 gate.m_running};
-    // An attempt that came before may be running: of that one, and so of this
-    // copy, "not run" would be untrue.
+    // An attempt that arrived before is excluded: it may be running, and a
+    // refusal of this duplicate message would then be a false "not run".
     over_max_running = !gate.m_attempts.contains(attempt) &&
                        gate.m_running > MaxRunningOf(request);
     if (over_max_running) {
@@ -123,8 +126,8 @@
     return decide::EnterOnce(gate, attempt, incarnation, wanted, Now());
   });
   if (result == decide::EnterResult::kRepeated) {
-    // A doubled message. The first one is being answered on its own stream;
-    // this one is left unanswered, so that nobody takes it for "not run".
+    // A duplicate message. The first one is answered on its own stream. This
+    // one gets no answer: a refusal would mean "not run" to the entry.
     LogLine("attempt_repeated").With("request", request_id).Warn();
     co_return;
   }
@@ -176,8 +179,8 @@
     co_await Refuse(admitted, "engine_unreachable", writer);
     co_return;
   }
-  // What may run only once is not cut short: the entry may have gone, but the
-  // effect would be half done.
+  // A non-idempotent call is not cancelled when the entry disconnects: its
+  // effect could be left half done.
   std::unique_ptr<wire::CancelWhenGone> cancel;
   if (opened && admitted.m_idempotent)
     cancel = std::make_unique<wire::CancelWhenGone>(writer, **opened);
@@ -213,7 +216,8 @@
                                       wire::ResponseHead head,
                                       wire::ResponseWriter& writer) {
   const Digest reported = DigestIn(head.m_headers);
-  // An error that an engine answers is not made from weights.
+  // An error response of the engine doesn't depend on the weights, so it passes
+  // without a version.
   const bool exempt = reported.empty() && head.m_status >= kFirstErrorStatus;
   wire::ResponseHead forwarded{head.m_status,
                                PassedResponseHeaders(head.m_headers)};
@@ -226,10 +230,12 @@
   bool alive = co_await writer.Start(std::move(forwarded));
   AnswerCheck check;
   std::string reason;
-  // A call that may run only once is read to its end even if nobody listens.
+  // The answer to a non-idempotent call is read to its end even if the entry
+  // has disconnected.
   while (alive || !admitted.m_idempotent) {
-    // Checked before each piece: a load that began meanwhile, or an engine
-    // that answers with another version, ends the answer as failed.
+    // Checked before each piece: if a load has begun since, or if the engine
+    // answers with another version, the answer ends as failed. Otherwise it
+    // could mix the output of two versions.
     if (!exempt && !Passes(admitted, reported)) {
       reason = "version_changed";
       break;
--- a/src/libverbenalead/daemon/attempt_server.h
+++ b/src/libverbenalead/daemon/attempt_server.h
@@ -11,8 +11,10 @@
 
 namespace verbenalead::daemon {
 
-/// Takes entries' attempts through the gate to the engine or plain service and
-/// their answers back. May be used from several threads.
+/// Serves the attempts that entries send to this target: admits each one at the
+/// gate, forwards it to the engine or plain service, and streams the answer
+/// back. A refused attempt is made void, so that a late copy of its message
+/// doesn't run. Thread-safe.
 class AttemptServer {
  public:
   AttemptServer(std::string host,
@@ -26,7 +28,8 @@
 
   /// Answers POST /v1/attempt.
   Awaitable<void> Serve(wire::Request request, wire::ResponseWriter& writer);
-  /// Attempts whose answers, refusals too, are not yet with the socket.
+  /// Attempts whose answers or refusals have not yet been written to the
+  /// socket.
   int serving() const { return m_serving; }
   /// Answers POST /v1/void.
   wire::Response MakeVoid(const wire::Request& request);
--- a/src/libverbenalead/daemon/attempt_server_test.cc
+++ b/src/libverbenalead/daemon/attempt_server_test.cc
@@ -33,8 +33,8 @@
     }
   }
 
-  // A confirmation whose answer is dropped as its caller's time is over would
-  // have no recorded outcome.
+  // The answer to a non-idempotent call is read after the call's deadline. If
+  // it were dropped at the deadline, the call would have no recorded outcome.
   void NonIdempotentAnswerIsReadAfterDeadline() {
     const TimePoint start = Now();
     Serve(1ms, "fee-1");
--- a/src/libverbenalead/daemon/counting_runner.h
+++ b/src/libverbenalead/daemon/counting_runner.h
@@ -8,7 +8,8 @@
 
 namespace verbenalead::daemon {
 
-/// Counts the calls that run, for the metrics and the log of a stop.
+/// Counts and times calls for the metrics, and counts those in progress for the
+/// log line of a shutdown. Wraps another runner.
 class CountingRunner : public front::CallRunner {
  public:
   CountingRunner(front::CallRunner& runner, Metrics& metrics)
--- a/src/libverbenalead/daemon/gate_keeper.h
+++ b/src/libverbenalead/daemon/gate_keeper.h
@@ -7,7 +7,8 @@
 
 namespace verbenalead::daemon {
 
-/// The target's gate, under its lock. May be used from several threads.
+/// The state of the target's gate together with the mutex that guards it.
+/// Thread-safe.
 class GateKeeper {
  public:
   GateKeeper(uint64_t incarnation, uint32_t capacity)
@@ -16,10 +17,10 @@
     m_gate.m_capacity = capacity;
   }
 
-  /// This run of the target process.
+  /// Identifies this run of the target process. A restart changes it.
   uint64_t incarnation() const { return m_incarnation; }
 
-  /// Calls `function` with the gate while no one else touches it.
+  /// Calls `function` with the gate while the mutex is held.
   template <typename Function>
   auto With(Function&& function) {
     std::lock_guard lock(m_mutex);
--- a/src/libverbenalead/daemon/passed_headers.cc
+++ b/src/libverbenalead/daemon/passed_headers.cc
@@ -8,8 +8,8 @@
 namespace verbenalead::daemon {
 namespace {
 
-/// Fields that speak of one connection (RFC 9110, 7.6.1), or that each hop
-/// writes itself.
+/// Hop-by-hop fields, which apply to one connection only (RFC 9110, 7.6.1), and
+/// fields that each hop sets itself.
 const std::set<std::string>& HopByHopFields() {
   static const std::set<std::string> kFields = {
       "connection", "content-length",      "expect",
@@ -19,8 +19,8 @@
   return kFields;
 }
 
-/// Fields by which our processes speak of an attempt: a caller or a back end
-/// that sent one would speak in their name.
+/// Fields in which entries and targets describe an attempt. If they were
+/// forwarded, a caller or a back end could forge them.
 const std::set<std::string>& InternalFields() {
   static const std::set<std::string> kFields = {
       peer::kRequestId,    peer::kAttempt,      peer::kIncarnation,
--- a/src/libverbenalead/daemon/passed_headers.h
+++ b/src/libverbenalead/daemon/passed_headers.h
@@ -5,11 +5,13 @@
 
 namespace verbenalead::daemon {
 
-/// The header fields of a caller's request that reach the engine or service:
-/// all but those of its connection and our own.
+/// Returns the header fields of a caller's request that are forwarded to the
+/// engine or service: all except hop-by-hop fields and the fields that entries
+/// and targets use between themselves.
 wire::Headers PassedRequestHeaders(const wire::Headers& headers);
 
-/// The header fields of an answer that reach the caller.
+/// Returns the header fields of an answer that are forwarded to the caller,
+/// selected by the same rule.
 wire::Headers PassedResponseHeaders(const wire::Headers& headers);
 
 }  // namespace verbenalead::daemon
--- a/src/libverbenalead/daemon/pool_router.cc
+++ b/src/libverbenalead/daemon/pool_router.cc
@@ -13,7 +13,8 @@
 
 namespace asio = boost::asio;
 
-/// A coroutine that waits for its action on its own thread.
+/// A coroutine that waits for its action. The action is delivered on the
+/// coroutine's own executor.
 struct PoolRouter::Waiter {
   explicit Waiter(const asio::any_io_executor& executor)
       : m_event(executor, TimePoint::max()) {}
@@ -22,7 +23,8 @@
   std::optional<decide::AdmitAction> m_action;
 };
 
-// Each process draws other numbers, so that entries don't choose alike.
+// Each process has its own random seed. With equal seeds all entries would
+// choose the same targets at the same time.
 PoolRouter::PoolRouter(size_t entries) : m_random(std::random_device()()) {
   SetEntries(entries);
 }
--- a/src/libverbenalead/daemon/pool_router.h
+++ b/src/libverbenalead/daemon/pool_router.h
@@ -16,27 +16,30 @@
 
 namespace verbenalead::daemon {
 
-/// Admission, placement and retries for one pool: one shard of the entry's
-/// decision state, under its own lock. May be used from several threads.
+/// Decides on admission, target selection and retries for one pool. The entry's
+/// decision state is sharded by pool, and each shard has its own mutex, so that
+/// calls of different pools don't contend for one lock. Thread-safe.
 class PoolRouter {
  public:
   explicit PoolRouter(size_t entries);
 
-  /// How many entries place on the same targets.
+  /// Sets the number of entries that send calls to the same targets.
   void SetEntries(size_t entries);
 
-  /// Waits until `call` may start or is refused. After kStart the caller owes
-  /// one Finish().
+  /// Waits until `call` is admitted or refused. After kStart, Finish() has to
+  /// be called once; otherwise the call's capacity is never released.
   Awaitable<decide::AdmitAction> Admit(model::Call call);
   /// `elapsed`: as for decide::Finish().
   void Finish(const model::Call& call, std::optional<Duration> elapsed);
 
-  /// Chooses a target and counts the attempt as sent there; the caller owes one
-  /// AttemptEnded(). `waited`: since the call was first to be placed.
+  /// Chooses a target and counts the attempt as sent to it. AttemptEnded() has
+  /// to be called once afterwards. `waited` is the time since target selection
+  /// for the call began. Returns nullopt if no target can take the call.
   std::optional<decide::Placement> Place(const model::Call& call,
                                          const std::set<std::string>& tried,
                                          Duration waited);
-  /// `running`: what the target said that it ran, if it did.
+  /// `running`: the number of running attempts that the target reported, if
+  /// any.
   void AttemptEnded(const std::string& target,
                     const model::Call& call,
                     decide::TargetSign sign,
@@ -44,23 +47,30 @@
                     std::optional<uint32_t> running);
   decide::RetryDecision AfterAttempt(const model::Call& call,
                                      const decide::EndedAttempt& attempt);
-  /// A call found all targets full. False: there is none to wait for.
+  /// Records that a call found all targets full, and lowers the admission
+  /// limit. Returns false if the pool has no usable target, so that waiting is
+  /// useless.
   bool FoundFull();
 
   void Report(const model::TargetReport& report);
   void RemoveTarget(const std::string& target);
-  /// To be called a few times a second.
+  /// Updates the capacity and handles waiting calls. To be called a few times
+  /// per second.
   void Tick();
   std::vector<model::TargetReport> Targets() const;
 
  private:
   struct Waiter;
 
-  /// Hands each action to the call that waits for it.
+  /// Resumes the waiting call of each action with that action. Called with
+  /// m_mutex held.
   void Deliver(const std::vector<decide::AdmitAction>& actions);
-  /// Runs while calls wait, so that none is left past its deadline.
+  /// Calls Tick() periodically while calls wait. Without it a waiting call
+  /// could stay in the queue past its deadline.
   Awaitable<void> Sweep();
-  /// Starts Sweep() if it is wanted and doesn't run yet.
+  /// Returns true, and marks Sweep() as running, if calls wait and Sweep() is
+  /// not running yet. The caller then has to start it. Called with m_mutex
+  /// held.
   bool BeginSweep();
 
   mutable std::mutex m_mutex;
--- a/src/libverbenalead/daemon/pool_router_test.cc
+++ b/src/libverbenalead/daemon/pool_router_test.cc
@@ -15,7 +15,7 @@
 
 constexpr int kCalls = 400;
 
-/// What callers on several threads saw.
+/// Results of the callers on all threads.
 struct Counts {
   std::atomic<int> m_started{0};
   std::atomic<int> m_refused{0};
@@ -59,9 +59,9 @@
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // Every caller hears once, started or refused, and no more run at once than
-  // the targets can take, while calls, reports and ticks come from four
-  // threads at once.
+  // Calls, reports and ticks arrive from four threads concurrently. Each call
+  // has to get exactly one decision, started or refused, and the number of
+  // running calls must not exceed the targets' capacity.
   void ConcurrentCallersGetOneDecisionEach() {
     IoThreads threads(4);
     PoolRouter router(1);
--- a/src/libverbenalead/daemon/pool_routers.h
+++ b/src/libverbenalead/daemon/pool_routers.h
@@ -11,8 +11,9 @@
 
 namespace verbenalead::daemon {
 
-/// The routers of all pools, made when first named. May be used from several
-/// threads; a router lives as long as this object.
+/// The routers of all pools. A router is created at the first use of its pool
+/// and lives as long as this object, so that references stay valid.
+/// Thread-safe.
 class PoolRouters {
  public:
   PoolRouter& Get(const std::string& pool) {
@@ -23,7 +24,7 @@
     return *router;
   }
 
-  /// How many entries place on the same targets.
+  /// Sets the number of entries that send calls to the same targets.
   void SetEntries(size_t entries) {
     {
       std::lock_guard lock(m_mutex);
--- a/src/libverbenalead/daemon/program.cc
+++ b/src/libverbenalead/daemon/program.cc
@@ -26,8 +26,8 @@
   const ProgramMode* mode = &modes.front();
   app.add_option("-s,--settings", path, "JSON file with the settings");
   app.add_flag("--describe-settings", describe,
-               "print every setting with default and range, and end");
-  app.add_flag("--check", check, "check the settings file, and end");
+               "print all settings with defaults and ranges, then exit");
+  app.add_flag("--check", check, "check the settings file, then exit");
   app.set_version_flag("--version", name + " 0.1.0");
   for (const ProgramMode& candidate : modes) {
     if (!candidate.m_option.empty()) {
@@ -46,7 +46,7 @@
     return 0;
   }
   if (path.empty()) {
-    std::cerr << name << ": name a settings file with -s\n";
+    std::cerr << name << ": no settings file given; use -s FILE\n";
     return kBadUse;
   }
   auto settings = CatchFailure([&] { return mode->m_schema.Load(path); });
--- a/src/libverbenalead/daemon/program.h
+++ b/src/libverbenalead/daemon/program.h
@@ -12,7 +12,8 @@
 
 /// One way to run a program.
 struct ProgramMode {
-  /// The option that chooses it, such as "--platform"; empty: the default.
+  /// The option that selects the mode, such as "--platform"; empty for the
+  /// default mode.
   std::string m_option;
   std::string m_help;
   SettingsSchema m_schema;
@@ -20,18 +21,18 @@
   std::function<int(const Settings&)> m_run;
 };
 
-/// The command line that all daemons and stand-ins share: `-s FILE` for the
-/// settings, `--describe-settings`, `--check`. Parses it, loads the settings,
-/// starts the log and runs the chosen mode. Returns the exit code: 0 fine, 1
-/// could not run, 2 bad command line or settings, with one line on standard
-/// error.
+/// Implements the command line that all daemons and simulated services share:
+/// `-s FILE` for the settings, `--describe-settings`, `--check`. Parses it,
+/// loads the settings, starts the log and runs the selected mode. Returns the
+/// exit code: 0 on success, 1 if the program could not run, 2 on a bad command
+/// line or bad settings. Errors are reported as one line on standard error.
 int RunProgram(int argc,
                char** argv,
                const std::string& name,
                const std::string& purpose,
                const std::vector<ProgramMode>& modes);
 
-/// The same for a program with one mode.
+/// As above, for a program with a single mode.
 int RunProgram(int argc,
                char** argv,
                const std::string& name,
--- a/src/libverbenalead/daemon/request_runner.cc
+++ b/src/libverbenalead/daemon/request_runner.cc
@@ -10,20 +10,21 @@
 
 using model::Outcome;
 
-/// When a caller may come back where no target could take the call.
+/// Delay after which a caller may retry if no target could take the call.
 constexpr Duration kRetryAfterNoTarget = 1s;
-/// Longest pause before a call asks full targets again; the first is
-/// decide::kFullPause.
+/// Longest pause between two rounds of a call that found the targets full. The
+/// first pause is decide::kFullPause.
 constexpr Duration kMaxFullPause = 160ms;
-/// Rounds after which a call is refused that targets turn away for other
-/// reasons than room: their gates are shut, or serve another version.
+/// Number of rounds after which a call is refused if targets refused it for
+/// another reason than lack of capacity, such as a closed gate or another
+/// version.
 constexpr int kMaxRoundsTurnedAway = 3;
 constexpr Duration kRetryAfterTableFailure = 2s;
 constexpr Duration kRetryAfterHeld = 1s;
 constexpr int kConflictStatus = 409;
 constexpr int kUnprocessableStatus = 422;
 constexpr char kQuarantinedReason[] = "request_crashes_targets";
-/// An answer longer than this is not recorded, only its outcome.
+/// Of an answer with a longer body only the outcome is recorded.
 constexpr size_t kMaxRecordedBody = 64 * 1024;
 
 front::Problem MakeProblem(const model::Call& call,
@@ -38,18 +39,18 @@
   return problem;
 }
 
-/// The target itself said at once that it did not run the call.
+/// True if the target itself refused the call at once, without running it.
 bool IsTurnedAway(const AttemptReport& report) {
   return report.m_end == decide::AttemptEnd::kNotRun && !report.m_broken;
 }
 
-/// Whether a target turned a call away only for what else it runs.
+/// True if a target refused a call only because of its load.
 bool IsForCapacity(const std::string& reason) {
   return reason == peer::kFull || reason == peer::kBusier;
 }
 
-/// The target or its engine went down while it ran the call, as far as the
-/// entry can see. An attempt that only ran out of time does not count.
+/// True if, as far as the entry can observe, the target or its engine crashed
+/// while it ran the call. An attempt that only timed out doesn't count.
 bool LooksLikeCrash(const AttemptReport& report, const model::Call& call) {
   const bool lost = report.m_broken &&
                     report.m_end == decide::AttemptEnd::kDoubtful &&
@@ -58,7 +59,7 @@
                   report.m_reason == "engine_failed");
 }
 
-/// What the end of an attempt says of its target.
+/// What the end of an attempt indicates about the state of its target.
 decide::TargetSign SignOf(const AttemptReport& report) {
   using decide::TargetSign;
   if (report.m_broken)
@@ -69,7 +70,7 @@
     case decide::AttemptEnd::kFailed:
       return TargetSign::kFailed;
     case decide::AttemptEnd::kDoubtful:
-      // The caller has gone; the target is not to blame.
+      // The caller disconnected, which is no fault of the target.
       return TargetSign::kRefused;
     case decide::AttemptEnd::kNotRun:
       break;
@@ -327,7 +328,8 @@
     settled = co_await m_claims.Record(call, writer, std::move(answer));
   }
   if (!settled) {
-    // Until it is, a repeated call is told "held"; it never runs.
+    // Until the claim is settled, a call with the same key is answered "held"
+    // and doesn't run.
     m_journal.Record(call.id(), LogLine("claim_not_settled_yet"));
   }
 }
@@ -345,8 +347,8 @@
                        .With("call", call.instance()));
   const AttemptReport& last = verdict.m_last;
   if (last.m_answer_begun) {
-    // A stream that broke is left without its end, so that the caller can't
-    // take it for whole.
+    // The terminator of the chunked encoding is not sent for a stream that was
+    // cut short, so that the caller can't take the stream for complete.
     if (verdict.m_outcome == Outcome::kCompleted) {
       wire::Headers trailers;
       trailers[peer::kOutcome] = ToString(verdict.m_outcome);
--- a/src/libverbenalead/daemon/request_runner.h
+++ b/src/libverbenalead/daemon/request_runner.h
@@ -15,9 +15,10 @@
 
 namespace verbenalead::daemon {
 
-/// A request's life in the entry: claimed if it may run only once, admitted,
-/// placed, attempted, perhaps retried, and told its outcome. May be used from
-/// several threads.
+/// Runs a caller's request in the entry. Claims the idempotency key of a
+/// non-idempotent call, waits for admission, chooses targets, sends attempts,
+/// retries where that is safe, and reports the outcome to the caller.
+/// Thread-safe.
 class RequestRunner : public front::CallRunner {
  public:
   RequestRunner(PoolRouters& routers,
@@ -33,41 +34,44 @@
                       wire::Request request,
                       wire::ResponseWriter& writer) override;
 
-  /// For the exchange with other entries.
+  /// For the exchange of crash notes with other entries.
   QuarantineKeeper& quarantine() { return m_quarantine; }
-  /// How many entries there are, us included: they share what the table and
-  /// the targets can take.
+  /// Sets the number of entries, including this one. They share the capacity of
+  /// the table and the targets.
   void SetEntries(size_t entries) {
     m_claims.SetEntries(entries);
     m_routers.SetEntries(entries);
   }
 
  private:
-  /// The end of all attempts.
+  /// The result of all attempts of a call.
   struct Verdict {
     model::Outcome m_outcome = model::Outcome::kRefused;
     std::string m_reason;
     std::string m_target;
     uint32_t m_attempts = 0;
     Duration m_retry_after{};
-    /// An attempt may have run, whatever a later one says.
+    /// An attempt may have run. A later attempt that did not run doesn't change
+    /// this.
     bool m_in_doubt = false;
     AttemptReport m_last;
   };
 
-  /// Tells the caller of a request under which targets crash that it is set
-  /// aside.
+  /// Refuses a request that is quarantined because targets crashed while they
+  /// ran it.
   Awaitable<void> SetAside(model::Call call, wire::ResponseWriter& writer);
-  /// The writer of the claim; nullopt: the key is not ours, and the caller has
-  /// been answered.
+  /// Returns the writer number of the claim. Returns nullopt if the key could
+  /// not be claimed; the caller then has been answered.
   Awaitable<std::optional<uint64_t>> ClaimKey(model::Call call,
                                               wire::ResponseWriter& writer);
-  /// Attempts `call` until it has run, can't be tried again, or its time is up.
-  /// A call that finds the targets full keeps its slot and asks again.
+  /// Sends attempts until `call` has run, can't be retried, or has reached its
+  /// deadline. A call that finds all targets full keeps its admission slot and
+  /// starts another round after a pause.
   Awaitable<Verdict> Attempt(model::Call call,
                              wire::Request request,
                              wire::ResponseWriter& writer);
-  /// One try at a few targets. kDone: the verdict stands.
+  /// The result of one round of attempts, each at another target. kDone: the
+  /// verdict is final.
   enum class RoundEnd { kDone, kFull, kTurnedAway };
   Awaitable<RoundEnd> TryTargets(const model::Call& call,
                                  const wire::Request& request,
--- a/src/libverbenalead/daemon/target_daemon.cc
+++ b/src/libverbenalead/daemon/target_daemon.cc
@@ -48,7 +48,8 @@
   return static_cast<uint64_t>(settings.Integer(key));
 }
 
-/// Live requests use the same links, so chunks get a part of them.
+/// The part of a link's rate that chunk transfers may use. The rest is left for
+/// live requests, which use the same links.
 uint64_t TransferShare(const Settings& settings, const char* key) {
   return Bytes(settings, key) * Bytes(settings, "transfer.share_percent") / 100;
 }
@@ -129,7 +130,7 @@
         m_signals(m_threads.main(), SIGTERM, SIGINT),
         m_hangup(m_threads.main(), SIGHUP) {}
 
-  /// Counts and times attempts.
+  /// Wraps `handler` so that the duration of attempts is measured.
   wire::Handler Measured(wire::Handler handler) {
     return [this, handler = std::move(handler)](
                const wire::Request& request,
@@ -228,7 +229,8 @@
     }
   }
 
-  /// A plain service has no versions: its gate is open while it is healthy.
+  /// Opens the gate while the service is healthy, and closes it otherwise. A
+  /// plain service has no versions.
   Awaitable<void> FollowService() {
     while (true) {
       wire::Request request;
@@ -269,7 +271,8 @@
     m_threads.Stop();
   }
 
-  /// SIGHUP: the peers' key is replaced without a restart.
+  /// On SIGHUP, reloads the key for connections between the processes, so that
+  /// it can be replaced without a restart.
   Awaitable<void> ReloadWhenAsked() {
     while (true) {
       co_await m_hangup.async_wait(asio::use_awaitable);
--- a/src/libverbenalead/daemon/target_daemon.h
+++ b/src/libverbenalead/daemon/target_daemon.h
@@ -7,15 +7,17 @@
 
 namespace verbenalead::daemon {
 
-/// The process on a target host: holds and passes on weights, gives orders to
-/// the engine, and stands as gate before the engine or plain service.
+/// The process on a target host. Holds model weights and serves them to other
+/// hosts, orders the engine to load versions, and admits attempts to the engine
+/// or plain service.
 class TargetDaemon {
  public:
   explicit TargetDaemon(const Settings& settings);
   ~TargetDaemon();
 
-  /// Serves until SIGTERM or SIGINT and all running requests are done. Returns
-  /// the exit code; a failure to listen is logged.
+  /// Serves until SIGTERM or SIGINT, then until all running requests have ended
+  /// or the grace period is over. Returns the exit code. A failure to listen is
+  /// logged.
   int Run();
 
  private:
--- a/src/libverbenalead/daemon/target_peer_api.cc
+++ b/src/libverbenalead/daemon/target_peer_api.cc
@@ -19,17 +19,20 @@
 constexpr std::string_view kManifest = "/v1/manifest/";
 constexpr std::string_view kTrace = "/v1/trace/";
 constexpr std::string_view kWeights = "/weights/";
-/// News is gathered this long: less than half of the time that a chunk takes
-/// on the links this is made for, and at most 20 messages a second.
+/// Interval at which newly arrived chunks are announced to a follower. It is
+/// less than half of the time that a chunk takes on the intended links, and
+/// limits the rate to 20 messages per second.
 constexpr Duration kNewsInterval = 50ms;
-/// Hosts learn of a version within seconds of each other.
+/// How long a request to follow a version waits for the version's manifest. A
+/// new version reaches the hosts within seconds of each other.
 constexpr Duration kManifestWaitLimit = 30s;
-/// Longest time that a report is held back, and how often it is compared.
+/// Longest time that a request for the status is held open, and the interval at
+/// which the report is compared meanwhile.
 constexpr unsigned long long kLongestHoldMs = 10000;
 constexpr Duration kReportPollInterval = 100ms;
 constexpr size_t kHexDigits = 2 * Digest::kBytes;
 
-/// The digest that stands in `path` after `prefix`; empty if malformed.
+/// Returns the digest that follows `prefix` in `path`; empty if malformed.
 Digest DigestAfter(const std::string& path, std::string_view prefix) {
   const std::string text = path.substr(prefix.size(), kHexDigits);
   auto digest = CatchFailure([&] { return ParseDigest(text); });
@@ -55,8 +58,9 @@
   co_return wire::Response{200, {}, *chunk};
 }
 
-/// Tells what is here now and then each chunk that comes, until the version is
-/// whole. A host may ask before its neighbour has begun with the version.
+/// Sends the set of chunks that this host holds and then the number of each
+/// chunk that arrives, until the version is complete. The request may arrive
+/// before this host has the manifest; it then waits up to kManifestWaitLimit.
 Awaitable<void> ServeFollow(Context context,
                             std::string path,
                             wire::ResponseWriter& writer) {
@@ -71,8 +75,8 @@
   }
   if (!alive || !manifest)
     co_return;
-  // The count is read first: a chunk that comes between is told twice, never
-  // not at all.
+  // The count is read before the bits: a chunk that arrives between the two
+  // reads is then sent twice. In the other order it would not be sent at all.
   size_t sent_count = context->m_store->Arrivals(whole, 0).size();
   alive = co_await writer.Write(context->m_store->HaveBits(whole));
   while (alive && sent_count < manifest->chunk_count()) {
@@ -108,10 +112,11 @@
   return {200, {}, std::move(text)};
 }
 
-/// Answers as soon as the report is urgent news to the asker, or with what else
-/// has changed, 204 if nothing, when the asker's patience is at its end. An
-/// idle target then costs its watchers two short messages each second and a
-/// half.
+/// Answers a long poll for the target's report. Responds as soon as the report
+/// has an urgent change against the one that the client has seen. At the end of
+/// the hold time it responds with any other change, or with 204 if there is
+/// none. An idle target thus costs each watching client two short messages per
+/// 1.5 seconds.
 Awaitable<wire::Response> ServeStatus(Context context, wire::Request request) {
   using decide::ReportNews;
   const std::string seen = wire::QueryValue(request, "seen");
--- a/src/libverbenalead/daemon/target_peer_api.h
+++ b/src/libverbenalead/daemon/target_peer_api.h
@@ -11,35 +11,36 @@
 
 namespace verbenalead::daemon {
 
-/// What the target's API for our other processes asks of its daemon.
+/// The parts of the target daemon that its API for entries and other targets
+/// uses.
 struct TargetPeerContext {
   AttemptServer* m_attempts = nullptr;
   WeightsStore* m_store = nullptr;
   Journal* m_journal = nullptr;
   UploadScheduler* m_uploads = nullptr;
-  /// Region of this host.
+  /// The region of this host.
   std::string m_region;
   std::function<model::TargetReport()> m_report;
   std::function<void()> m_drain;
 };
 
-/// What a target answers to our other processes:
+/// Returns the API of a target for entries, other targets and tools:
 ///
-///     POST /v1/attempt                one try of a request
+///     POST /v1/attempt                run one attempt of a request
 ///     POST /v1/void                   make an attempt void
 ///     GET  /v1/status                 TargetReport
-///     POST /v1/drain                  take nothing new
-///     GET  /v1/have/DIGEST            which chunks are here
-///     GET  /v1/have/DIGEST?follow=1   the same, then each one that comes
+///     POST /v1/drain                  refuse new attempts
+///     GET  /v1/have/DIGEST            which chunks this host holds
+///     GET  /v1/have/DIGEST?follow=1   the same, then each chunk that arrives
 ///     GET  /v1/chunk/DIGEST/INDEX
 ///     GET  /v1/manifest/DIGEST
 ///     GET  /v1/trace/REQUEST
 wire::Handler MakeTargetPeerApi(TargetPeerContext context);
 
-/// What the engine beside the target reads, and the host's own monitoring:
+/// Returns the API for the engine on this host and for the host's monitoring:
 ///
-///     GET /weights/DIGEST   the whole weights
-///     GET /metrics          what `metrics` returns
+///     GET /weights/DIGEST   the complete weights
+///     GET /metrics          the text that `metrics` returns
 wire::Handler MakeWeightsApi(const WeightsStore& store,
                              std::function<std::string()> metrics);
 
--- a/src/libverbenalead/daemon/target_settings.h
+++ b/src/libverbenalead/daemon/target_settings.h
@@ -5,7 +5,7 @@
 
 namespace verbenalead::daemon {
 
-/// The settings of vltarget.
+/// Returns the schema of vltarget's settings.
 SettingsSchema TargetSettings();
 
 }  // namespace verbenalead::daemon
--- a/src/libverbenalead/daemon/transfer_messages.h
+++ b/src/libverbenalead/daemon/transfer_messages.h
@@ -7,21 +7,23 @@
 
 namespace verbenalead::daemon {
 
-/// Header fields of a request for a chunk: how many chunks the asking host
-/// holds, and its region.
+/// Header fields of a request for a chunk: the number of chunks that the
+/// requesting host holds, and its region.
 constexpr char kHeldHeader[] = "x-held";
 constexpr char kRegionHeader[] = "x-region";
 
-/// The body of `GET /v1/have/DIGEST?follow=1`: what is held, as bits, then the
-/// number of each chunk that comes, 4 bytes each, the lowest first.
+/// Appends a chunk number to the response body of
+/// `GET /v1/have/DIGEST?follow=1`. The body begins with a bit set of the chunks
+/// that the host holds. The number of each chunk that arrives later follows, in
+/// 4 bytes, least significant byte first.
 void AppendNumber(std::string& body, uint32_t number);
 
-/// Reads such a body as it comes in pieces.
+/// Parses such a response body incrementally. Pieces may be split anywhere.
 class HaveReader {
  public:
   explicit HaveReader(uint32_t chunk_count) : m_chunk_count(chunk_count) {}
 
-  /// The chunks that `piece` completes the news of.
+  /// Returns the chunks whose announcement is complete with `piece`.
   std::vector<uint32_t> Read(const std::string& piece);
 
  private:
--- a/src/libverbenalead/daemon/upload_scheduler.cc
+++ b/src/libverbenalead/daemon/upload_scheduler.cc
@@ -11,16 +11,18 @@
 
 namespace asio = boost::asio;
 
-/// Chunks on the link at once: the second one is there before the first has
-/// gone, so that the link isn't idle between them. More would only make the
-/// order of the queue count for less.
+/// Number of chunks sent concurrently. With two, the second chunk is ready when
+/// the first has been sent, so that the link isn't idle in between. More would
+/// weaken the effect of the queue's order.
 constexpr uint32_t kUploadsAtOnce = 2;
-/// Versions whose counts are kept: the one in force and the one on its way.
+/// Number of versions above which queues without waiting requests are dropped.
+/// Normally two are in use: the active version and the one being transferred.
 constexpr size_t kMaxQueues = 4;
 
 }  // namespace
 
-/// A request that waits. All but m_request belongs to its executor.
+/// A waiting request. All members except m_request are used only on the
+/// request's executor.
 struct UploadScheduler::Waiter {
   Waiter(const asio::any_io_executor& executor, decide::UploadRequest request)
       : m_request(request), m_timer(executor) {
--- a/src/libverbenalead/daemon/upload_scheduler.h
+++ b/src/libverbenalead/daemon/upload_scheduler.h
@@ -11,13 +11,15 @@
 
 namespace verbenalead::daemon {
 
-/// Lets requests for chunks onto this host's link in the order that the upload
-/// queue decides. May be used from several threads.
+/// Schedules the sending of chunks on this host's link, in the order that
+/// decide::UploadQueue chooses. In order of arrival, a burst of requests for
+/// one new chunk would delay all other chunks. Thread-safe.
 class UploadScheduler {
  public:
   explicit UploadScheduler(Pacer& link) : m_link(link) {}
 
-  /// Waits until `bytes` of a chunk may be sent.
+  /// Waits until it is the request's turn and the link's rate limit permits
+  /// `bytes`.
   Awaitable<void> Take(Digest whole,
                        decide::UploadRequest request,
                        uint64_t bytes);
@@ -27,7 +29,8 @@
 
   void Enqueue(const Digest& whole, std::shared_ptr<Waiter> waiter);
   void Release();
-  /// Lets the next ones in. Called under the lock.
+  /// Starts the next requests while the link has capacity. Called with m_mutex
+  /// held.
   void Grant();
 
   Pacer& m_link;
--- a/src/libverbenalead/daemon/version_keeper.cc
+++ b/src/libverbenalead/daemon/version_keeper.cc
@@ -12,7 +12,8 @@
 using Kind = decide::RolloutAction::Kind;
 
 constexpr Duration kStepInterval = 20ms;
-/// Between steps that did something: one that fails at once must not spin.
+/// Delay after a step with an action. It prevents a busy loop if the action
+/// fails immediately.
 constexpr Duration kActionDelay = 1ms;
 constexpr Duration kMintRetryDelay = 500ms;
 constexpr Duration kLoadTimeout = std::chrono::minutes(10);
@@ -158,8 +159,9 @@
       .With("digest", ToString(digest))
       .Info();
   // Named, not a temporary: see "Coroutines and GCC 12" in CONTRIBUTING.md.
-  // A doubt about the engine goes before the transfer: asking it takes a moment
-  // and may open the gate, and the chunks that have come are kept.
+  // The transfer stops when the engine's state has to be queried again. The
+  // query is short and may open the gate, and the chunks received so far are
+  // kept.
   std::function<bool()> still_wanted = [this, digest] {
     return Plan().m_digest == digest &&
            With([](decide::RolloutState& state, decide::GateState& gate) {
@@ -173,14 +175,14 @@
         decide::Fetched(state, digest);
       });
     } else if (Plan().m_digest != digest) {
-      // Declared anew in mid-transfer: another identity, so what has come of
-      // the old one must not be served or mixed in.
+      // Another version was declared during the transfer. Chunks of the old one
+      // must not be served, nor mixed with those of the new one.
       LogLine("transfer_cancelled").With("version", version->m_name).Info();
       DropUnwanted(digest);
     }
     co_return;
   }
-  // The version before is kept for a rollback only while there is room.
+  // The previous version is kept for a rollback only while memory suffices.
   if (fetched.error().m_code == FailureCode::kRefused &&
       DropOthers(digest, digest))
     co_return;
--- a/src/libverbenalead/daemon/version_keeper.h
+++ b/src/libverbenalead/daemon/version_keeper.h
@@ -16,10 +16,12 @@
 
 namespace verbenalead::daemon {
 
-/// Brings the declared version into force on this host, as the rollout core
-/// decides: does each of its steps and reports back. The only giver of orders
-/// to the engine. Runs on one thread; what other threads see is under the
-/// gate's lock.
+/// Activates the declared model version on this host: fetches its weights,
+/// obtains a load permit and a fencing token, and orders the engine to load it.
+/// decide/rollout.h decides on each step; this class executes the step and
+/// reports its result. It is the only component that orders the engine to load.
+/// Runs on one thread; state that other threads read is guarded by the gate's
+/// mutex.
 class VersionKeeper {
  public:
   VersionKeeper(std::string host,
@@ -33,13 +35,13 @@
                 backends::Engine& engine,
                 backends::Table& table);
 
-  /// Runs until the process ends. On one thread.
+  /// Runs until the process ends. To be called from one thread only.
   Awaitable<void> Run();
-  /// From any thread.
+  /// May be called from any thread.
   VersionProgress progress() const;
 
  private:
-  /// Calls `function(state, gate)` under the gate's lock.
+  /// Calls `function(state, gate)` with the gate's mutex held.
   template <typename Function>
   auto With(Function&& function) const {
     return m_gate.With(
@@ -55,17 +57,18 @@
   Awaitable<void> Order(Digest digest, uint64_t fence);
   Awaitable<void> AskEngine(uint64_t doubt);
 
-  /// Beside the steps, which may take minutes each:
+  /// The following run concurrently with the steps, which may take minutes
+  /// each.
   Awaitable<void> KeepPermit();
   Awaitable<void> RenewPermit();
   Awaitable<void> PollEngine();
   Awaitable<void> WatchEngine();
   Awaitable<void> LookAtEngine();
 
-  /// Frees the memory of a version that is not wanted any more, and breaks off
-  /// an engine that is reading it.
+  /// Frees the memory of a version that is no longer declared. An engine that
+  /// is reading the version's weights gets an incomplete response.
   void DropUnwanted(const Digest& digest);
-  /// Drops all versions but these; true if any was dropped.
+  /// Drops all versions except these two. Returns true if any was dropped.
   bool DropOthers(const Digest& wanted, const Digest& previous);
 
   const std::string m_host;
@@ -82,10 +85,10 @@
   decide::RolloutPlan m_plan;
   uint64_t m_plan_of_revision = 0;
   mutable decide::RolloutState m_state;
-  /// What the pool declares, for progress().
+  /// The version that is declared for the pool, for progress().
   Digest m_wanted;
   decide::RolloutStage m_logged_stage = decide::RolloutStage::kIdle;
-  /// Every version's name that was ever declared here, by digest.
+  /// Names of all versions that this process has seen declared, by digest.
   std::map<Digest, std::string> m_names;
 };
 
--- a/src/libverbenalead/daemon/version_progress.h
+++ b/src/libverbenalead/daemon/version_progress.h
@@ -7,15 +7,15 @@
 
 namespace verbenalead::daemon {
 
-/// What a target host has in force and on its way.
+/// The active version of a target host and the progress of a rollout on it.
 struct VersionProgress {
   std::string m_in_force;
-  /// Empty if nothing is on its way.
+  /// Name of the version being fetched or loaded; empty if there is none.
   std::string m_loading;
   Digest m_loading_digest;
   /// fetching, waiting, loading, in force, failed, idle or deposed.
   std::string m_stage;
-  /// Why it waits or failed.
+  /// Why the rollout waits or failed.
   std::string m_reason;
 
   friend bool operator==(const VersionProgress&,
--- a/src/libverbenalead/daemon/weights_fetcher.cc
+++ b/src/libverbenalead/daemon/weights_fetcher.cc
@@ -19,17 +19,19 @@
 namespace asio = boost::asio;
 
 constexpr Duration kAskTimeout = 1s;
-/// How soon a read notices that the core has given it up.
+/// Interval at which a read checks whether it has been cancelled.
 constexpr Duration kCancelPollInterval = 250ms;
 constexpr Duration kStepInterval = 5ms;
 constexpr Duration kMembersInterval = 500ms;
 constexpr Duration kManifestRetryDelay = 100ms;
-/// A host that isn't the manifest's drawer waits this many tries for a peer.
+/// Number of failed attempts to get the manifest from peers after which any
+/// host may fetch it from the origin. The designated host may do so at once.
 constexpr int kManifestPeerAttempts = 20;
 constexpr size_t kMaxManifest = size_t{64} << 20;
-/// Hosts asked for the manifest in one try.
+/// Maximum number of hosts queried for the manifest in one attempt.
 constexpr size_t kMaxPeersQueried = 16;
-/// The manifest is drawn by the host that this number's hash names.
+/// Key of the rendezvous hash that designates the host that fetches the
+/// manifest from the origin.
 constexpr uint64_t kManifestHashKey = ~uint64_t{0};
 
 bool IsTimeout(const Failure& failure) {
@@ -41,14 +43,15 @@
 struct WeightsFetcher::Run {
   explicit Run(const asio::any_io_executor& executor) : m_wake(executor) {}
 
-  /// Cancelled when a fetch has ended: what is next need not wait for a step.
+  /// Cancelled when a fetch has ended, so that the next step starts at once.
   asio::steady_timer m_wake;
   model::VersionSpec m_version;
   model::Manifest m_manifest;
   decide::TransferState m_transfer;
   std::map<std::string, Endpoint> m_endpoints;
   TimePoint m_next_members{};
-  /// Set to true to give up the fetch of a chunk, the news of a host.
+  /// Flags that cancel the fetch of a chunk, or the stream of announcements of
+  /// a host, when set to true.
   std::map<uint32_t, std::shared_ptr<bool>> m_fetches;
   std::map<std::string, std::shared_ptr<bool>> m_follows;
 
--- a/src/libverbenalead/daemon/weights_fetcher.h
+++ b/src/libverbenalead/daemon/weights_fetcher.h
@@ -17,14 +17,15 @@
 
 namespace verbenalead::daemon {
 
-/// Bytes of weights that came in since the process started, by source.
+/// Bytes of weights received since the process started, by source.
 struct TransferCounters {
   std::atomic<uint64_t> m_origin_bytes{0};
   std::atomic<uint64_t> m_peer_bytes{0};
 };
 
-/// Brings one version's weights into the store, from other hosts and the
-/// origin, as the transfer core decides. Runs on one thread.
+/// Fetches the weights of one version into the store. Chunks come from other
+/// hosts of the pool and from the origin; decide/transfer.h chooses the source
+/// of each. Runs on one thread.
 class WeightsFetcher {
  public:
   struct Options {
@@ -45,7 +46,8 @@
                  Pacer& download,
                  TransferCounters& counters);
 
-  /// Returns true once all chunks are here; false as soon as `wanted` says no.
+  /// Returns true once the store holds all chunks, and false as soon as
+  /// `wanted` returns false.
   Awaitable<AsyncResult<bool>> Fetch(model::VersionSpec version,
                                      std::function<bool()> wanted);
 
@@ -56,7 +58,7 @@
       model::VersionSpec version);
   Awaitable<AsyncResult<std::string>> ManifestFromPeers(
       model::VersionSpec version);
-  /// One round of the core.
+  /// Runs one step of the transfer state machine and executes its actions.
   void DoStep(std::shared_ptr<Run> run,
               const boost::asio::any_io_executor& executor);
   Awaitable<void> FetchChunk(std::shared_ptr<Run> run,
@@ -71,7 +73,8 @@
   Awaitable<void> Follow(std::shared_ptr<Run> run,
                          std::string name,
                          std::shared_ptr<const bool> cancelled);
-  /// Until the news end; false if they broke off.
+  /// Reads announcements of chunks from a host until their stream ends. Returns
+  /// false if the stream failed.
   Awaitable<bool> ReadNews(std::shared_ptr<Run> run,
                            std::string name,
                            std::shared_ptr<const bool> cancelled);
--- a/src/libverbenalead/daemon/weights_store.cc
+++ b/src/libverbenalead/daemon/weights_store.cc
@@ -42,7 +42,7 @@
       return Fail(FailureCode::kNotFound, "keep chunk", "no such version");
     declared = found->second.m_manifest.chunks()[index];
   }
-  // Hashing takes most of the time and is done without the lock.
+  // Hashing takes most of the time, so it is done without the mutex.
   if (Sha256(bytes) != declared)
     return Fail(FailureCode::kCorrupt, "verify chunk", "wrong digest");
   auto chunk = std::make_shared<const std::string>(std::move(bytes));
--- a/src/libverbenalead/daemon/weights_store.h
+++ b/src/libverbenalead/daemon/weights_store.h
@@ -13,31 +13,34 @@
 
 namespace verbenalead::daemon {
 
-/// The weights that this process holds in memory, by the digest of the whole,
-/// so that chunks of two versions can never be mixed. Only verified chunks get
-/// in. May be used from several threads.
+/// The weights that this process holds in memory. Versions are keyed by the
+/// digest of their complete weights, so that chunks of two versions can't be
+/// mixed. A chunk is stored only if its digest is the one in the manifest; a
+/// corrupt chunk would otherwise spread to other hosts. Thread-safe.
 class WeightsStore {
  public:
   using Chunk = std::shared_ptr<const std::string>;
 
   explicit WeightsStore(uint64_t max_bytes) : m_max_bytes(max_bytes) {}
 
-  /// Makes room for `manifest`. Fails with kRefused if it doesn't fit beside
-  /// what is held. `text` is the manifest document, for peers that ask.
+  /// Reserves memory for the version of `manifest`. Fails with kRefused if the
+  /// total would exceed the limit. `text` is the manifest document, which is
+  /// served to other hosts.
   Result<void> Begin(const model::Manifest& manifest, std::string text);
-  /// Takes in a chunk. Fails with kCorrupt if its digest isn't the declared
-  /// one: then nothing is kept.
+  /// Stores a chunk. Fails with kCorrupt, and stores nothing, if the chunk's
+  /// digest isn't the one in the manifest.
   Result<void> Put(const Digest& whole, uint32_t index, std::string bytes);
 
-  /// Null if it isn't here.
+  /// Returns null if the store doesn't hold the chunk.
   Chunk Get(const Digest& whole, uint32_t index) const;
   std::optional<model::Manifest> GetManifest(const Digest& whole) const;
-  /// "" if it isn't here.
+  /// Returns "" if the store doesn't hold the version.
   std::string ManifestText(const Digest& whole) const;
-  /// Which chunks are here: bit i of byte i / 8; empty if the version isn't.
+  /// Returns a bit set of the held chunks; chunk i is bit i % 8 of byte i / 8.
+  /// Empty if the store doesn't hold the version.
   std::string HaveBits(const Digest& whole) const;
-  /// The chunks that are here, in the order in which they came, from the
-  /// `first` on; empty if the version isn't here.
+  /// Returns the held chunks in their order of arrival, without the first
+  /// `first` ones. Empty if the store doesn't hold the version.
   std::vector<uint32_t> Arrivals(const Digest& whole, size_t first) const;
   std::vector<bool> Have(const Digest& whole) const;
   uint32_t HeldChunks(const Digest& whole) const;
--- a/src/libverbenalead/daemon/weights_store_test.cc
+++ b/src/libverbenalead/daemon/weights_store_test.cc
@@ -57,7 +57,8 @@
     CPPUNIT_ASSERT(store.Arrivals(whole, 2).empty());
   }
 
-  // A host learns the same of its neighbour however the stream is cut up.
+  // A stream of held chunks is parsed to the same result however it is split
+  // into pieces.
   void ParsesUpdatesSplitAtAnyOffset() {
     std::string body = "\x05";
     body += '\x02';
