--- a/src/libverbenalead/daemon/pool_router.cc
+++ b/src/libverbenalead/daemon/pool_router.cc
@@ -13,7 +13,8 @@
 
 namespace asio = boost::asio;
 
-/// A coroutine that waits for its action on its own thread.
+/// A coroutine that waits for its action. The action is delivered on the
+/// coroutine's own executor.
 struct PoolRouter::Waiter {
   explicit Waiter(const asio::any_io_executor& executor)
       : m_event(executor, TimePoint::max()) {}
@@ -22,7 +23,8 @@
   std::optional<decide::AdmitAction> m_action;
 };
 
-// Each process draws other numbers, so that entries don't choose alike.
+// Each process has its own random seed. With equal seeds all entries would
+// choose the same targets at the same time.
 PoolRouter::PoolRouter(size_t entries) : m_random(std::random_device()()) {
   SetEntries(entries);
 }
@@ -35,7 +37,7 @@
 Awaitable<decide::AdmitAction> PoolRouter::Admit(model::Call call) {
   const auto executor = co_await asio::this_coro::executor;
   auto waiter = std::make_shared<Waiter>(executor);
-  bool sweep = false;
+  bool start_sweep = false;
   {
     std::lock_guard lock(m_mutex);
     const TimePoint now = Now();
@@ -44,9 +46,9 @@
     decide::CountFirstAttempt(m_budget);
     Deliver(decide::Tick(m_admit, decide::UsableCapacity(m_place, now), now));
     Deliver(decide::Arrive(m_admit, ticket, call, now));
-    sweep = BeginSweep();
+    start_sweep = BeginSweep();
   }
-  if (sweep)
+  if (start_sweep)
     Spawn(executor, Sweep(), "sweep");
   while (!waiter->m_action) {
     boost::system::error_code ignored;
@@ -64,12 +66,12 @@
 }
 
 Awaitable<void> PoolRouter::Sweep() {
-  bool more = true;
-  while (more) {
+  bool calls_waiting = true;
+  while (calls_waiting) {
     co_await Sleep(decide::kDropEvery);
     Tick();
     std::lock_guard lock(m_mutex);
-    more = m_sweeping = m_admit.m_waiting > 0;
+    calls_waiting = m_sweeping = m_admit.m_waiting > 0;
   }
 }
 
--- a/src/libverbenalead/daemon/program.cc
+++ b/src/libverbenalead/daemon/program.cc
@@ -9,7 +9,7 @@
 namespace verbenalead::daemon {
 namespace {
 
-constexpr int kCouldNotRun = 1;
+constexpr int kExitFailure = 1;
 constexpr int kBadUse = 2;
 
 }  // namespace
@@ -26,13 +26,14 @@
   const ProgramMode* mode = &modes.front();
   app.add_option("-s,--settings", path, "JSON file with the settings");
   app.add_flag("--describe-settings", describe,
-               "print every setting with default and range, and end");
-  app.add_flag("--check", check, "check the settings file, and end");
+               "print all settings with defaults and ranges, then exit");
+  app.add_flag("--check", check, "check the settings file, then exit");
   app.set_version_flag("--version", name + " 0.1.0");
-  for (const ProgramMode& other : modes) {
-    if (!other.m_option.empty()) {
+  for (const ProgramMode& candidate : modes) {
+    if (!candidate.m_option.empty()) {
       app.add_flag_callback(
-          other.m_option, [&mode, &other] { mode = &other; }, other.m_help);
+          candidate.m_option, [&mode, &candidate] { mode = &candidate; },
+          candidate.m_help);
     }
   }
   try {
@@ -45,7 +46,7 @@
     return 0;
   }
   if (path.empty()) {
-    std::cerr << name << ": name a settings file with -s\n";
+    std::cerr << name << ": no settings file given; use -s FILE\n";
     return kBadUse;
   }
   auto settings = CatchFailure([&] { return mode->m_schema.Load(path); });
@@ -60,7 +61,7 @@
     return mode->m_run(*settings);
   } catch (const std::exception& error) {
     std::cerr << name << ": " << error.what() << "\n";
-    return kCouldNotRun;
+    return kExitFailure;
   }
 }
 
--- a/src/libverbenalead/daemon/request_runner.cc
+++ b/src/libverbenalead/daemon/request_runner.cc
@@ -10,26 +10,27 @@
 
 using model::Outcome;
 
-/// When a caller may come back where no target could take the call.
+/// Delay after which a caller may retry if no target could take the call.
 constexpr Duration kRetryAfterNoTarget = 1s;
-/// Longest pause before a call asks full targets again; the first is
-/// decide::kFullPause.
-constexpr Duration kLongestPause = 160ms;
-/// Rounds after which a call is refused that targets turn away for other
-/// reasons than room: their gates are shut, or serve another version.
+/// Longest pause between two rounds of a call that found the targets full. The
+/// first pause is decide::kFullPause.
+constexpr Duration kMaxFullPause = 160ms;
+/// Number of rounds after which a call is refused if targets refused it for
+/// another reason than lack of capacity, such as a closed gate or another
+/// version.
 constexpr int kMaxRoundsTurnedAway = 3;
-constexpr Duration kRetryAfterTable = 2s;
+constexpr Duration kRetryAfterTableFailure = 2s;
 constexpr Duration kRetryAfterHeld = 1s;
 constexpr int kConflictStatus = 409;
 constexpr int kUnprocessableStatus = 422;
-constexpr char kSetAside[] = "request_crashes_targets";
-/// An answer longer than this is not recorded, only its outcome.
+constexpr char kQuarantinedReason[] = "request_crashes_targets";
+/// Of an answer with a longer body only the outcome is recorded.
 constexpr size_t kMaxRecordedBody = 64 * 1024;
 
-front::Problem ProblemOf(const model::Call& call,
-                         Outcome outcome,
-                         std::string reason,
-                         Duration retry_after) {
+front::Problem MakeProblem(const model::Call& call,
+                           Outcome outcome,
+                           std::string reason,
+                           Duration retry_after) {
   front::Problem problem;
   problem.m_outcome = outcome;
   problem.m_reason = std::move(reason);
@@ -38,18 +39,18 @@
   return problem;
 }
 
-/// The target itself said at once that it did not run the call.
+/// True if the target itself refused the call at once, without running it.
 bool IsTurnedAway(const AttemptReport& report) {
   return report.m_end == decide::AttemptEnd::kNotRun && !report.m_broken;
 }
 
-/// Whether a target turned a call away only for what else it runs.
-bool IsForRoom(const std::string& reason) {
+/// True if a target refused a call only because of its load.
+bool IsForCapacity(const std::string& reason) {
   return reason == peer::kFull || reason == peer::kBusier;
 }
 
-/// The target or its engine went down while it ran the call, as far as the
-/// entry can see. An attempt that only ran out of time does not count.
+/// True if, as far as the entry can observe, the target or its engine crashed
+/// while it ran the call. An attempt that only timed out doesn't count.
 bool LooksLikeCrash(const AttemptReport& report, const model::Call& call) {
   const bool lost = report.m_broken &&
                     report.m_end == decide::AttemptEnd::kDoubtful &&
@@ -58,7 +59,7 @@
                   report.m_reason == "engine_failed");
 }
 
-/// What the end of an attempt says of its target.
+/// What the end of an attempt indicates about the state of its target.
 decide::TargetSign SignOf(const AttemptReport& report) {
   using decide::TargetSign;
   if (report.m_broken)
@@ -69,7 +70,7 @@
     case decide::AttemptEnd::kFailed:
       return TargetSign::kFailed;
     case decide::AttemptEnd::kDoubtful:
-      // The caller has gone; the target is not to blame.
+      // The caller disconnected, which is no fault of the target.
       return TargetSign::kRefused;
     case decide::AttemptEnd::kNotRun:
       break;
@@ -80,17 +81,18 @@
                                           : TargetSign::kRefused;
 }
 
-wire::Response Recorded(const RecordedAnswer& answer, const model::Call& call) {
+wire::Response MakeRecordedResponse(const RecordedAnswer& answer,
+                                    const model::Call& call) {
   if (answer.m_outcome != Outcome::kCompleted) {
     front::Problem problem =
-        ProblemOf(call, answer.m_outcome, answer.m_reason, {});
+        MakeProblem(call, answer.m_outcome, answer.m_reason, {});
     problem.m_target = answer.m_target;
     problem.m_version = answer.m_version;
     return front::ToResponse(problem);
   }
   if (!answer.m_whole) {
     front::Problem problem =
-        ProblemOf(call, answer.m_outcome, "answer_not_kept", {});
+        MakeProblem(call, answer.m_outcome, "answer_not_kept", {});
     problem.m_status = kConflictStatus;
     problem.m_target = answer.m_target;
     problem.m_version = answer.m_version;
@@ -151,8 +153,9 @@
                                         wire::ResponseWriter& writer) {
   m_journal.Record(call.id(), LogLine("set_aside")
                                   .With("organisation", call.organisation())
-                                  .With("reason", kSetAside));
-  front::Problem problem = ProblemOf(call, Outcome::kRefused, kSetAside, {});
+                                  .With("reason", kQuarantinedReason));
+  front::Problem problem =
+      MakeProblem(call, Outcome::kRefused, kQuarantinedReason, {});
   problem.m_status = kUnprocessableStatus;
   co_await writer.Send(front::ToResponse(problem));
 }
@@ -172,16 +175,17 @@
     m_journal.Record(call.id(),
                      line.With("result", "answered_before")
                          .With("first_request", claim.m_answer.m_request));
-    co_await writer.Send(Recorded(claim.m_answer, call));
+    co_await writer.Send(MakeRecordedResponse(claim.m_answer, call));
     co_return std::nullopt;
   }
   const bool held = claim.m_kind == Kind::kHeld;
   m_journal.Record(call.id(),
                    line.With("result", held ? "held" : "unavailable"));
   front::Problem problem =
-      held ? ProblemOf(call, Outcome::kUnknown, claim.m_reason, kRetryAfterHeld)
-           : ProblemOf(call, Outcome::kRefused, "claim_table_unavailable",
-                       kRetryAfterTable);
+      held ? MakeProblem(call, Outcome::kUnknown, claim.m_reason,
+                         kRetryAfterHeld)
+           : MakeProblem(call, Outcome::kRefused, "claim_table_unavailable",
+                         kRetryAfterTableFailure);
   if (held)
     problem.m_status = kConflictStatus;
   co_await writer.Send(front::ToResponse(problem));
@@ -205,8 +209,8 @@
       co_return verdict;
     if (end == RoundEnd::kTurnedAway)
       ++turned_away;
-    const bool room_to_come = router.FoundFull();
-    if (!room_to_come || turned_away >= kMaxRoundsTurnedAway ||
+    const bool capacity_expected = router.FoundFull();
+    if (!capacity_expected || turned_away >= kMaxRoundsTurnedAway ||
         Now() + pause >= call.deadline()) {
       verdict.m_outcome =
           decide::OutcomeToTell(Outcome::kRefused, verdict.m_in_doubt);
@@ -214,7 +218,7 @@
       co_return verdict;
     }
     co_await Sleep(pause);
-    pause = std::min<Duration>(pause * 2, kLongestPause);
+    pause = std::min<Duration>(pause * 2, kMaxFullPause);
   }
 }
 
@@ -226,11 +230,11 @@
     wire::ResponseWriter& writer) {
   PoolRouter& router = m_routers.Get(call.pool());
   std::set<std::string> tried;
-  RoundEnd nowhere = RoundEnd::kFull;
+  RoundEnd end_without_target = RoundEnd::kFull;
   while (true) {
     auto placement = router.Place(call, tried, Now() - started);
     if (!placement)
-      co_return nowhere;
+      co_return end_without_target;
     tried.insert(placement->m_target);
     decide::EndedAttempt ended =
         co_await TryOne(call, std::move(*placement), request, verdict, writer);
@@ -248,12 +252,12 @@
                          .With("retry", decision.m_retry)
                          .With("over_budget", decision.m_over_budget)
                          .With("reason", verdict.m_reason));
-    if (ended.m_turned_away && !IsForRoom(verdict.m_reason))
-      nowhere = RoundEnd::kTurnedAway;
+    if (ended.m_turned_away && !IsForCapacity(verdict.m_reason))
+      end_without_target = RoundEnd::kTurnedAway;
     if (decision.m_retry && !m_quarantine.IsSetAside(call.fingerprint()))
       continue;
     if (ended.m_turned_away)
-      co_return nowhere;
+      co_return end_without_target;
     if (verdict.m_outcome == Outcome::kRefused)
       verdict.m_retry_after = kRetryAfterNoTarget;
     co_return RoundEnd::kDone;
@@ -324,7 +328,8 @@
     settled = co_await m_claims.Record(call, writer, std::move(answer));
   }
   if (!settled) {
-    // Until it is, a repeated call is told "held"; it never runs.
+    // Until the claim is settled, a call with the same key is answered "held"
+    // and doesn't run.
     m_journal.Record(call.id(), LogLine("claim_not_settled_yet"));
   }
 }
@@ -342,8 +347,8 @@
                        .With("call", call.instance()));
   const AttemptReport& last = verdict.m_last;
   if (last.m_answer_begun) {
-    // A stream that broke is left without its end, so that the caller can't
-    // take it for whole.
+    // The terminator of the chunked encoding is not sent for a stream that was
+    // cut short, so that the caller can't take the stream for complete.
     if (verdict.m_outcome == Outcome::kCompleted) {
       wire::Headers trailers;
       trailers[peer::kOutcome] = ToString(verdict.m_outcome);
@@ -357,8 +362,8 @@
     co_await writer.Send(std::move(answer));
     co_return;
   }
-  front::Problem problem = ProblemOf(call, verdict.m_outcome, verdict.m_reason,
-                                     verdict.m_retry_after);
+  front::Problem problem = MakeProblem(call, verdict.m_outcome,
+                                       verdict.m_reason, verdict.m_retry_after);
   problem.m_target = verdict.m_target;
   problem.m_version = last.m_version;
   problem.m_attempts = verdict.m_attempts;
--- a/src/libverbenalead/daemon/target_daemon.cc
+++ b/src/libverbenalead/daemon/target_daemon.cc
@@ -32,7 +32,7 @@
 
 constexpr Duration kHostListInterval = 1s;
 constexpr Duration kHealthInterval = 250ms;
-constexpr Duration kForgetInterval = 10s;
+constexpr Duration kAttemptCleanupInterval = 10s;
 constexpr Duration kStopPoll = 20ms;
 constexpr char kAttemptPath[] = "/v1/attempt";
 constexpr char kServiceHealthPath[] = "/healthz";
@@ -48,7 +48,8 @@
   return static_cast<uint64_t>(settings.Integer(key));
 }
 
-/// Live requests use the same links, so chunks get a part of them.
+/// The part of a link's rate that chunk transfers may use. The rest is left for
+/// live requests, which use the same links.
 uint64_t TransferShare(const Settings& settings, const char* key) {
   return Bytes(settings, key) * Bytes(settings, "transfer.share_percent") / 100;
 }
@@ -129,7 +130,7 @@
         m_signals(m_threads.main(), SIGTERM, SIGINT),
         m_hangup(m_threads.main(), SIGHUP) {}
 
-  /// Counts and times attempts.
+  /// Wraps `handler` so that the duration of attempts is measured.
   wire::Handler Measured(wire::Handler handler) {
     return [this, handler = std::move(handler)](
                const wire::Request& request,
@@ -214,10 +215,10 @@
   }
 
   void StartLeaving(const char* reason) {
-    const bool news = m_gate.With([](decide::GateState& gate) {
+    const bool changed = m_gate.With([](decide::GateState& gate) {
       return !std::exchange(gate.m_leaving, true);
     });
-    if (news)
+    if (changed)
       LogLine("leaving").With("reason", reason).Info();
   }
 
@@ -228,7 +229,8 @@
     }
   }
 
-  /// A plain service has no versions: its gate is open while it is healthy.
+  /// Opens the gate while the service is healthy, and closes it otherwise. A
+  /// plain service has no versions.
   Awaitable<void> FollowService() {
     while (true) {
       wire::Request request;
@@ -247,9 +249,9 @@
     }
   }
 
-  Awaitable<void> ForgetAttempts() {
+  Awaitable<void> RemoveExpiredAttempts() {
     while (true) {
-      co_await Sleep(kForgetInterval);
+      co_await Sleep(kAttemptCleanupInterval);
       m_gate.With([](decide::GateState& gate) {
         decide::Forget(gate, Now());
         return 0;
@@ -260,15 +262,17 @@
   Awaitable<void> StopWhenAsked() {
     co_await m_signals.async_wait(asio::use_awaitable);
     StartLeaving("signal");
-    const TimePoint noticed = Now() + m_settings.Milliseconds("stop.notice");
-    const TimePoint give_up = Now() + m_settings.Milliseconds("stop.grace");
-    while (Now() < give_up && (Now() < noticed || m_attempts.serving() > 0))
+    const TimePoint notice_end = Now() + m_settings.Milliseconds("stop.notice");
+    const TimePoint grace_end = Now() + m_settings.Milliseconds("stop.grace");
+    while (Now() < grace_end &&
+           (Now() < notice_end || m_attempts.serving() > 0))
       co_await Sleep(kStopPoll);
     LogLine("stopped").With("cut_off", m_attempts.serving()).Info();
     m_threads.Stop();
   }
 
-  /// SIGHUP: the peers' key is replaced without a restart.
+  /// On SIGHUP, reloads the key for connections between the processes, so that
+  /// it can be replaced without a restart.
   Awaitable<void> ReloadWhenAsked() {
     while (true) {
       co_await m_hangup.async_wait(asio::use_awaitable);
@@ -338,7 +342,7 @@
   const auto executor = parts.m_threads.main();
   SpawnLoop(executor, parts.FollowHosts(), "follow_hosts");
   SpawnLoop(executor, parts.m_follower.Run(), "follow_config");
-  SpawnLoop(executor, parts.ForgetAttempts(), "forget_attempts");
+  SpawnLoop(executor, parts.RemoveExpiredAttempts(), "forget_attempts");
   SpawnLoop(executor, parts.StopWhenAsked(), "stop_when_asked");
   SpawnLoop(executor, parts.ReloadWhenAsked(), "reload_when_asked");
   if (parts.m_settings.Text("backend.kind") == "engine")
--- a/src/libverbenalead/daemon/version_keeper.cc
+++ b/src/libverbenalead/daemon/version_keeper.cc
@@ -11,15 +11,16 @@
 
 using Kind = decide::RolloutAction::Kind;
 
-constexpr Duration kStep = 20ms;
-/// Between steps that did something: one that fails at once must not spin.
-constexpr Duration kAfterAction = 1ms;
-constexpr Duration kAfterMintFailure = 500ms;
+constexpr Duration kStepInterval = 20ms;
+/// Delay after a step with an action. It prevents a busy loop if the action
+/// fails immediately.
+constexpr Duration kActionDelay = 1ms;
+constexpr Duration kMintRetryDelay = 500ms;
 constexpr Duration kLoadTimeout = std::chrono::minutes(10);
 constexpr Duration kStatusTimeout = 2s;
-constexpr Duration kCheckInterval = 1s;
-constexpr Duration kReconnect = 50ms;
-constexpr Duration kPermitPoll = 200ms;
+constexpr Duration kStatusPollInterval = 1s;
+constexpr Duration kReconnectDelay = 50ms;
+constexpr Duration kPermitPollInterval = 200ms;
 
 std::optional<Digest> DigestOf(
     const AsyncResult<backends::EngineStatus>& status) {
@@ -116,11 +117,11 @@
           return next;
         });
     if (action.m_kind == Kind::kNone) {
-      co_await Sleep(kStep);
+      co_await Sleep(kStepInterval);
       continue;
     }
     co_await Do(std::move(action));
-    co_await Sleep(kAfterAction);
+    co_await Sleep(kActionDelay);
   }
 }
 
@@ -158,8 +159,9 @@
       .With("digest", ToString(digest))
       .Info();
   // Named, not a temporary: see "Coroutines and GCC 12" in CONTRIBUTING.md.
-  // A doubt about the engine goes before the transfer: asking it takes a moment
-  // and may open the gate, and the chunks that have come are kept.
+  // The transfer stops when the engine's state has to be queried again. The
+  // query is short and may open the gate, and the chunks received so far are
+  // kept.
   std::function<bool()> still_wanted = [this, digest] {
     return Plan().m_digest == digest &&
            With([](decide::RolloutState& state, decide::GateState& gate) {
@@ -173,14 +175,14 @@
         decide::Fetched(state, digest);
       });
     } else if (Plan().m_digest != digest) {
-      // Declared anew in mid-transfer: another identity, so what has come of
-      // the old one must not be served or mixed in.
+      // Another version was declared during the transfer. Chunks of the old one
+      // must not be served, nor mixed with those of the new one.
       LogLine("transfer_cancelled").With("version", version->m_name).Info();
       DropUnwanted(digest);
     }
     co_return;
   }
-  // The version before is kept for a rollback only while there is room.
+  // The previous version is kept for a rollback only while memory suffices.
   if (fetched.error().m_code == FailureCode::kRefused &&
       DropOthers(digest, digest))
     co_return;
@@ -226,7 +228,7 @@
       decide::Deposed(state, gate);
     });
   }
-  co_await Sleep(kAfterMintFailure);
+  co_await Sleep(kMintRetryDelay);
 }
 
 Awaitable<void> VersionKeeper::Order(Digest digest, uint64_t fence) {
@@ -283,7 +285,7 @@
       co_await RenewPermit();
     if (!ordered.empty() && ordered != Plan().m_digest)
       DropUnwanted(ordered);
-    co_await Sleep(kPermitPoll);
+    co_await Sleep(kPermitPollInterval);
   }
 }
 
@@ -323,7 +325,7 @@
 
 Awaitable<void> VersionKeeper::PollEngine() {
   while (true) {
-    co_await Sleep(kCheckInterval);
+    co_await Sleep(kStatusPollInterval);
     co_await LookAtEngine();
   }
 }
@@ -332,7 +334,7 @@
   while (true) {
     co_await m_engine.WaitWhileConnected();
     co_await LookAtEngine();
-    co_await Sleep(kReconnect);
+    co_await Sleep(kReconnectDelay);
   }
 }
 
--- a/src/libverbenalead/daemon/weights_store_test.cc
+++ b/src/libverbenalead/daemon/weights_store_test.cc
@@ -22,13 +22,13 @@
 
 class WeightsStoreTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(WeightsStoreTest);
-  CPPUNIT_TEST(RefusesWhatDoesNotFit);
+  CPPUNIT_TEST(RefusesVersionOverMemoryLimit);
   CPPUNIT_TEST(KeepsOnlyVerifiedChunks);
-  CPPUNIT_TEST(NewsSurvivesAnyCut);
+  CPPUNIT_TEST(ParsesUpdatesSplitAtAnyOffset);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void RefusesWhatDoesNotFit() {
+  void RefusesVersionOverMemoryLimit() {
     WeightsStore store(kBytes.size() - 1);
     const auto begun =
         CatchFailure([&] { return store.Begin(MakeManifest(), "{}"); });
@@ -57,8 +57,9 @@
     CPPUNIT_ASSERT(store.Arrivals(whole, 2).empty());
   }
 
-  // A host learns the same of its neighbour however the stream is cut up.
-  void NewsSurvivesAnyCut() {
+  // A stream of held chunks is parsed to the same result however it is split
+  // into pieces.
+  void ParsesUpdatesSplitAtAnyOffset() {
     std::string body = "\x05";
     body += '\x02';
     AppendNumber(body, 7);
