--- a/src/libverbenalead/base/catch_failure.h
+++ b/src/libverbenalead/base/catch_failure.h
@@ -24,20 +24,20 @@
 template <typename Function>
 auto CatchFailure(Function&& function) {
   using Value = typename internal::ResultValue<decltype(function())>::type;
-  using Carried = AsyncResult<Value>;
+  using Converted = AsyncResult<Value>;
   return boost::leaf::try_handle_all(
-      [&]() -> Result<Carried> {
+      [&]() -> Result<Converted> {
         auto result = function();
         if (!result)
           return result.error();
         if constexpr (std::is_void_v<Value>)
-          return Carried();
+          return Converted();
         else
-          return Carried(std::move(result.value()));
+          return Converted(std::move(result.value()));
       },
-      [](const Failure& failure) { return Carried(failure); },
+      [](const Failure& failure) { return Converted(failure); },
       [] {
-        return Carried(
+        return Converted(
             Failure{FailureCode::kInvalid, "unknown", "", "no detail"});
       });
 }
--- a/src/libverbenalead/base/deflate.cc
+++ b/src/libverbenalead/base/deflate.cc
@@ -10,7 +10,7 @@
 /// Negative: a raw stream, without the header and checksum of zlib.
 constexpr int kWindowBits = -15;
 constexpr int kMemoryLevel = 8;
-constexpr size_t kPiece = 65536;
+constexpr size_t kOutputBlockBytes = 65536;
 
 Bytef* Input(std::string_view bytes) {
   // zlib doesn't change its input, though it doesn't say so.
@@ -19,9 +19,9 @@
 
 /// Makes room for the next piece of output.
 void Grow(z_stream& stream, std::string& out) {
-  out.resize(stream.total_out + kPiece);
+  out.resize(stream.total_out + kOutputBlockBytes);
   stream.next_out = reinterpret_cast<Bytef*>(out.data() + stream.total_out);
-  stream.avail_out = kPiece;
+  stream.avail_out = kOutputBlockBytes;
 }
 
 }  // namespace
@@ -41,25 +41,25 @@
   return out;
 }
 
-Result<std::string> Inflate(std::string_view bytes, size_t most) {
+Result<std::string> Inflate(std::string_view bytes, size_t max_bytes) {
   constexpr char kStep[] = "inflate";
   z_stream stream{};
   inflateInit2(&stream, kWindowBits);
   stream.next_in = Input(bytes);
   stream.avail_in = static_cast<uInt>(bytes.size());
   std::string out;
-  int state = Z_OK;
-  while (state == Z_OK && stream.total_out <= most) {
+  int status = Z_OK;
+  while (status == Z_OK && stream.total_out <= max_bytes) {
     Grow(stream, out);
-    state = inflate(&stream, Z_SYNC_FLUSH);
+    status = inflate(&stream, Z_SYNC_FLUSH);
   }
   out.resize(stream.total_out);
   inflateEnd(&stream);
-  if (out.size() > most) {
+  if (out.size() > max_bytes) {
     return boost::leaf::new_error(
         Failure{FailureCode::kInvalid, kStep, "", "longer than allowed"});
   }
-  if (state != Z_STREAM_END) {
+  if (status != Z_STREAM_END) {
     return boost::leaf::new_error(
         Failure{FailureCode::kCorrupt, kStep, "", "no whole stream"});
   }
--- a/src/libverbenalead/base/deflate.h
+++ b/src/libverbenalead/base/deflate.h
@@ -13,7 +13,7 @@
 
 /// What Deflate compressed. Fails with kCorrupt where `bytes` is no whole
 /// deflate stream, with kInvalid where it is longer than `most` bytes.
-Result<std::string> Inflate(std::string_view bytes, size_t most);
+Result<std::string> Inflate(std::string_view bytes, size_t max_bytes);
 
 }  // namespace verbenalead
 
--- a/src/libverbenalead/base/deflate_test.cc
+++ b/src/libverbenalead/base/deflate_test.cc
@@ -10,11 +10,11 @@
 namespace verbenalead {
 namespace {
 
-constexpr size_t kMost = 1 << 20;
+constexpr size_t kMaxBytes = 1 << 20;
 
-std::optional<std::string> Inflated(std::string_view bytes,
-                                    size_t most = kMost) {
-  auto text = CatchFailure([&] { return Inflate(bytes, most); });
+std::optional<std::string> TryInflate(std::string_view bytes,
+                                      size_t max_bytes = kMaxBytes) {
+  auto text = CatchFailure([&] { return Inflate(bytes, max_bytes); });
   if (!text)
     return std::nullopt;
   return *text;
@@ -22,25 +22,25 @@
 
 class DeflateTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(DeflateTest);
-  CPPUNIT_TEST(GivesBackWhatItCompressed);
-  CPPUNIT_TEST(RowsBecomeMuchSmaller);
-  CPPUNIT_TEST(AStreamThatIsCutOrWrongIsRefused);
-  CPPUNIT_TEST(AStreamThatGrowsTooLongIsRefused);
+  CPPUNIT_TEST(RoundTrips);
+  CPPUNIT_TEST(CompressesRowsToLessThanAFifth);
+  CPPUNIT_TEST(RejectsTruncatedOrCorruptStream);
+  CPPUNIT_TEST(RejectsOutputOverLimit);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void GivesBackWhatItCompressed() {
-    const bool held = rc::check("both ways", [](const std::string& bytes) {
-      RC_ASSERT(Inflated(Deflate(bytes)) == bytes);
+  void RoundTrips() {
+    const bool passed = rc::check("both ways", [](const std::string& bytes) {
+      RC_ASSERT(TryInflate(Deflate(bytes)) == bytes);
     });
-    CPPUNIT_ASSERT(held);
+    CPPUNIT_ASSERT(passed);
     std::string large;
     for (int i = 0; i < 50000; ++i)
       large += std::to_string(i * 2654435761u);
-    CPPUNIT_ASSERT(Inflated(Deflate(large)) == large);
+    CPPUNIT_ASSERT(TryInflate(Deflate(large)) == large);
   }
 
-  void RowsBecomeMuchSmaller() {
+  void CompressesRowsToLessThanAFifth() {
     std::string rows;
     for (int i = 0; i < 3000; ++i)
       rows += R"({"service":"pool","address":"10.0.0.)" + std::to_string(i) +
@@ -50,19 +50,19 @@
 
   // A neighbour would take half a table for a whole one: the bytes were cut or
   // spoilt on the way.
-  void AStreamThatIsCutOrWrongIsRefused() {
+  void RejectsTruncatedOrCorruptStream() {
     const std::string whole = Deflate(std::string(5000, 'a') + "b");
-    CPPUNIT_ASSERT(!Inflated(whole.substr(0, whole.size() / 2)));
-    CPPUNIT_ASSERT(!Inflated(""));
-    const bool held = rc::check(
-        "any bytes", [](const std::string& bytes) { Inflated(bytes); });
-    CPPUNIT_ASSERT(held);
+    CPPUNIT_ASSERT(!TryInflate(whole.substr(0, whole.size() / 2)));
+    CPPUNIT_ASSERT(!TryInflate(""));
+    const bool passed = rc::check(
+        "any bytes", [](const std::string& bytes) { TryInflate(bytes); });
+    CPPUNIT_ASSERT(passed);
   }
 
-  void AStreamThatGrowsTooLongIsRefused() {
-    const std::string small = Deflate(std::string(kMost, 'a'));
-    CPPUNIT_ASSERT(Inflated(small));
-    CPPUNIT_ASSERT(!Inflated(small, kMost - 1));
+  void RejectsOutputOverLimit() {
+    const std::string small = Deflate(std::string(kMaxBytes, 'a'));
+    CPPUNIT_ASSERT(TryInflate(small));
+    CPPUNIT_ASSERT(!TryInflate(small, kMaxBytes - 1));
   }
 };
 
--- a/src/libverbenalead/base/digest.cc
+++ b/src/libverbenalead/base/digest.cc
@@ -15,10 +15,10 @@
 
 Result<Digest> ParseDigest(std::string_view hex) {
   std::array<uint8_t, Digest::kBytes> bytes{};
-  const bool good =
+  const bool valid =
       hex.size() == 2 * Digest::kBytes &&
       hex.find_first_not_of("0123456789abcdef") == std::string_view::npos;
-  if (!good) {
+  if (!valid) {
     return boost::leaf::new_error(
         Failure{FailureCode::kInvalid, "parse digest", "",
                 "a digest is 64 lower-case hexadecimal characters"});
--- a/src/libverbenalead/base/digest_test.cc
+++ b/src/libverbenalead/base/digest_test.cc
@@ -12,8 +12,8 @@
 class DigestTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(DigestTest);
   CPPUNIT_TEST(KnownAnswer);
-  CPPUNIT_TEST(PiecesHashLikeTheWhole);
-  CPPUNIT_TEST(RefusesOtherTexts);
+  CPPUNIT_TEST(IncrementalHashMatchesWhole);
+  CPPUNIT_TEST(RejectsMalformedDigests);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -24,7 +24,7 @@
                          ToString(Sha256("abc")));
   }
 
-  void PiecesHashLikeTheWhole() {
+  void IncrementalHashMatchesWhole() {
     CPPUNIT_ASSERT(rc::check(
         "pieces", [](const std::string& first, const std::string& second) {
           Sha256Hasher hasher;
@@ -38,10 +38,11 @@
         }));
   }
 
-  void RefusesOtherTexts() {
-    const std::string good = ToString(Sha256(""));
-    for (const std::string& text : {std::string(), good.substr(1), good + "0",
-                                    "G" + good.substr(1), "A" + good.substr(1)})
+  void RejectsMalformedDigests() {
+    const std::string valid_digest = ToString(Sha256(""));
+    for (const std::string& text :
+         {std::string(), valid_digest.substr(1), valid_digest + "0",
+          "G" + valid_digest.substr(1), "A" + valid_digest.substr(1)})
       CPPUNIT_ASSERT(!CatchFailure([&] { return ParseDigest(text); }));
   }
 };
--- a/src/libverbenalead/base/endpoint_test.cc
+++ b/src/libverbenalead/base/endpoint_test.cc
@@ -13,12 +13,12 @@
 
 class EndpointTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(EndpointTest);
-  CPPUNIT_TEST(ReadsWhatItWrites);
-  CPPUNIT_TEST(RefusesNamesAndNonsense);
+  CPPUNIT_TEST(RoundTrips);
+  CPPUNIT_TEST(RejectsHostNamesAndMalformedText);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void ReadsWhatItWrites() {
+  void RoundTrips() {
     for (const Endpoint& endpoint :
          {Endpoint("10.0.0.3", 7001), Endpoint("::1", 65535)}) {
       const auto parsed = Parse(ToString(endpoint));
@@ -27,7 +27,7 @@
     }
   }
 
-  void RefusesNamesAndNonsense() {
+  void RejectsHostNamesAndMalformedText() {
     for (const char* text : {"", "10.0.0.3", "localhost:80", "10.0.0.3:",
                              "10.0.0.3:65536", "10.0.0.3:8x", ":80"})
       CPPUNIT_ASSERT_MESSAGE(text, !Parse(text).has_value());
--- a/src/libverbenalead/base/loop_lag_test.cc
+++ b/src/libverbenalead/base/loop_lag_test.cc
@@ -7,12 +7,12 @@
 
 class LoopLagTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(LoopLagTest);
-  CPPUNIT_TEST(TheWorstIsRememberedForAWhile);
-  CPPUNIT_TEST(ATimerThatIsEarlyIsNoLag);
+  CPPUNIT_TEST(WorstLagExpires);
+  CPPUNIT_TEST(EarlyTimerCountsAsNoLag);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void TheWorstIsRememberedForAWhile() {
+  void WorstLagExpires() {
     const TimePoint start{100s};
     LoopLag lag;
     NoteLag(lag, 300ms, start);
@@ -23,7 +23,7 @@
     CPPUNIT_ASSERT(WorstLag(lag, start + kLagRemembered) == Duration(2ms));
   }
 
-  void ATimerThatIsEarlyIsNoLag() {
+  void EarlyTimerCountsAsNoLag() {
     LoopLag lag;
     NoteLag(lag, -1ms, TimePoint{100s});
     CPPUNIT_ASSERT(WorstLag(lag, TimePoint{100s}) == Duration());
--- a/src/libverbenalead/base/metrics_test.cc
+++ b/src/libverbenalead/base/metrics_test.cc
@@ -7,7 +7,7 @@
 namespace verbenalead {
 namespace {
 
-bool Holds(const std::string& text, const std::string& line) {
+bool HasLine(const std::string& text, const std::string& line) {
   return text.find(line + "\n") != std::string::npos;
 }
 
@@ -26,12 +26,12 @@
     for (int i = 1; i <= 100; ++i)
       metrics.Observe("call_seconds", "", i);
     const std::string text = metrics.Text();
-    CPPUNIT_ASSERT(Holds(text, "# TYPE verbenalead_calls_total counter"));
+    CPPUNIT_ASSERT(HasLine(text, "# TYPE verbenalead_calls_total counter"));
     CPPUNIT_ASSERT(
-        Holds(text, "verbenalead_calls_total{outcome=\"refused\"} 2"));
-    CPPUNIT_ASSERT(Holds(text, "verbenalead_revision 7"));
-    CPPUNIT_ASSERT(Holds(text, "verbenalead_call_seconds_sum 5050"));
-    CPPUNIT_ASSERT(Holds(text, "verbenalead_call_seconds_count 100"));
+        HasLine(text, "verbenalead_calls_total{outcome=\"refused\"} 2"));
+    CPPUNIT_ASSERT(HasLine(text, "verbenalead_revision 7"));
+    CPPUNIT_ASSERT(HasLine(text, "verbenalead_call_seconds_sum 5050"));
+    CPPUNIT_ASSERT(HasLine(text, "verbenalead_call_seconds_count 100"));
   }
 
   void CountsFromSeveralThreads() {
@@ -45,7 +45,7 @@
     }
     for (std::thread& thread : threads)
       thread.join();
-    CPPUNIT_ASSERT(Holds(metrics.Text(), "verbenalead_n 4000"));
+    CPPUNIT_ASSERT(HasLine(metrics.Text(), "verbenalead_n 4000"));
   }
 };
 
--- a/src/libverbenalead/base/secret.cc
+++ b/src/libverbenalead/base/secret.cc
@@ -12,7 +12,7 @@
 namespace verbenalead {
 namespace {
 
-constexpr size_t kShortest = 16;
+constexpr size_t kMinSecretLength = 16;
 constexpr char kHexDigits[] = "0123456789abcdef";
 
 }  // namespace
@@ -42,7 +42,7 @@
   for (std::string line; std::getline(file, line);) {
     if (line.empty())
       continue;
-    if (line.size() < kShortest) {
+    if (line.size() < kMinSecretLength) {
       return Failure{FailureCode::kInvalid, "read secrets", path,
                      "a line is shorter than 16 characters"};
     }
--- a/src/libverbenalead/base/settings_schema.cc
+++ b/src/libverbenalead/base/settings_schema.cc
@@ -85,64 +85,64 @@
 
 Result<SettingValue> CheckText(const SettingKey& key,
                                const json::value& value,
-                               const std::string& shown) {
+                               const std::string& json_text) {
   if (!value.is_string())
-    return BadSetting(key.m_path, shown, Allowed(key));
+    return BadSetting(key.m_path, json_text, Allowed(key));
   std::string text(value.get_string());
   if (!key.m_choices.empty() &&
       std::find(key.m_choices.begin(), key.m_choices.end(), text) ==
           key.m_choices.end())
-    return BadSetting(key.m_path, shown, Allowed(key));
+    return BadSetting(key.m_path, json_text, Allowed(key));
   if (key.m_type == SettingType::kAddress && !text.empty() && !IsAddress(text))
-    return BadSetting(key.m_path, shown, Allowed(key));
+    return BadSetting(key.m_path, json_text, Allowed(key));
   return SettingValue(std::move(text));
 }
 
 Result<SettingValue> CheckList(const SettingKey& key,
                                const json::value& value,
-                               const std::string& shown) {
+                               const std::string& json_text) {
   if (!value.is_array())
-    return BadSetting(key.m_path, shown, Allowed(key));
+    return BadSetting(key.m_path, json_text, Allowed(key));
   std::vector<std::string> list;
   for (const json::value& element : value.get_array()) {
-    const bool good =
+    const bool valid =
         element.is_string() && (key.m_type != SettingType::kAddressList ||
                                 IsAddress(std::string(element.get_string())));
-    if (!good)
-      return BadSetting(key.m_path, shown, Allowed(key));
+    if (!valid)
+      return BadSetting(key.m_path, json_text, Allowed(key));
     list.emplace_back(element.get_string());
   }
   return SettingValue(std::move(list));
 }
 
 Result<SettingValue> Check(const SettingKey& key, const json::value& value) {
-  const std::string shown = json::serialize(value);
+  const std::string json_text = json::serialize(value);
   switch (key.m_type) {
     case SettingType::kFlag:
       if (!value.is_bool())
-        return BadSetting(key.m_path, shown, Allowed(key));
+        return BadSetting(key.m_path, json_text, Allowed(key));
       return SettingValue(value.get_bool());
     case SettingType::kInteger: {
       if (!value.is_int64() || value.get_int64() < key.m_min ||
           value.get_int64() > key.m_max)
-        return BadSetting(key.m_path, shown, Allowed(key));
+        return BadSetting(key.m_path, json_text, Allowed(key));
       return SettingValue(value.get_int64());
     }
     case SettingType::kNumber:
       if (!value.is_number() || value.to_number<double>() < 0)
-        return BadSetting(key.m_path, shown, Allowed(key));
+        return BadSetting(key.m_path, json_text, Allowed(key));
       return SettingValue(value.to_number<double>());
     case SettingType::kText:
     case SettingType::kAddress:
-      return CheckText(key, value, shown);
+      return CheckText(key, value, json_text);
     case SettingType::kTextList:
     case SettingType::kAddressList:
-      return CheckList(key, value, shown);
+      return CheckList(key, value, json_text);
   }
-  return BadSetting(key.m_path, shown, Allowed(key));
+  return BadSetting(key.m_path, json_text, Allowed(key));
 }
 
-std::string ShowDefault(const SettingKey& key) {
+std::string FormatDefault(const SettingKey& key) {
   if (key.m_required)
     return "(required)";
   if (const bool* flag = std::get_if<bool>(&key.m_default))
@@ -259,8 +259,8 @@
     values[key.m_path] = std::move(value);
     given.erase(found);
   }
-  std::erase_if(given, [&](const auto& left) {
-    return left.second.is_object() && IsGroup(m_keys, left.first);
+  std::erase_if(given, [&](const auto& remaining) {
+    return remaining.second.is_object() && IsGroup(m_keys, remaining.first);
   });
   if (!given.empty())
     return BadSetting(given.begin()->first, "unknown", "a documented key");
@@ -283,7 +283,7 @@
   std::string out;
   for (const SettingKey& key : m_keys) {
     out += fmt::format("{:<32} {:<12} {}; allowed: {}\n", key.m_path,
-                       ShowDefault(key), key.m_help, Allowed(key));
+                       FormatDefault(key), key.m_help, Allowed(key));
   }
   return out;
 }
--- a/src/libverbenalead/base/settings_schema_test.cc
+++ b/src/libverbenalead/base/settings_schema_test.cc
@@ -23,21 +23,21 @@
 }
 
 /// The reason for which `text` is refused; "" if it is taken.
-std::string Refusal(const std::string& text) {
+std::string RejectionReason(const std::string& text) {
   auto settings = Parse(text);
   return settings ? "" : settings.error().m_reason;
 }
 
 class SettingsSchemaTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(SettingsSchemaTest);
-  CPPUNIT_TEST(TakesDefaults);
-  CPPUNIT_TEST(NamesPathValueAndRange);
-  CPPUNIT_TEST(EveryIntegerOutOfRangeIsRefused);
-  CPPUNIT_TEST(AnyTextIsTakenOrRefused);
+  CPPUNIT_TEST(AppliesDefaults);
+  CPPUNIT_TEST(ErrorNamesPathValueAndRange);
+  CPPUNIT_TEST(RejectsIntegersOutOfRange);
+  CPPUNIT_TEST(ArbitraryTextIsAcceptedOrRejected);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void TakesDefaults() {
+  void AppliesDefaults() {
     const auto settings = Parse(R"({"host": "h1", "limits": {"body": 7}})");
     CPPUNIT_ASSERT(settings.has_value());
     CPPUNIT_ASSERT_EQUAL(std::string("h1"), settings->Text("host"));
@@ -46,41 +46,42 @@
     CPPUNIT_ASSERT(settings->Address("listen") == Endpoint("127.0.0.1", 1));
   }
 
-  void NamesPathValueAndRange() {
+  void ErrorNamesPathValueAndRange() {
     CPPUNIT_ASSERT_EQUAL(std::string("host is missing; allowed: text"),
-                         Refusal("{}"));
+                         RejectionReason("{}"));
     CPPUNIT_ASSERT_EQUAL(
         std::string("limits.body is 0; allowed: integer from 1 to 1000 bytes"),
-        Refusal(R"({"host": "h", "limits": {"body": 0}})"));
+        RejectionReason(R"({"host": "h", "limits": {"body": 0}})"));
     CPPUNIT_ASSERT_EQUAL(
         std::string("log.level is \"loud\"; allowed: one of info, warn"),
-        Refusal(R"({"host": "h", "log": {"level": "loud"}})"));
+        RejectionReason(R"({"host": "h", "log": {"level": "loud"}})"));
     CPPUNIT_ASSERT_EQUAL(
         std::string("lisen is unknown; allowed: a documented key"),
-        Refusal(R"({"host": "h", "lisen": "127.0.0.1:1"})"));
+        RejectionReason(R"({"host": "h", "lisen": "127.0.0.1:1"})"));
     CPPUNIT_ASSERT_EQUAL(
         std::string("listen is \"localhost:1\"; allowed: IP:port"),
-        Refusal(R"({"host": "h", "listen": "localhost:1"})"));
+        RejectionReason(R"({"host": "h", "listen": "localhost:1"})"));
     CPPUNIT_ASSERT_EQUAL(std::string("fast is \"yes\"; allowed: true or false"),
-                         Refusal(R"({"host": "h", "fast": "yes"})"));
-    CPPUNIT_ASSERT(!Refusal(R"({"host": "h", "entries": ["x"]})").empty());
+                         RejectionReason(R"({"host": "h", "fast": "yes"})"));
+    CPPUNIT_ASSERT(
+        !RejectionReason(R"({"host": "h", "entries": ["x"]})").empty());
     // An empty group is harmless; one that nobody knows is a misspelt one.
     CPPUNIT_ASSERT_EQUAL(std::string(),
-                         Refusal(R"({"host": "h", "limits": {}})"));
+                         RejectionReason(R"({"host": "h", "limits": {}})"));
     CPPUNIT_ASSERT_EQUAL(
         std::string("limts is unknown; allowed: a documented key"),
-        Refusal(R"({"host": "h", "limts": {}})"));
+        RejectionReason(R"({"host": "h", "limts": {}})"));
   }
 
-  void EveryIntegerOutOfRangeIsRefused() {
+  void RejectsIntegersOutOfRange() {
     CPPUNIT_ASSERT(rc::check("range", [](int64_t value) {
       const std::string text =
           R"({"host": "h", "limits": {"body": )" + std::to_string(value) + "}}";
-      RC_ASSERT(Refusal(text).empty() == (value >= 1 && value <= 1000));
+      RC_ASSERT(RejectionReason(text).empty() == (value >= 1 && value <= 1000));
     }));
   }
 
-  void AnyTextIsTakenOrRefused() {
+  void ArbitraryTextIsAcceptedOrRejected() {
     CPPUNIT_ASSERT(rc::check("any text", [](const std::string& text) {
       const auto settings = Parse(text);
       RC_ASSERT(settings.has_value() || !settings.error().m_reason.empty());
--- a/src/libverbenalead/base/spawn.cc
+++ b/src/libverbenalead/base/spawn.cc
@@ -10,7 +10,7 @@
 namespace {
 
 /// What `error` says of itself; "" for none.
-std::string TextOf(const std::exception_ptr& error) {
+std::string ErrorMessage(const std::exception_ptr& error) {
   if (!error)
     return "";
   try {
@@ -22,10 +22,10 @@
   }
 }
 
-void LogEnd(const char* name, const std::exception_ptr& error) {
+void LogFailure(const char* name, const std::exception_ptr& error) {
   LogLine("task_failed")
       .With("task", name)
-      .With("reason", TextOf(error))
+      .With("reason", ErrorMessage(error))
       .Error();
 }
 
@@ -37,7 +37,7 @@
   boost::asio::co_spawn(executor, std::move(task),
                         [name](const std::exception_ptr& error) {
                           if (error)
-                            LogEnd(name, error);
+                            LogFailure(name, error);
                         });
 }
 
@@ -48,7 +48,7 @@
                         [name](const std::exception_ptr& error) {
                           if (!error)
                             return;
-                          LogEnd(name, error);
+                          LogFailure(name, error);
                           std::terminate();
                         });
 }
--- a/src/libverbenalead/base/spawn_test.cc
+++ b/src/libverbenalead/base/spawn_test.cc
@@ -12,7 +12,7 @@
   co_return;
 }
 
-Awaitable<void> Note(bool& done) {
+Awaitable<void> SetDone(bool& done) {
   done = true;
   co_return;
 }
@@ -28,7 +28,7 @@
     boost::asio::io_context context;
     bool done = false;
     Spawn(context.get_executor(), Throw(), "throw");
-    Spawn(context.get_executor(), Note(done), "note");
+    Spawn(context.get_executor(), SetDone(done), "note");
     context.run();
     CPPUNIT_ASSERT(done);
   }
--- a/src/libverbenalead/model/host_test.cc
+++ b/src/libverbenalead/model/host_test.cc
@@ -16,8 +16,8 @@
 class HostTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(HostTest);
   CPPUNIT_TEST(ReadsServiceDiscovery);
-  CPPUNIT_TEST(RefusesOtherShapes);
-  CPPUNIT_TEST(AnyTextIsTakenOrRefused);
+  CPPUNIT_TEST(RejectsMalformedLists);
+  CPPUNIT_TEST(ArbitraryTextIsAcceptedOrRejected);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -27,18 +27,18 @@
              "role": "target", "region": "mtl", "pool": "p",
              "state": "leaving"}}])");
     CPPUNIT_ASSERT(hosts.has_value());
-    const Host wanted = HostBuilder()
-                            .Name("t1")
-                            .Role(HostRole::kTarget)
-                            .Region("mtl")
-                            .Pool("p")
-                            .Peer(Endpoint("10.0.0.1", 7))
-                            .Leaving(true)
-                            .Build();
-    CPPUNIT_ASSERT(*hosts == std::vector<Host>{wanted});
+    const Host expected = HostBuilder()
+                              .Name("t1")
+                              .Role(HostRole::kTarget)
+                              .Region("mtl")
+                              .Pool("p")
+                              .Peer(Endpoint("10.0.0.1", 7))
+                              .Leaving(true)
+                              .Build();
+    CPPUNIT_ASSERT(*hosts == std::vector<Host>{expected});
   }
 
-  void RefusesOtherShapes() {
+  void RejectsMalformedLists() {
     for (const char* text :
          {"", "{}", "[1]", R"([{"targets": ["10.0.0.1:7"]}])",
           R"([{"targets": [7], "labels": {}}])",
@@ -46,7 +46,7 @@
       CPPUNIT_ASSERT_MESSAGE(text, !Parse(text).has_value());
   }
 
-  void AnyTextIsTakenOrRefused() {
+  void ArbitraryTextIsAcceptedOrRejected() {
     CPPUNIT_ASSERT(rc::check("any text", [](const std::string& text) {
       const auto hosts = Parse(text);
       RC_ASSERT(hosts.has_value() || !hosts.error().m_reason.empty());
--- a/src/libverbenalead/model/manifest_builder.cc
+++ b/src/libverbenalead/model/manifest_builder.cc
@@ -25,9 +25,9 @@
 Result<Manifest> ManifestBuilder::Build() const {
   const uint64_t size = m_manifest.m_size;
   const uint64_t chunk = m_manifest.m_chunk_size;
-  const bool good = size > 0 && chunk > 0 &&
-                    m_manifest.m_chunks.size() == (size - 1) / chunk + 1;
-  if (!good) {
+  const bool valid = size > 0 && chunk > 0 &&
+                     m_manifest.m_chunks.size() == (size - 1) / chunk + 1;
+  if (!valid) {
     return boost::leaf::new_error(
         Failure{FailureCode::kInvalid, "check manifest", "",
                 "size, chunk_size and the number of chunks disagree"});
--- a/src/libverbenalead/model/manifest_test.cc
+++ b/src/libverbenalead/model/manifest_test.cc
@@ -15,13 +15,13 @@
 
 class ManifestTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ManifestTest);
-  CPPUNIT_TEST(ReadsWhatItWrites);
-  CPPUNIT_TEST(RefusesWrongNumberOfChunks);
-  CPPUNIT_TEST(ACutDocumentIsRefused);
+  CPPUNIT_TEST(RoundTrips);
+  CPPUNIT_TEST(RejectsWrongChunkCount);
+  CPPUNIT_TEST(RejectsTruncatedDocument);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void ReadsWhatItWrites() {
+  void RoundTrips() {
     CPPUNIT_ASSERT(rc::check("round trip", [] {
       const auto size = *rc::gen::inRange<uint64_t>(1, 5000);
       const auto chunk = *rc::gen::inRange<uint64_t>(1, 600);
@@ -40,7 +40,7 @@
     }));
   }
 
-  void RefusesWrongNumberOfChunks() {
+  void RejectsWrongChunkCount() {
     ManifestBuilder builder;
     builder.Whole(Sha256("w")).Size(10).ChunkSize(5).Chunk(Sha256("a"));
     CPPUNIT_ASSERT(!CatchFailure([&] { return builder.Build(); }));
@@ -51,7 +51,7 @@
   }
 
   // A manifest that lost its end in transfer must not pass for a shorter one.
-  void ACutDocumentIsRefused() {
+  void RejectsTruncatedDocument() {
     ManifestBuilder builder;
     builder.Whole(Sha256("w")).Size(10).ChunkSize(5);
     builder.Chunk(Sha256("a")).Chunk(Sha256("b"));
--- a/src/libverbenalead/model/target_report.cc
+++ b/src/libverbenalead/model/target_report.cc
@@ -31,7 +31,8 @@
 
 namespace {
 
-Result<uint32_t> SmallNumber(const json::object& object, const char* name) {
+Result<uint32_t> Uint32FieldOrZero(const json::object& object,
+                                   const char* name) {
   BOOST_LEAF_AUTO(number, NumberFieldOr(object, name, 0));
   return static_cast<uint32_t>(number);
 }
@@ -40,8 +41,10 @@
   BOOST_LEAF_ASSIGN(report.m_stage, TextFieldOr(object, "stage", ""));
   BOOST_LEAF_ASSIGN(report.m_reason, TextFieldOr(object, "reason", ""));
   BOOST_LEAF_ASSIGN(report.m_loading, TextFieldOr(object, "loading", ""));
-  BOOST_LEAF_ASSIGN(report.m_chunks_held, SmallNumber(object, "chunks_held"));
-  BOOST_LEAF_ASSIGN(report.m_chunks_total, SmallNumber(object, "chunks_total"));
+  BOOST_LEAF_ASSIGN(report.m_chunks_held,
+                    Uint32FieldOrZero(object, "chunks_held"));
+  BOOST_LEAF_ASSIGN(report.m_chunks_total,
+                    Uint32FieldOrZero(object, "chunks_total"));
   BOOST_LEAF_ASSIGN(report.m_origin_bytes,
                     NumberFieldOr(object, "origin_bytes", 0));
   BOOST_LEAF_ASSIGN(report.m_peer_bytes,
@@ -59,8 +62,8 @@
   BOOST_LEAF_AUTO(peer, TextField(object, "peer"));
   BOOST_LEAF_ASSIGN(report.m_peer, ParseEndpoint(peer));
   BOOST_LEAF_ASSIGN(report.m_incarnation, NumberField(object, "incarnation"));
-  BOOST_LEAF_ASSIGN(report.m_capacity, SmallNumber(object, "capacity"));
-  BOOST_LEAF_ASSIGN(report.m_running, SmallNumber(object, "running"));
+  BOOST_LEAF_ASSIGN(report.m_capacity, Uint32FieldOrZero(object, "capacity"));
+  BOOST_LEAF_ASSIGN(report.m_running, Uint32FieldOrZero(object, "running"));
   BOOST_LEAF_ASSIGN(report.m_open, FlagFieldOr(object, "open", false));
   BOOST_LEAF_ASSIGN(report.m_leaving, FlagFieldOr(object, "leaving", false));
   BOOST_LEAF_AUTO(digest, TextField(object, "digest"));
--- a/src/libverbenalead/wire/scripted_client.h
+++ b/src/libverbenalead/wire/scripted_client.h
@@ -67,8 +67,8 @@
     Awaitable<AsyncResult<ResponseHead>> ReadHead(TimePoint deadline) override {
       m_client.m_head_deadlines.push_back(deadline);
       const auto silence = m_answer.m_head_silence;
-      if (const auto ended = co_await WaitInSilence(silence, deadline))
-        co_return Failure{*ended, "read head", "replica", "silent"};
+      if (const auto failure_code = co_await WaitInSilence(silence, deadline))
+        co_return Failure{*failure_code, "read head", "replica", "silent"};
       if (m_answer.m_failure)
         co_return Failure{*m_answer.m_failure, "read head", "replica", "no"};
       co_return m_answer.m_head;
@@ -79,8 +79,8 @@
       const auto found = m_answer.m_silences.find(m_next);
       if (found != m_answer.m_silences.end()) {
         const Duration silence = std::exchange(found->second, Duration());
-        if (const auto ended = co_await WaitInSilence(silence, deadline))
-          co_return Failure{*ended, "read body", "replica", "silent"};
+        if (const auto failure_code = co_await WaitInSilence(silence, deadline))
+          co_return Failure{*failure_code, "read body", "replica", "silent"};
       }
       if (m_cancelled)
         co_return Failure{FailureCode::kCancelled, "read body", "replica", ""};
@@ -103,17 +103,17 @@
     /// Why the wait ended before its time; absent: the silence is over.
     Awaitable<std::optional<FailureCode>> WaitInSilence(Duration silence,
                                                         TimePoint deadline) {
-      const TimePoint over = Now() + silence;
+      const TimePoint silence_end = Now() + silence;
       if (silence > Duration() && !m_cancelled) {
         m_timer.emplace(co_await boost::asio::this_coro::executor,
-                        std::min(over, deadline));
+                        std::min(silence_end, deadline));
         boost::system::error_code ignored;
         co_await m_timer->async_wait(
             boost::asio::redirect_error(boost::asio::use_awaitable, ignored));
       }
       if (m_cancelled)
         co_return FailureCode::kCancelled;
-      if (silence > Duration() && over > deadline)
+      if (silence > Duration() && silence_end > deadline)
         co_return FailureCode::kTimeout;
       co_return std::nullopt;
     }
