--- a/src/libverbenalead/base/base64.cc
+++ b/src/libverbenalead/base/base64.cc
@@ -20,7 +20,7 @@
 
 std::string EncodeBase64(std::string_view bytes) {
   const size_t groups = (bytes.size() + kGroupBytes - 1) / kGroupBytes;
-  // OpenSSL ends the text with a zero byte.
+  // EVP_EncodeBlock appends a terminating zero byte.
   std::string text(groups * kGroupChars + 1, '\0');
   const int size =
       EVP_EncodeBlock(reinterpret_cast<unsigned char*>(text.data()),
--- a/src/libverbenalead/base/base64.h
+++ b/src/libverbenalead/base/base64.h
@@ -8,9 +8,9 @@
 
 namespace verbenalead {
 
-/// Base64 with padding (RFC 4648).
+/// Encodes `bytes` as Base64 with padding (RFC 4648).
 std::string EncodeBase64(std::string_view bytes);
-/// Reads what EncodeBase64 writes. Fails with kInvalid on anything else.
+/// Decodes the output of EncodeBase64. Fails with kInvalid on any other text.
 Result<std::string> DecodeBase64(std::string_view text);
 
 }  // namespace verbenalead
--- a/src/libverbenalead/base/boot_clock.h
+++ b/src/libverbenalead/base/boot_clock.h
@@ -7,9 +7,9 @@
 
 namespace verbenalead {
 
-/// Time since boot, the time for which the host was suspended included. The
-/// steady clock leaves that out: a lease measured by it would still seem to run
-/// on a host that slept past its end.
+/// Returns the time since boot, including time spent suspended. The steady
+/// clock stops while the host is suspended: measured by it, a lease that
+/// expired during the suspension would still appear valid.
 inline Duration BootNow() {
   timespec now{};
   clock_gettime(CLOCK_BOOTTIME, &now);
--- a/src/libverbenalead/base/catch_failure.h
+++ b/src/libverbenalead/base/catch_failure.h
@@ -19,8 +19,10 @@
 
 }  // namespace internal
 
-/// Calls `function`, which returns Result<T>, and carries its Failure over into
-/// an AsyncResult<T>. The bridge from LEAF to coroutines.
+/// Calls `function`, which returns Result<T>, and converts the result,
+/// including a Failure, to an AsyncResult<T>. Coroutines call synchronous
+/// functions through it: LEAF stores errors per thread, so an error would be
+/// lost if the coroutine resumed on another thread.
 template <typename Function>
 auto CatchFailure(Function&& function) {
   using Value = typename internal::ResultValue<decltype(function())>::type;
--- a/src/libverbenalead/base/deflate.cc
+++ b/src/libverbenalead/base/deflate.cc
@@ -5,19 +5,20 @@
 namespace verbenalead {
 namespace {
 
-/// A low level: most of the gain of the highest one for a tenth of its time.
+/// A low compression level: it gives most of the size reduction of the highest
+/// level in a tenth of the time.
 constexpr int kLevel = 3;
-/// Negative: a raw stream, without the header and checksum of zlib.
+/// A negative value selects a raw stream without zlib's header and checksum.
 constexpr int kWindowBits = -15;
 constexpr int kMemoryLevel = 8;
 constexpr size_t kOutputBlockBytes = 65536;
 
 Bytef* Input(std::string_view bytes) {
-  // zlib doesn't change its input, though it doesn't say so.
+  // zlib does not modify its input, although next_in is not const.
   return reinterpret_cast<Bytef*>(const_cast<char*>(bytes.data()));
 }
 
-/// Makes room for the next piece of output.
+/// Extends `out` by one block and points the stream at the new space.
 void Grow(z_stream& stream, std::string& out) {
   out.resize(stream.total_out + kOutputBlockBytes);
   stream.next_out = reinterpret_cast<Bytef*>(out.data() + stream.total_out);
--- a/src/libverbenalead/base/deflate.h
+++ b/src/libverbenalead/base/deflate.h
@@ -8,11 +8,12 @@
 
 namespace verbenalead {
 
-/// `bytes` compressed, as a raw deflate stream (RFC 1951).
+/// Compresses `bytes` to a raw deflate stream (RFC 1951).
 std::string Deflate(std::string_view bytes);
 
-/// What Deflate compressed. Fails with kCorrupt where `bytes` is no whole
-/// deflate stream, with kInvalid where it is longer than `most` bytes.
+/// Decompresses the output of Deflate. Fails with kCorrupt if `bytes` is not a
+/// complete deflate stream, and with kInvalid if the decompressed output is
+/// longer than `max_bytes`.
 Result<std::string> Inflate(std::string_view bytes, size_t max_bytes);
 
 }  // namespace verbenalead
--- a/src/libverbenalead/base/deflate_test.cc
+++ b/src/libverbenalead/base/deflate_test.cc
@@ -48,8 +48,8 @@
     CPPUNIT_ASSERT(Deflate(rows).size() * 5 < rows.size());
   }
 
-  // A neighbour would take half a table for a whole one: the bytes were cut or
-  // spoilt on the way.
+  // Guards against accepting a table that was truncated or corrupted in
+  // transit: the receiver would treat a part of it as the complete table.
   void RejectsTruncatedOrCorruptStream() {
     const std::string whole = Deflate(std::string(5000, 'a') + "b");
     CPPUNIT_ASSERT(!TryInflate(whole.substr(0, whole.size() / 2)));
--- a/src/libverbenalead/base/digest.h
+++ b/src/libverbenalead/base/digest.h
@@ -12,7 +12,8 @@
 
 namespace verbenalead {
 
-/// A SHA-256 digest. The identity of weights is their digest, never a name.
+/// A SHA-256 digest. Weights are identified by their digest, never by a name:
+/// the same name may be declared again with other bytes.
 class Digest {
  public:
   static constexpr size_t kBytes = 32;
@@ -21,7 +22,7 @@
   explicit Digest(const std::array<uint8_t, kBytes>& bytes) : m_bytes(bytes) {}
 
   const std::array<uint8_t, kBytes>& bytes() const { return m_bytes; }
-  /// True for the all-zero digest, which stands for "none".
+  /// Whether this is the all-zero digest, which means "no digest".
   bool empty() const { return *this == Digest(); }
 
   friend auto operator<=>(const Digest&, const Digest&) = default;
@@ -30,13 +31,12 @@
   std::array<uint8_t, kBytes> m_bytes{};
 };
 
-/// Lower-case hexadecimal, 64 characters.
+/// Formats `digest` as 64 lower-case hexadecimal characters.
 std::string ToString(const Digest& digest);
 
-/// Reads what ToString writes. Fails with kInvalid on anything else.
+/// Parses the output of ToString. Fails with kInvalid on any other text.
 Result<Digest> ParseDigest(std::string_view hex);
 
-/// The digest of `bytes`.
 Digest Sha256(std::string_view bytes);
 
 }  // namespace verbenalead
--- a/src/libverbenalead/base/digest_test.cc
+++ b/src/libverbenalead/base/digest_test.cc
@@ -17,7 +17,7 @@
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  /// The example "abc" of FIPS 180-4.
+  /// The "abc" example from FIPS 180-4.
   void KnownAnswer() {
     CPPUNIT_ASSERT_EQUAL(std::string("ba7816bf8f01cfea414140de5dae2223"
                                      "b00361a396177a9cb410ff61f20015ad"),
--- a/src/libverbenalead/base/endpoint.h
+++ b/src/libverbenalead/base/endpoint.h
@@ -10,8 +10,8 @@
 
 namespace verbenalead {
 
-/// An IP number and a port. Hosts reach each other by IP number only, so no
-/// name is ever looked up.
+/// An IP address and a port. Hosts connect to each other by IP address only, so
+/// no host name is ever resolved.
 class Endpoint {
  public:
   Endpoint() = default;
@@ -29,10 +29,10 @@
   uint16_t m_port = 0;
 };
 
-/// "10.0.0.3:7001", or "[::1]:7001" for IPv6.
+/// Formats `endpoint` as "10.0.0.3:7001", or as "[::1]:7001" for IPv6.
 std::string ToString(const Endpoint& endpoint);
 
-/// Reads what ToString writes. Fails with kInvalid on anything else.
+/// Parses the output of ToString. Fails with kInvalid on any other text.
 Result<Endpoint> ParseEndpoint(std::string_view text);
 
 }  // namespace verbenalead
--- a/src/libverbenalead/base/failure.h
+++ b/src/libverbenalead/base/failure.h
@@ -9,26 +9,27 @@
 
 namespace verbenalead {
 
-/// What an operation that failed says of itself: the step that was tried, the
-/// peer it was tried with, and what was found.
-///
-///     return leaf::new_error(Failure{FailureCode::kTimeout, "fetch chunk 7",
-///                                    "10.0.0.3:7001", "no byte for 2 s"});
+/// Why an operation failed. The code determines whether a retry is safe.
 enum class FailureCode {
-  kInvalid,      ///< The input is wrong; trying again won't help.
-  kNotFound,     ///< The named thing does not exist.
-  kConflict,     ///< Somebody else's write came first.
-  kTimeout,      ///< No answer in time: the effect is unknown.
-  kUnreachable,  ///< No connection was made: nothing was sent.
+  kInvalid,      ///< The input is invalid; a retry would fail again.
+  kNotFound,     ///< The requested object does not exist.
+  kConflict,     ///< Another writer's change was committed first.
+  kTimeout,      ///< No response before the deadline: the effect is unknown.
+  kUnreachable,  ///< No connection was established: nothing was sent.
   kBroken,       ///< The connection broke midway: the effect is unknown.
-  kRefused,      ///< The peer answered that it did nothing.
-  kCorrupt,      ///< The bytes are not those that were declared.
-  kCancelled,    ///< This side gave up.
+  kRefused,      ///< The peer replied that it did not execute the operation.
+  kCorrupt,      ///< The received bytes do not match what was declared.
+  kCancelled,    ///< The operation was cancelled locally.
 };
 
-/// The name of `code` as it stands in logs and problem documents.
+/// Returns the name of `code` that logs and problem documents use.
 const char* ToString(FailureCode code);
 
+/// Describes a failed operation: the step that was attempted, the peer it was
+/// attempted with, and the reason.
+///
+///     return leaf::new_error(Failure{FailureCode::kTimeout, "fetch chunk 7",
+///                                    "10.0.0.3:7001", "no byte for 2 s"});
 struct Failure {
   FailureCode m_code = FailureCode::kInvalid;
   std::string m_step;
@@ -38,20 +39,23 @@
   friend bool operator==(const Failure&, const Failure&) = default;
 };
 
-/// One sentence: "fetch chunk 7 with 10.0.0.3:7001: timeout: no byte for 2 s".
+/// Formats `failure` as one line, for example
+/// "fetch chunk 7 with 10.0.0.3:7001: timeout: no byte for 2 s".
 std::string ToString(const Failure& failure);
 
-/// The result of a synchronous function. LEAF hands the Failure to the nearest
-/// handler on this thread without storing it in every return value.
+/// The result of a synchronous function. LEAF passes the Failure to the nearest
+/// enclosing handler on this thread without storing it in each return value.
 template <typename T>
 using Result = boost::leaf::result<T>;
 
-/// The result of a coroutine. LEAF keeps error objects in slots of the current
-/// thread, and a coroutine may resume on another one, so here the Failure
-/// travels inside the value.
+/// The result of a coroutine. It stores the Failure in the returned value,
+/// because LEAF keeps error objects in thread-local storage and a coroutine may
+/// resume on another thread.
 template <typename T>
 using AsyncResult = boost::system::result<T, Failure>;
 
+/// Throws std::runtime_error with the text of `failure`. Boost calls this when
+/// the value of a failed AsyncResult is accessed.
 [[noreturn]] void throw_exception_from_error(
     const Failure& failure,
     const boost::source_location& location);
--- a/src/libverbenalead/base/io_threads.h
+++ b/src/libverbenalead/base/io_threads.h
@@ -6,24 +6,27 @@
 
 namespace verbenalead {
 
-/// The threads of a process. Each has an io_context of its own, so whatever
-/// belongs to one connection is touched by one thread only and needs no lock;
-/// what threads share (decision state) stands in shards, each under its lock.
+/// The I/O threads of a process. Each thread runs its own io_context, so the
+/// state of a connection is accessed by one thread only and needs no lock.
+/// State that threads share (decision state) is split into shards, each
+/// protected by its own lock.
 class IoThreads {
  public:
-  /// `count` threads, at least one.
+  /// Creates `count` I/O contexts; a count below 1 is treated as 1.
   explicit IoThreads(int count);
   ~IoThreads();
 
-  /// The executor of the first thread, which also runs the process's timers.
+  /// Returns the executor of the first thread, which also runs the process's
+  /// timers.
   boost::asio::any_io_executor main();
-  /// The executor of the next thread, in turn. From any thread.
+  /// Returns the executor of the next thread in round-robin order.
+  /// Thread-safe.
   boost::asio::any_io_executor Next();
   int count() const;
 
-  /// Runs all threads, the first one on this thread, until Stop().
+  /// Runs all contexts, the first one on the calling thread, until Stop().
   void Run();
-  /// From any thread.
+  /// Thread-safe.
   void Stop();
 
  private:
--- a/src/libverbenalead/base/large_blocks.cc
+++ b/src/libverbenalead/base/large_blocks.cc
@@ -5,10 +5,11 @@
 namespace verbenalead {
 namespace {
 
-/// Above the largest chunk (16 MB) and the buffers around it.
+/// Blocks below this size come from the heap instead of mmap. It is larger than
+/// the largest chunk (16 MB) with the buffers around it.
 constexpr int kMmapThresholdBytes = 32 << 20;
-/// Freed memory kept at the end of the heap; a daemon may use 256 MB besides
-/// the weights.
+/// Amount of freed memory retained at the end of the heap. A daemon may use
+/// 256 MB of memory in addition to the weights.
 constexpr int kTrimThresholdBytes = 64 << 20;
 
 }  // namespace
--- a/src/libverbenalead/base/large_blocks.h
+++ b/src/libverbenalead/base/large_blocks.h
@@ -3,9 +3,10 @@
 
 namespace verbenalead {
 
-/// Lets the allocator keep blocks of up to a chunk's size when they are freed.
-/// By default each is given back to the kernel and faulted in again page by
-/// page, which took more time than all else on the path of a chunk.
+/// Configures the allocator to retain freed blocks up to the size of a chunk of
+/// weights. By default glibc returns each large block to the kernel, and the
+/// next allocation faults its pages in again one by one, which took more time
+/// than all other processing of a chunk together.
 void KeepLargeBlocks();
 
 }  // namespace verbenalead
--- a/src/libverbenalead/base/log.cc
+++ b/src/libverbenalead/base/log.cc
@@ -11,11 +11,11 @@
 namespace verbenalead {
 namespace {
 
-/// Writes to a file descriptor that is never waited for.
+/// Writes log lines to a file descriptor without blocking.
 ///
-/// Failure: whoever reads the log falls behind. Symptom: the process stands
-/// still in write() with all its calls. The descriptor is set not to block, and
-/// what it doesn't take is dropped and counted.
+/// With a blocking descriptor, a log reader that falls behind would block the
+/// process in write() and stall all calls in it. The descriptor is therefore
+/// set to O_NONBLOCK; lines that it does not accept are dropped and counted.
 class DroppingSink : public spdlog::sinks::base_sink<std::mutex> {
  public:
   explicit DroppingSink(int descriptor) : m_descriptor(descriptor) {
@@ -38,7 +38,8 @@
   void flush_() override {}
 
  private:
-  /// Whether at least a part went out; a part of a line is ended by the next.
+  /// Returns whether at least a part of the data was written. The rest of a
+  /// partly written line is lost, and the next line is appended to that part.
   bool Write(const char* data, size_t size) {
     return ::write(m_descriptor, data, size) > 0;
   }
--- a/src/libverbenalead/base/log.h
+++ b/src/libverbenalead/base/log.h
@@ -9,13 +9,14 @@
 
 namespace verbenalead {
 
-/// One event, one line of key=value pairs.
+/// Builds one log line of key=value pairs for one event.
 ///
 ///     LogLine("place").With("request", id).With("target", host).Info();
 ///
-/// prints `time=... level=info event=place request=r-1 target=h3`. Values that
-/// hold spaces, quotes, '=' or control characters are quoted and escaped, so
-/// that one event can never look like two. May be used from several threads.
+/// prints `time=... level=info event=place request=r-1 target=h3`. Values with
+/// spaces, quotes, '=', backslashes or control characters are quoted and
+/// escaped, so that a value cannot forge a second event. Lines may be written
+/// from several threads at once.
 class LogLine {
  public:
   explicit LogLine(std::string_view event);
@@ -41,21 +42,21 @@
   std::string m_text;
 };
 
-/// Where the lines of a process go.
+/// The stream that the log lines of a process are written to.
 enum class LogTarget {
   kStandardError,
-  /// Never waits: a line that the reader of the stream has no room for is
-  /// dropped and counted; the next line that gets through tells how many.
+  /// Writing never blocks: a line is dropped and counted if the stream's buffer
+  /// is full. The count is logged before the next line that can be written.
   kStandardOutput,
 };
 
-/// Starts the log of this process under the name `program`. `level` is debug,
-/// info, warn or error.
+/// Sets up logging for this process; each line has the field
+/// `program=<program>`. `level` is debug, info, warn or error.
 void StartLog(const std::string& program,
               const std::string& level,
               LogTarget target = LogTarget::kStandardError);
 
-/// `value` as it stands in a log line: quoted and escaped where needed.
+/// Returns `value` quoted and escaped for a log line where needed.
 std::string EscapeLogValue(std::string_view value);
 
 }  // namespace verbenalead
--- a/src/libverbenalead/base/log_test.cc
+++ b/src/libverbenalead/base/log_test.cc
@@ -20,7 +20,8 @@
                          line.text());
   }
 
-  // A caller who puts a line break into an id must not forge a second event.
+  // Guards against forged log events: a caller may send an id with a line
+  // break in it.
   void OneEventIsOneLine() {
     CPPUNIT_ASSERT(rc::check("no value breaks its line", [] {
       const std::string value = *rc::gen::string<std::string>();
--- a/src/libverbenalead/base/loop_lag.h
+++ b/src/libverbenalead/base/loop_lag.h
@@ -7,8 +7,9 @@
 
 namespace verbenalead {
 
-/// How late a process's own timers fire: the time for which its loop stood
-/// still, as it had too much to do or was given no processor.
+/// Tracks how late the timers of a process's event loop fire. The lag is the
+/// time for which the loop did not run, because it was overloaded or the
+/// process was not scheduled on a CPU.
 struct LoopLag {
   Duration m_worst{};
   TimePoint m_worst_at{};
@@ -16,16 +17,18 @@
   friend bool operator==(const LoopLag&, const LoopLag&) = default;
 };
 
-/// How long a lag is remembered: longer than a call that it may have harmed
-/// goes on in silence.
+/// How long the worst lag is retained. It must exceed the time for which a call
+/// may receive no data, so that the log line of a call delayed by the lag still
+/// reports it.
 constexpr Duration kLagRemembered = 5s;
 
-/// The worst lag of the last kLagRemembered.
+/// Returns the worst lag recorded within the last kLagRemembered.
 inline Duration WorstLag(const LoopLag& lag, TimePoint now) {
   return now - lag.m_worst_at < kLagRemembered ? lag.m_worst : Duration();
 }
 
-/// A timer fired `late` after it was due.
+/// Records that a timer fired `late` after it was due. Negative values count
+/// as 0.
 inline void NoteLag(LoopLag& lag, Duration late, TimePoint now) {
   late = std::max(late, Duration());
   if (late >= WorstLag(lag, now))
--- a/src/libverbenalead/base/metrics.h
+++ b/src/libverbenalead/base/metrics.h
@@ -6,9 +6,9 @@
 
 namespace verbenalead {
 
-/// Counters, gauges and summaries of one process, in the Prometheus text
-/// exposition format. May be used from several threads; names are spread over
-/// shards, each under its own lock.
+/// The counters, gauges and summaries of one process, exported in the
+/// Prometheus text exposition format. Thread-safe: metrics are distributed by
+/// name over shards, each protected by its own lock.
 ///
 ///     metrics.Count("calls_total", "outcome=\"completed\"");
 ///     metrics.Observe("call_seconds", "", 0.120);
@@ -17,20 +17,21 @@
   Metrics();
   ~Metrics();
 
-  /// Adds `amount` to a counter. `labels` is what stands between the braces.
+  /// Adds `amount` to a counter. `labels` is the text between the braces of the
+  /// exposition format.
   void Count(const std::string& name,
              const std::string& labels,
              double amount = 1);
   /// Sets a gauge.
   void Set(const std::string& name, const std::string& labels, double value);
-  /// Adds a sample to a summary of count, sum and the quantiles 0.5, 0.95 and
-  /// 0.99, estimated by Boost.Accumulators (extended P-square) over the whole
-  /// life of the process.
+  /// Adds a sample to a summary, which exports count, sum and the quantiles
+  /// 0.5, 0.95 and 0.99. Boost.Accumulators estimates the quantiles (extended
+  /// P-square) over all samples since the process started.
   void Observe(const std::string& name,
                const std::string& labels,
                double sample);
 
-  /// All of them, each name with its "verbenalead_" prefix.
+  /// Returns all metrics, each name with the prefix "verbenalead_".
   std::string Text() const;
 
  private:
--- a/src/libverbenalead/base/new_id.h
+++ b/src/libverbenalead/base/new_id.h
@@ -5,7 +5,7 @@
 
 namespace verbenalead {
 
-/// A random UUID (version 4). From any thread.
+/// Returns a random UUID (version 4). Thread-safe.
 std::string NewId();
 
 }  // namespace verbenalead
--- a/src/libverbenalead/base/pacer.h
+++ b/src/libverbenalead/base/pacer.h
@@ -8,24 +8,24 @@
 
 namespace verbenalead {
 
-/// Spreads bytes over time so that they don't exceed a rate. May be used from
-/// several threads.
+/// Limits a byte stream to a rate by delaying its senders. Thread-safe.
 class Pacer {
  public:
-  /// `bytes_per_second` of 0: no limit. `credit`: how much time that wasn't
-  /// used may be made up for; timers that fire late would lower the rate
-  /// otherwise.
+  /// A `bytes_per_second` of 0 means no limit. `credit` is the longest unused
+  /// time that later bytes may make up for. Without it, timers that fire late
+  /// would lower the achieved rate.
   explicit Pacer(uint64_t bytes_per_second, Duration credit = {})
       : m_rate(bytes_per_second), m_credit(credit) {}
 
-  /// Waits until `bytes` more fit. First come, first served.
+  /// Suspends the caller until `bytes` more may be sent within the rate. Calls
+  /// are served in order of arrival.
   Awaitable<void> Take(uint64_t bytes);
 
  private:
   const uint64_t m_rate;
   const Duration m_credit;
   std::mutex m_mutex;
-  /// When all that was taken so far has gone through.
+  /// When all bytes reserved so far have been sent at the configured rate.
   TimePoint m_free_at{};
 };
 
--- a/src/libverbenalead/base/secret.h
+++ b/src/libverbenalead/base/secret.h
@@ -9,15 +9,17 @@
 
 namespace verbenalead {
 
-/// HMAC-SHA256 of `text` under `key`, as 64 hexadecimal digits.
+/// Returns the HMAC-SHA256 of `text` under `key` as 64 lower-case hexadecimal
+/// digits.
 std::string HmacSha256(const std::string& key, std::string_view text);
 
-/// Compares in a time that does not depend on where the texts differ: else a
-/// guesser learns a secret byte by byte from how soon the answer comes.
+/// Compares two secrets in constant time: the duration does not depend on where
+/// the texts differ. Otherwise an attacker could guess a secret byte by byte by
+/// measuring response times.
 bool EqualSecrets(const std::string& one, const std::string& other);
 
-/// The secrets in the file at `path`, one a line; the first is the newest.
-/// Fails if there is none or one is shorter than 16 characters.
+/// Reads the secrets from the file at `path`, one per line, the newest first.
+/// Fails if the file has no secret or one shorter than 16 characters.
 AsyncResult<std::vector<std::string>> ReadSecrets(const std::string& path);
 
 }  // namespace verbenalead
--- a/src/libverbenalead/base/secret_test.cc
+++ b/src/libverbenalead/base/secret_test.cc
@@ -12,7 +12,7 @@
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // Test case 2 of RFC 4231.
+  // Test case 2 from RFC 4231.
   void MatchesRfc4231() {
     CPPUNIT_ASSERT_EQUAL(std::string("5bdcc146bf60754e6a042426089575c7"
                                      "5a003f089d2739839dec58b964ec3843"),
--- a/src/libverbenalead/base/settings.h
+++ b/src/libverbenalead/base/settings.h
@@ -14,12 +14,13 @@
 
 namespace verbenalead {
 
-/// The value of one setting after checking.
+/// The validated value of one setting.
 using SettingValue =
     std::variant<bool, int64_t, double, std::string, std::vector<std::string>>;
 
-/// Checked settings: every key of the schema has a value of its type and in
-/// its range. Keys are dotted paths, e.g. "listen.callers".
+/// Validated settings: each key of the schema has a value of its declared type
+/// and within its range. Keys are dotted paths, e.g. "listen.callers".
+/// Accessors throw if the schema has no such key or it has another type.
 class Settings {
  public:
   explicit Settings(std::map<std::string, SettingValue> values)
@@ -28,11 +29,11 @@
   bool Flag(const std::string& key) const;
   int64_t Integer(const std::string& key) const;
   double Number(const std::string& key) const;
-  /// An integer setting that is declared in milliseconds.
+  /// Returns an integer setting whose unit is milliseconds.
   Duration Milliseconds(const std::string& key) const;
   const std::string& Text(const std::string& key) const;
   const std::vector<std::string>& TextList(const std::string& key) const;
-  /// An address setting. Empty where the setting is the empty text.
+  /// Returns an address setting, or an empty Endpoint if the setting is "".
   Endpoint Address(const std::string& key) const;
   std::vector<Endpoint> AddressList(const std::string& key) const;
 
--- a/src/libverbenalead/base/settings_schema.cc
+++ b/src/libverbenalead/base/settings_schema.cc
@@ -22,7 +22,7 @@
               path + " is " + found + "; allowed: " + allowed});
 }
 
-/// Turns nested objects into dotted paths.
+/// Flattens nested objects into a map keyed by dotted paths.
 void Flatten(const json::object& object,
              const std::string& prefix,
              std::map<std::string, json::value>& out) {
--- a/src/libverbenalead/base/settings_schema.h
+++ b/src/libverbenalead/base/settings_schema.h
@@ -21,7 +21,7 @@
   kAddressList
 };
 
-/// One declared key: what it means and what it may be.
+/// The declaration of one setting: its type, default, range and description.
 struct SettingKey {
   std::string m_path;
   SettingType m_type = SettingType::kText;
@@ -34,7 +34,8 @@
   std::vector<std::string> m_choices;
 };
 
-/// Declares the settings of one program and checks a JSON text against them.
+/// Declares the settings of one program and validates a JSON document against
+/// them.
 ///
 ///     const auto schema = SettingsSchema()
 ///         .Address("listen.callers", "127.0.0.1:8080", "callers' HTTP")
@@ -50,7 +51,7 @@
                           int64_t max,
                           std::string unit,
                           std::string help);
-  /// A number that needn't be whole and isn't negative.
+  /// A non-negative floating-point number.
   SettingsSchema& Number(std::string path,
                          double fallback,
                          std::string unit,
@@ -58,26 +59,27 @@
   SettingsSchema& Text(std::string path,
                        std::string fallback,
                        std::string help);
-  /// A text that must be present.
+  /// A text setting that must be present and has no default.
   SettingsSchema& RequiredText(std::string path, std::string help);
-  /// A text that must be one of `choices`; the first is the default.
+  /// A text setting that must be one of `choices`; the first is the default.
   SettingsSchema& Choice(std::string path,
                          std::vector<std::string> choices,
                          std::string help);
   SettingsSchema& TextList(std::string path, std::string help);
-  /// An "IP:port"; the empty text stands for "not set".
+  /// An "IP:port" setting; the empty text means "not set".
   SettingsSchema& Address(std::string path,
                           std::string fallback,
                           std::string help);
   SettingsSchema& AddressList(std::string path, std::string help);
 
-  /// Checks `json`. Fails with kInvalid; the reason lists the path of the
-  /// first wrong key, its value and what is allowed.
+  /// Validates `json`. Fails with kInvalid; the reason names the path of the
+  /// first invalid key, its value and the allowed values.
   Result<Settings> Parse(std::string_view json) const;
-  /// Reads and checks the file at `path`.
+  /// Reads and validates the file at `path`.
   Result<Settings> Load(const std::string& path) const;
 
-  /// A table for people: path, type, unit, default, range, meaning.
+  /// Returns a human-readable table, one line per setting: path, default,
+  /// description and allowed values.
   std::string Describe() const;
   const std::vector<SettingKey>& keys() const { return m_keys; }
 
--- a/src/libverbenalead/base/settings_schema_test.cc
+++ b/src/libverbenalead/base/settings_schema_test.cc
@@ -22,7 +22,7 @@
   return CatchFailure([&] { return Schema().Parse(text); });
 }
 
-/// The reason for which `text` is refused; "" if it is taken.
+/// Returns the reason why `text` is rejected, or "" if it is accepted.
 std::string RejectionReason(const std::string& text) {
   auto settings = Parse(text);
   return settings ? "" : settings.error().m_reason;
@@ -65,7 +65,8 @@
                          RejectionReason(R"({"host": "h", "fast": "yes"})"));
     CPPUNIT_ASSERT(
         !RejectionReason(R"({"host": "h", "entries": ["x"]})").empty());
-    // An empty group is harmless; one that nobody knows is a misspelt one.
+    // An empty group is accepted. An unknown group is rejected even if it is
+    // empty, because its name is probably misspelt.
     CPPUNIT_ASSERT_EQUAL(std::string(),
                          RejectionReason(R"({"host": "h", "limits": {}})"));
     CPPUNIT_ASSERT_EQUAL(
--- a/src/libverbenalead/base/sha256_hasher.h
+++ b/src/libverbenalead/base/sha256_hasher.h
@@ -8,8 +8,8 @@
 
 namespace verbenalead {
 
-/// A running SHA-256 for bytes that arrive in pieces. Not for use from several
-/// threads at once.
+/// Computes a SHA-256 digest incrementally from bytes that arrive in pieces.
+/// Not thread-safe.
 class Sha256Hasher {
  public:
   Sha256Hasher();
@@ -18,7 +18,8 @@
   Sha256Hasher& operator=(Sha256Hasher&&) noexcept;
 
   void Update(std::string_view bytes);
-  /// The digest of all bytes so far. The hasher is used up.
+  /// Returns the digest of all bytes passed to Update(). The hasher must not be
+  /// used afterwards.
   Digest Finish();
 
  private:
--- a/src/libverbenalead/base/spawn.cc
+++ b/src/libverbenalead/base/spawn.cc
@@ -9,7 +9,7 @@
 namespace verbenalead {
 namespace {
 
-/// What `error` says of itself; "" for none.
+/// Returns the message of `error`, or "" if there is no error.
 std::string ErrorMessage(const std::exception_ptr& error) {
   if (!error)
     return "";
--- a/src/libverbenalead/base/spawn.h
+++ b/src/libverbenalead/base/spawn.h
@@ -7,16 +7,17 @@
 
 namespace verbenalead {
 
-/// Runs `task` on `executor` by itself. An exception that leaves it is logged
-/// under `name` and goes no further: what one connection or message brings must
-/// not end the process.
+/// Runs `task` detached on `executor`. An exception that escapes from it is
+/// logged under `name` and swallowed: the input of one connection or message
+/// must not terminate the process.
 void Spawn(const boost::asio::any_io_executor& executor,
            Awaitable<void> task,
            const char* name);
 
-/// The same for a loop that the process can't do without. Were it to end
-/// unseen, the process would look alive and follow no news any more; so an
-/// exception is logged and ends the process, and the platform starts it again.
+/// Like Spawn, but for a loop that the process depends on. An exception is
+/// logged and terminates the process, and the platform restarts it. If the loop
+/// ended silently instead, the process would appear healthy but would no longer
+/// process updates.
 void SpawnLoop(const boost::asio::any_io_executor& executor,
                Awaitable<void> loop,
                const char* name);
--- a/src/libverbenalead/base/spawn_test.cc
+++ b/src/libverbenalead/base/spawn_test.cc
@@ -23,7 +23,8 @@
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // One caller's message makes a handler throw; the others must not notice.
+  // Guards against one caller's message ending the work for all others: the
+  // handler of that message throws.
   void OneFailedTaskDoesNotStopOthers() {
     boost::asio::io_context context;
     bool done = false;
--- a/src/libverbenalead/base/stable_hash.h
+++ b/src/libverbenalead/base/stable_hash.h
@@ -6,13 +6,14 @@
 
 namespace verbenalead {
 
-/// FNV-1a over a series of texts: the same in every process, unlike std::hash.
+/// Computes the FNV-1a hash of a sequence of texts. Unlike std::hash, the value
+/// is the same in every process.
 class StableHash {
  public:
   StableHash& Add(std::string_view text) {
     for (unsigned char c : text)
       Mix(c);
-    Mix(0xff);  // Ends the text: "a","b" isn't "ab","".
+    Mix(0xff);  // Separator: "a","b" must differ from "ab","".
     return *this;
   }
   uint64_t value() const { return m_value; }
--- a/src/libverbenalead/base/time.h
+++ b/src/libverbenalead/base/time.h
@@ -6,8 +6,8 @@
 
 namespace verbenalead {
 
-/// Monotonic time. Decision cores are handed a TimePoint and never read a
-/// clock, so that a test decides what time it is.
+/// Monotonic time. Decision code receives a TimePoint as an argument and never
+/// reads a clock, so that tests control the time.
 using TimePoint = std::chrono::steady_clock::time_point;
 using Duration = std::chrono::nanoseconds;
 
@@ -15,13 +15,13 @@
 using std::chrono_literals::operator""s;
 using std::chrono_literals::operator""us;
 
-/// Whole milliseconds in `duration`, rounded down.
+/// Returns `duration` in whole milliseconds, truncated towards zero.
 inline int64_t ToMilliseconds(Duration duration) {
   return std::chrono::duration_cast<std::chrono::milliseconds>(duration)
       .count();
 }
 
-/// Monotonic now. Only I/O code calls this.
+/// Returns the current monotonic time. Only I/O code may call this.
 inline TimePoint Now() {
   return std::chrono::steady_clock::now();
 }
--- a/src/libverbenalead/model/call.h
+++ b/src/libverbenalead/model/call.h
@@ -9,39 +9,42 @@
 
 namespace verbenalead::model {
 
-/// Lower is more urgent, as in RFC 9218.
+/// Urgency of a call. Lower values are more urgent, as in RFC 9218.
 constexpr int kMostUrgent = 0;
 constexpr int kDefaultUrgency = 3;
 constexpr int kLeastUrgent = 7;
 
-/// A caller's request as admission, placement and retries see it.
+/// A caller's request with the properties that admission, placement and retries
+/// depend on.
 class Call {
  public:
   Call() = default;
 
-  /// The request id, by which the call is traced: the caller's own if it sent
-  /// one. A caller that sends its request again uses it again.
+  /// The request id under which the call is traced; the caller's id if it sent
+  /// one. A request that its caller sends again has the same id.
   const std::string& id() const { return m_id; }
-  /// Unique among all calls of all entries.
+  /// Identifies this call uniquely among the calls of all entries, unlike id().
   const std::string& instance() const { return m_instance; }
   const std::string& organisation() const { return m_organisation; }
-  /// The organisation's weight in admission, by its `limits` resource.
+  /// The organisation's weight in admission, from its `limits` resource.
   double weight() const { return m_weight; }
-  /// The pool of targets that answers it.
+  /// The pool of targets that the call may be sent to.
   const std::string& pool() const { return m_pool; }
-  /// kMostUrgent to kLeastUrgent.
+  /// From kMostUrgent to kLeastUrgent.
   int urgency() const { return m_urgency; }
-  /// When the caller stops waiting.
+  /// The time at which the caller stops waiting.
   TimePoint deadline() const { return m_deadline; }
-  /// False: at-most-once; it must carry an idempotency key.
+  /// Whether the call may be executed more than once. If false, it is
+  /// at-most-once and must have an idempotency key.
   bool idempotent() const { return m_idempotent; }
   const std::string& idempotency_key() const { return m_idempotency_key; }
-  /// Hash of the organisation and the idempotency key or body: the same for a
-  /// request that its caller sends again. 0: none.
+  /// Hash of the organisation and the idempotency key or body. A request that
+  /// its caller sends again has the same value. 0 means no fingerprint.
   uint64_t fingerprint() const { return m_fingerprint; }
-  /// Hash of the start of the prompt, for reuse of a cached prefix; 0: none.
+  /// Hash of the start of the prompt, used to select a target that has the
+  /// prefix cached. 0 means no prefix.
   uint64_t prefix() const { return m_prefix; }
-  /// Expected work in tokens, for telling long from short.
+  /// Expected work in tokens; distinguishes long calls from short ones.
   uint32_t expected_tokens() const { return m_expected_tokens; }
 
   friend auto operator<=>(const Call&, const Call&) = default;
--- a/src/libverbenalead/model/call_kind.h
+++ b/src/libverbenalead/model/call_kind.h
@@ -3,11 +3,11 @@
 
 namespace verbenalead::model {
 
-/// What may be done with a call whose outcome is unknown.
+/// Determines how a call is handled when its outcome is unknown.
 enum class CallKind {
-  kIdempotent,  ///< It may run again.
-  kAtMostOnce,  ///< It must not.
-  kStream,      ///< Its answer is a series of numbered events.
+  kIdempotent,  ///< The call may be executed again.
+  kAtMostOnce,  ///< The call must not be executed again.
+  kStream,      ///< The response is a stream of numbered events.
 };
 
 inline const char* ToString(CallKind kind) {
--- a/src/libverbenalead/model/change.cc
+++ b/src/libverbenalead/model/change.cc
@@ -61,7 +61,8 @@
   const json::object& object = rollout->get_object();
   BOOST_LEAF_AUTO(percent,
                   NumberFieldOr(object, "max_unavailable_percent", 25));
-  // At 100 a bad version could take down the whole pool at once.
+  // At 100 per cent a faulty version could make the whole pool unavailable at
+  // once.
   if (percent < 1 || percent > 99) {
     return BadField("rollout.max_unavailable_percent",
                     "a whole number from 1 to 99");
--- a/src/libverbenalead/model/change.h
+++ b/src/libverbenalead/model/change.h
@@ -10,7 +10,7 @@
 
 namespace verbenalead::model {
 
-/// One accepted change of configuration. Revisions number all changes in one
+/// One committed configuration change. Revisions number all changes in a single
 /// sequence without gaps.
 struct Change {
   uint64_t m_revision = 0;
@@ -18,7 +18,7 @@
   bool m_deleted = false;
   /// The resource's spec, a JSON object.
   std::string m_spec;
-  /// The operator's id for this write: a repeat of it is harmless.
+  /// Operation id chosen by the operator; makes the write idempotent.
   std::string m_operation;
   std::string m_operator;
 
@@ -28,8 +28,8 @@
 std::string ToJson(const Change& change);
 Result<Change> ParseChange(std::string_view json);
 
-/// Checks the spec of a resource. Fails with kInvalid and the path of the wrong
-/// field.
+/// Validates the spec of a resource. Fails with kInvalid; the reason names the
+/// path of the invalid field.
 Result<void> CheckSpec(const ResourceKey& key, std::string_view spec);
 
 }  // namespace verbenalead::model
--- a/src/libverbenalead/model/engine_profile.h
+++ b/src/libverbenalead/model/engine_profile.h
@@ -8,21 +8,21 @@
 
 namespace verbenalead::model {
 
-/// The model that the replicas of a service run, how fast, and how its weights
-/// are cut into chunks.
+/// Describes the model that the replicas of a service run: its speed, and how
+/// its weights are split into chunks.
 struct EngineProfile {
   std::string m_model;
-  /// Calls in one batch.
+  /// Slots of a replica: the number of calls in one batch.
   uint32_t m_slots = 0;
-  /// Prompt tokens read in one second.
+  /// Prompt tokens processed per second.
   double m_prefill_rate = 0;
-  /// Time of one step of a batch that writes.
+  /// Duration of one decoding step of a batch.
   Duration m_step{};
-  /// Steps between two looks at the queue.
+  /// Number of decoding steps between two checks of the queue for new calls.
   uint32_t m_stride = 1;
   uint32_t m_chunks = 0;
   uint64_t m_chunk_bytes = 0;
-  /// Time that a load of all layers takes.
+  /// Time to load all layers of the weights.
   Duration m_load{};
 
   friend bool operator==(const EngineProfile&, const EngineProfile&) = default;
--- a/src/libverbenalead/model/engine_report.h
+++ b/src/libverbenalead/model/engine_report.h
@@ -7,15 +7,15 @@
 
 namespace verbenalead::model {
 
-/// What an engine says of itself when it is asked.
+/// The status that an engine returns when it is polled.
 struct EngineReport {
-  /// Unix milliseconds of its start; 0 where it tells none.
+  /// Start time in Unix milliseconds; 0 if the engine does not report one.
   uint64_t m_started_ms = 0;
-  /// Version of the weights by model, of those that are loaded whole.
+  /// Version of the weights by model; only models that are completely loaded.
   std::map<std::string, uint64_t> m_weights;
-  /// An order is being carried out.
+  /// Whether an order to load weights is being executed.
   bool m_loading = false;
-  /// Orders that have begun since its start.
+  /// Number of orders to load weights begun since the engine started.
   uint64_t m_orders = 0;
   uint32_t m_queued = 0;
   uint32_t m_active = 0;
--- a/src/libverbenalead/model/entry_address.h
+++ b/src/libverbenalead/model/entry_address.h
@@ -7,13 +7,13 @@
 
 namespace verbenalead::model {
 
-/// Where one entry is reached.
+/// The network addresses of one entry.
 struct EntryAddress {
   std::string m_host;
   std::string m_data_center;
-  /// For callers.
+  /// Address for callers.
   Endpoint m_callers;
-  /// For datagrams of our other processes.
+  /// Address for datagrams from the system's other processes.
   Endpoint m_peers;
 
   friend auto operator<=>(const EntryAddress&, const EntryAddress&) = default;
--- a/src/libverbenalead/model/host.h
+++ b/src/libverbenalead/model/host.h
@@ -12,8 +12,9 @@
 
 enum class HostRole { kEntry, kTarget };
 
-/// One line of the platform's list of hosts. The list lags behind reality and
-/// is a hint: who is alive is learned from the host itself.
+/// One entry of the platform's host list. The list may be out of date and
+/// serves only as a hint: whether a host is alive is determined by contacting
+/// the host itself.
 class Host {
  public:
   Host() = default;
@@ -22,9 +23,9 @@
   HostRole role() const { return m_role; }
   const std::string& region() const { return m_region; }
   const std::string& data_center() const { return m_data_center; }
-  /// The pool of replicas that a target host belongs to.
+  /// The pool that a target host belongs to.
   const std::string& pool() const { return m_pool; }
-  /// Where our process on this host listens for our other processes.
+  /// Where the system's process on this host listens for its peers.
   const Endpoint& peer() const { return m_peer; }
   /// Where an entry host listens for callers; empty for targets.
   const Endpoint& callers() const { return m_callers; }
@@ -45,9 +46,9 @@
   bool m_leaving = false;
 };
 
-/// Reads a host list in the format of Prometheus HTTP service discovery: a list
-/// of {"targets": ["IP:port"], "labels": {...}} with the labels host, role,
-/// region, data_center, pool, callers and state.
+/// Parses a host list in the format of Prometheus HTTP service discovery: a
+/// list of {"targets": ["IP:port"], "labels": {...}} with the labels host,
+/// role, region, data_center, pool, callers and state.
 Result<std::vector<Host>> ParseHostList(std::string_view json);
 
 }  // namespace verbenalead::model
--- a/src/libverbenalead/model/inbound_call.h
+++ b/src/libverbenalead/model/inbound_call.h
@@ -9,20 +9,21 @@
 
 namespace verbenalead::model {
 
-/// What an entry needs to know of a caller's request.
+/// The properties of a caller's request that an entry needs to route it.
 struct InboundCall {
   std::string m_id;
   std::string m_host;
-  /// Without the query.
+  /// Path of the request without the query.
   std::string m_path;
-  /// Empty: the caller sent none.
+  /// The caller's API key; empty if the caller sent none.
   std::string m_key;
-  /// How long the caller will wait from now on.
+  /// How long the caller will still wait; absent if it did not say.
   std::optional<Duration> m_time_left;
   uint32_t m_prompt_tokens = 0;
-  /// The caller's guess, or the most that it asks for.
+  /// The caller's estimate of the output length, or the maximum it requests.
   uint32_t m_output_tokens = 0;
-  /// The last event of a broken stream that the caller has; empty: none.
+  /// Id of the last event that the caller received of a broken stream; empty if
+  /// the call does not resume a stream.
   std::string m_last_event;
 
   friend bool operator==(const InboundCall&, const InboundCall&) = default;
--- a/src/libverbenalead/model/json_fields.h
+++ b/src/libverbenalead/model/json_fields.h
@@ -10,15 +10,17 @@
 
 namespace verbenalead::model {
 
-/// Reads typed members out of JSON objects; each failure names the path of the
-/// wrong field.
+/// Functions that read typed members of JSON objects. Each failure names the
+/// invalid field. ParseObject parses `text`, which must be one JSON object;
+/// `what` names the document in the failure.
 Result<boost::json::object> ParseObject(std::string_view text,
                                         const std::string& what);
 Result<std::string> TextField(const boost::json::object& object,
                               std::string_view name);
 Result<uint64_t> NumberField(const boost::json::object& object,
                              std::string_view name);
-/// Absent or null reads as `fallback`; a wrong type still fails.
+/// The ...Or functions return `fallback` if the member is absent or null. A
+/// member of another type is still a failure.
 Result<std::string> TextFieldOr(const boost::json::object& object,
                                 std::string_view name,
                                 std::string fallback);
@@ -29,7 +31,8 @@
                          std::string_view name,
                          bool fallback);
 
-/// The failure for field `name`.
+/// Returns the failure for an invalid field `name`; `allowed` describes the
+/// valid values.
 boost::leaf::error_id BadField(std::string_view name,
                                const std::string& allowed);
 
--- a/src/libverbenalead/model/manifest.h
+++ b/src/libverbenalead/model/manifest.h
@@ -10,9 +10,9 @@
 
 namespace verbenalead::model {
 
-/// What one version of a model's weights is made of. Its identity is the digest
-/// of the whole, never a name: a version that is declared again with other
-/// bytes is another version.
+/// Lists the chunks of one version of a model's weights. The version is
+/// identified by the digest of all its bytes, never by a name: if a name is
+/// declared again with other bytes, it denotes another version.
 ///
 ///     BOOST_LEAF_AUTO(manifest, ManifestBuilder()
 ///         .Whole(whole).Size(bytes).ChunkSize(1 <<
@@ -21,17 +21,17 @@
  public:
   Manifest() = default;
 
-  /// Digest of all bytes in order.
+  /// Digest of all bytes of the weights.
   const Digest& whole() const { return m_whole; }
-  /// Bytes in total.
+  /// Total size in bytes.
   uint64_t size() const { return m_size; }
-  /// Bytes of each chunk but the last, which may be shorter.
+  /// Size in bytes of each chunk except the last, which may be shorter.
   uint64_t chunk_size() const { return m_chunk_size; }
   const std::vector<Digest>& chunks() const { return m_chunks; }
   uint32_t chunk_count() const {
     return static_cast<uint32_t>(m_chunks.size());
   }
-  /// Bytes of chunk `index`.
+  /// Returns the size of chunk `index` in bytes; 0 if there is no such chunk.
   uint64_t ChunkLength(uint32_t index) const;
 
   friend auto operator<=>(const Manifest&, const Manifest&) = default;
@@ -45,9 +45,10 @@
   std::vector<Digest> m_chunks;
 };
 
-/// The JSON document of `manifest`.
+/// Formats `manifest` as a JSON document.
 std::string ToJson(const Manifest& manifest);
-/// Reads what ToJson writes. Fails with kInvalid, naming the wrong field.
+/// Parses the output of ToJson. Fails with kInvalid; the reason names the
+/// invalid field.
 Result<Manifest> ParseManifest(std::string_view json);
 
 }  // namespace verbenalead::model
--- a/src/libverbenalead/model/manifest_builder.h
+++ b/src/libverbenalead/model/manifest_builder.h
@@ -5,7 +5,7 @@
 
 namespace verbenalead::model {
 
-/// Builds a Manifest; Build() checks that size and chunks agree.
+/// Builds a Manifest and checks that the size matches the number of chunks.
 class ManifestBuilder {
  public:
   ManifestBuilder& Whole(const Digest& whole);
@@ -13,7 +13,8 @@
   ManifestBuilder& ChunkSize(uint64_t bytes);
   ManifestBuilder& Chunk(const Digest& digest);
 
-  /// Fails with kInvalid if the chunks don't add up to the size.
+  /// Fails with kInvalid if size and chunk size do not give the number of
+  /// chunks.
   Result<Manifest> Build() const;
 
  private:
--- a/src/libverbenalead/model/manifest_test.cc
+++ b/src/libverbenalead/model/manifest_test.cc
@@ -50,7 +50,7 @@
     CPPUNIT_ASSERT(!CatchFailure([&] { return builder.Build(); }));
   }
 
-  // A manifest that lost its end in transfer must not pass for a shorter one.
+  // Guards against accepting a manifest truncated in transit as a shorter one.
   void RejectsTruncatedDocument() {
     ManifestBuilder builder;
     builder.Whole(Sha256("w")).Size(10).ChunkSize(5);
--- a/src/libverbenalead/model/organisation.h
+++ b/src/libverbenalead/model/organisation.h
@@ -7,11 +7,11 @@
 
 namespace verbenalead::model {
 
-/// Whoever holds keys, and on whose behalf calls are made.
+/// An organisation that holds API keys and on whose behalf calls are made.
 struct Organisation {
   std::string m_name;
   std::vector<std::string> m_keys;
-  /// Goes before the urgency of a route.
+  /// Overrides the urgency of the route if set.
   std::optional<int> m_urgency;
 
   friend bool operator==(const Organisation&, const Organisation&) = default;
--- a/src/libverbenalead/model/outcome.h
+++ b/src/libverbenalead/model/outcome.h
@@ -7,12 +7,12 @@
 
 namespace verbenalead::model {
 
-/// What became of a request, as its caller is told.
+/// The outcome of a request as reported to its caller.
 enum class Outcome {
-  kCompleted,  ///< It ran; the whole answer was delivered.
-  kRefused,    ///< It was not run, and will not be.
-  kFailed,     ///< It ran and did not end well.
-  kUnknown,    ///< It may have run.
+  kCompleted,  ///< Executed; the complete response was delivered.
+  kRefused,    ///< Not executed, and will not be.
+  kFailed,     ///< Executed, but failed.
+  kUnknown,    ///< May have been executed.
 };
 
 const char* ToString(Outcome outcome);
--- a/src/libverbenalead/model/replica.h
+++ b/src/libverbenalead/model/replica.h
@@ -9,27 +9,27 @@
 
 namespace verbenalead::model {
 
-/// One incarnation of a replica, as it says of itself.
+/// One incarnation (process start) of a replica, as the replica reports it.
 struct Replica {
-  /// Stays over a restart; `m_started_ms` doesn't.
+  /// Unchanged by a restart, unlike `m_started_ms`.
   std::string m_id;
-  /// Unix milliseconds of its start; 0 where it tells none.
+  /// Start time in Unix milliseconds; 0 if the replica does not report one.
   uint64_t m_started_ms = 0;
-  /// The store's revision at which it last wrote of itself.
+  /// Store revision of the replica's latest write of its own row.
   uint64_t m_revision = 0;
   std::string m_service;
   Endpoint m_endpoint;
   std::string m_data_center;
   uint32_t m_slots = 1;
-  /// It is leaving and takes no new work.
+  /// Whether the replica is leaving and accepts no new calls.
   bool m_leaving = false;
-  /// Version of the weights by model; a model that isn't loaded is absent.
+  /// Version of the weights by model; models that are not loaded are absent.
   std::map<std::string, uint64_t> m_weights;
 
   friend bool operator==(const Replica&, const Replica&) = default;
 };
 
-/// Whether both are the same start of the same replica.
+/// Whether `a` and `b` describe the same process start of the same replica.
 inline bool SameIncarnation(const Replica& a, const Replica& b) {
   return a.m_id == b.m_id && a.m_started_ms == b.m_started_ms &&
          a.m_endpoint == b.m_endpoint;
--- a/src/libverbenalead/model/resource_key.h
+++ b/src/libverbenalead/model/resource_key.h
@@ -7,7 +7,7 @@
 
 namespace verbenalead::model {
 
-/// Names one resource, e.g. {"pool", "drafting"}.
+/// Identifies one resource, e.g. {"pool", "drafting"}.
 struct ResourceKey {
   std::string m_kind;
   std::string m_name;
@@ -15,12 +15,12 @@
   friend auto operator<=>(const ResourceKey&, const ResourceKey&) = default;
 };
 
-/// "pool/drafting".
+/// Formats `key` as "kind/name", e.g. "pool/drafting".
 inline std::string ToString(const ResourceKey& key) {
   return key.m_kind + "/" + key.m_name;
 }
 
-/// The kinds that operators may declare.
+/// Returns the kinds of resources that operators may declare.
 const std::vector<std::string>& ResourceKinds();
 
 }  // namespace verbenalead::model
--- a/src/libverbenalead/model/resource_write.h
+++ b/src/libverbenalead/model/resource_write.h
@@ -9,15 +9,15 @@
 
 namespace verbenalead::model {
 
-/// An operator's wish to set or delete one resource.
+/// An operator's request to set or delete one resource.
 struct ResourceWrite {
   ResourceKey m_key;
   bool m_deleted = false;
   std::string m_spec;
-  /// Compare-and-set: the revision the resource must have (0: absent);
-  /// nullopt: any.
+  /// The revision that the resource must have for the write to succeed
+  /// (compare-and-set). 0: the resource must be absent; nullopt: any revision.
   std::optional<uint64_t> m_expected_revision;
-  /// Names this write: a repeat of it is harmless.
+  /// Operation id chosen by the operator; makes the write idempotent.
   std::string m_operation;
   std::string m_operator;
 
--- a/src/libverbenalead/model/route.h
+++ b/src/libverbenalead/model/route.h
@@ -11,26 +11,27 @@
 
 namespace verbenalead::model {
 
-/// Which calls go to which services, and what holds for them.
+/// Maps calls by host and path to services, with the limits for these calls.
 struct Route {
   std::string m_name;
   std::string m_host;
   /// Begins and ends with a slash.
   std::string m_path_prefix;
   CallKind m_kind = CallKind::kAtMostOnce;
-  /// Longest time that a call may be kept waiting.
+  /// The longest time that a call may take; 0: the default of the entry.
   Duration m_timeout{};
-  /// Time within which an answer, or the first event of a stream, is on time.
+  /// Latency objective: the time within which a response, or the first event of
+  /// a stream, counts as on time.
   Duration m_objective{};
   /// 0 is the most urgent.
   int m_urgency = 0;
-  /// Never empty; one of them is drawn by weight.
+  /// Never empty. One service is selected per call, at random by weight.
   std::vector<ServiceShare> m_services;
-  /// Replicas that one call may be sent to.
+  /// Maximum number of replicas that one call may be sent to.
   uint32_t m_max_attempts = 1;
-  /// Calls need no key.
+  /// Whether calls are accepted without an API key.
   bool m_anonymous = false;
-  /// A broken stream may go on at another replica.
+  /// Whether a broken stream may be resumed at another replica.
   bool m_resumable = false;
 
   friend bool operator==(const Route&, const Route&) = default;
--- a/src/libverbenalead/model/routing_config.h
+++ b/src/libverbenalead/model/routing_config.h
@@ -11,16 +11,17 @@
 
 namespace verbenalead::model {
 
-/// One version of all that the operator declares of routing.
+/// One version of the operator's complete routing configuration.
 struct RoutingConfig {
-  /// Grows with each change, by uneven steps.
+  /// Increases with each change, but not always by 1.
   uint64_t m_version = 0;
   std::vector<Route> m_routes;
   std::vector<Service> m_services;
   std::vector<Organisation> m_organisations;
   uint32_t m_max_header_bytes = 16 * 1024;
   uint64_t m_max_body_bytes = 4 * 1024 * 1024;
-  /// How long a caller may take for a header, and how long it may stay idle.
+  /// How long a caller may take to send a request header, and how long its
+  /// connection may stay idle.
   Duration m_header_timeout = 10s;
   Duration m_idle_timeout = 60s;
 
--- a/src/libverbenalead/model/service.h
+++ b/src/libverbenalead/model/service.h
@@ -10,15 +10,15 @@
 
 namespace verbenalead::model {
 
-/// A set of replicas that are alike, or the origin of weights.
+/// A set of interchangeable replicas, or the origin of weights.
 struct Service {
   std::string m_name;
   uint32_t m_max_connections = 0;
-  /// Absent: a plain service.
+  /// Absent for a service that does not run a model.
   std::optional<EngineProfile> m_engine;
-  /// Where the weights come from; empty: this service has replicas.
+  /// Address of the origin of weights; empty if this service has replicas.
   Endpoint m_origin;
-  /// Bytes a second of the origin's link.
+  /// Capacity of the origin's link in bytes per second.
   uint64_t m_origin_rate = 0;
 
   friend bool operator==(const Service&, const Service&) = default;
--- a/src/libverbenalead/model/service_share.h
+++ b/src/libverbenalead/model/service_share.h
@@ -6,7 +6,7 @@
 
 namespace verbenalead::model {
 
-/// A service and the part of a route's calls that it gets.
+/// A service and its relative share of a route's calls.
 struct ServiceShare {
   std::string m_service;
   uint32_t m_weight = 1;
--- a/src/libverbenalead/model/target_report.h
+++ b/src/libverbenalead/model/target_report.h
@@ -10,32 +10,33 @@
 
 namespace verbenalead::model {
 
-/// What a target says of itself.
+/// The status that a target reports to entries.
 struct TargetReport {
   std::string m_name;
   std::string m_pool;
   Endpoint m_peer;
-  /// Rises with each start of the target process.
+  /// Increases with each start of the target process.
   uint64_t m_incarnation = 0;
-  /// Attempts that may run at once, and that do.
+  /// Maximum and current number of attempts that run at the same time.
   uint32_t m_capacity = 0;
   uint32_t m_running = 0;
   bool m_open = false;
   bool m_leaving = false;
-  /// The version that is in force there; empty for a plain service.
+  /// The active version of the weights; empty for a service without a model.
   Digest m_digest;
   std::string m_version;
-  /// The configuration revision in force there.
+  /// The active configuration revision.
   uint64_t m_revision = 0;
-  /// Where the rollout stands here: fetching, waiting, loading, in force,
-  /// failed, idle or deposed; and why it waits or failed.
+  /// Stage of the rollout at this target: fetching, waiting, loading, in force,
+  /// failed, idle or deposed; and the reason for waiting or failure.
   std::string m_stage;
   std::string m_reason;
-  /// The version on its way: chunks here and in all.
+  /// The version being fetched or loaded, with its number of chunks held by the
+  /// target and in total.
   std::string m_loading;
   uint32_t m_chunks_held = 0;
   uint32_t m_chunks_total = 0;
-  /// Bytes of weights drawn since start, by source.
+  /// Bytes of weights fetched since the process started, by source.
   uint64_t m_origin_bytes = 0;
   uint64_t m_peer_bytes = 0;
 
--- a/src/libverbenalead/model/version_spec.h
+++ b/src/libverbenalead/model/version_spec.h
@@ -8,8 +8,8 @@
 
 namespace verbenalead::model {
 
-/// The spec of a `version` resource: where its weights are and which bytes they
-/// are.
+/// The spec of a `version` resource: the location of its weights and the
+/// digests that identify their bytes.
 struct VersionSpec {
   std::string m_name;
   std::string m_model;
--- a/src/libverbenalead/wire/cancel_when_gone.h
+++ b/src/libverbenalead/wire/cancel_when_gone.h
@@ -6,9 +6,9 @@
 
 namespace verbenalead::wire {
 
-/// While it lives: if whoever waits for `writer` goes, `reader` is cancelled.
-/// Without it a target goes on with work that nobody waits for, and the callers
-/// behind it wait for nothing.
+/// For the lifetime of this object, cancels `reader` when the receiver of
+/// `writer` disconnects. Without it, a target would continue work whose result
+/// is no longer wanted, and delay the calls queued behind it.
 class CancelWhenGone {
  public:
   CancelWhenGone(ResponseWriter& writer, ResponseReader& reader)
--- a/src/libverbenalead/wire/client.h
+++ b/src/libverbenalead/wire/client.h
@@ -9,40 +9,42 @@
 
 namespace verbenalead::wire {
 
-/// Sends requests; HTTP/1.1 and HTTP/2 implement it, tests mock it. May be used
-/// from several threads.
+/// Interface for sending requests, implemented for HTTP/1.1 and HTTP/2 and by
+/// mocks in tests. Thread-safe.
 class Client {
  public:
   virtual ~Client() = default;
 
   /// Sends `request` to `endpoint`. kUnreachable means that nothing was sent;
-  /// after any other failure the request may have been received.
+  /// after any other failure the peer may have received the request.
   virtual Awaitable<AsyncResult<std::unique_ptr<ResponseReader>>>
   Open(Endpoint endpoint, Request request, TimePoint deadline) = 0;
 };
 
-/// Sends `request` and reads the whole response. Fails with kTimeout at
-/// `deadline`, with kInvalid if the body is longer than `max_body` bytes.
+/// Sends `request` and reads the complete response. Fails with kTimeout at
+/// `deadline`, and with kInvalid if the body is longer than `max_body` bytes.
 Awaitable<AsyncResult<Response>> Fetch(Client& client,
                                        Endpoint endpoint,
                                        Request request,
                                        TimePoint deadline,
                                        size_t max_body = size_t{64} << 20);
 
-/// How long to wait for an answer that may be long: what counts is that bytes
-/// go on coming. A configuration of 290 KB to 15 hosts over one link of 29
-/// Mbit/s takes 1.2 s; with one timeout for the whole all of them broke off and
-/// asked again, and the link stayed full for good.
+/// Timeouts for a response that may be large: the transfer continues as long as
+/// data keeps arriving. A configuration of 290 KB sent to 15 hosts over one
+/// link of 29 Mbit/s takes 1.2 s. With a single timeout for the complete
+/// response, all hosts timed out and retried, and the retries kept the link
+/// saturated permanently.
 struct ProgressTimeouts {
-  /// For the head.
+  /// From the request to the response head.
   Duration m_head{};
-  /// For each piece of the body.
+  /// From one piece of the body to the next.
   Duration m_piece{};
-  /// For all of it, from the question on.
+  /// From the request to the end of the response.
   Duration m_whole{};
 };
 
-/// The same as Fetch, with a timeout by progress.
+/// Like Fetch, but with a timeout for each part of the response and without a
+/// limit on the size of the body.
 Awaitable<AsyncResult<Response>> FetchByProgress(Client& client,
                                                  Endpoint endpoint,
                                                  Request request,
--- a/src/libverbenalead/wire/fixed_reader.h
+++ b/src/libverbenalead/wire/fixed_reader.h
@@ -9,7 +9,7 @@
 
 namespace verbenalead::wire {
 
-/// Reads a response that is there already. For tests.
+/// A ResponseReader for tests that returns a given response immediately.
 class FixedReader : public ResponseReader {
  public:
   explicit FixedReader(Response response) : m_response(std::move(response)) {}
--- a/src/libverbenalead/wire/headers.h
+++ b/src/libverbenalead/wire/headers.h
@@ -6,11 +6,11 @@
 
 namespace verbenalead::wire {
 
-/// Header fields by lower-case name. One value a name: the protocols between
-/// our processes repeat none.
+/// Header fields by lower-case name, with one value per name: the protocols
+/// between the system's processes never repeat a field.
 using Headers = std::map<std::string, std::string>;
 
-/// The value of `name` (lower case), or "" where it is absent.
+/// Returns the value of `name` (lower case), or "" if it is absent.
 inline std::string Get(const Headers& headers, const std::string& name) {
   auto found = headers.find(name);
   return found == headers.end() ? std::string() : found->second;
--- a/src/libverbenalead/wire/listener.h
+++ b/src/libverbenalead/wire/listener.h
@@ -11,19 +11,19 @@
 
 namespace verbenalead::wire {
 
-/// Accepts TCP connections and deals them out to the threads in turn. HTTP/1.1
-/// and HTTP/2 servers stand on it.
+/// Accepts TCP connections and distributes them over the I/O threads in
+/// round-robin order. The HTTP/1.1 and HTTP/2 servers use it.
 class Listener {
  public:
   using OnConnection = std::function<void(boost::asio::ip::tcp::socket)>;
 
-  /// `on_connection` runs on the thread that the socket belongs to.
+  /// `on_connection` runs on the thread to which the socket is assigned.
   Listener(IoThreads& threads, OnConnection on_connection);
   ~Listener();
 
-  /// Starts listening; port 0 takes a free one. Returns the bound address.
+  /// Starts listening; port 0 selects a free port. Returns the bound address.
   AsyncResult<Endpoint> Listen(const Endpoint& endpoint);
-  /// Refuses new connections; open ones are left alone. From any thread.
+  /// Stops accepting connections; open ones are not affected. Thread-safe.
   void Stop();
 
  private:
--- a/src/libverbenalead/wire/recording_writer.h
+++ b/src/libverbenalead/wire/recording_writer.h
@@ -9,7 +9,7 @@
 
 namespace verbenalead::wire {
 
-/// Stands for a caller in tests: keeps what it is sent.
+/// A ResponseWriter for tests that acts as the caller and records the response.
 class RecordingWriter : public ResponseWriter {
  public:
   Awaitable<bool> Send(Response response) override {
@@ -39,19 +39,20 @@
     m_on_gone = std::move(function);
   }
 
-  /// The caller closes its connection.
+  /// Simulates that the caller closes its connection.
   void Leave() {
     m_gone = true;
     if (const auto on_gone = std::exchange(m_on_gone, nullptr))
       on_gone();
   }
 
-  /// Heads that were sent: one for each sound answer.
+  /// Number of heads sent. A correct response has exactly one; a Send() after a
+  /// complete response counts as 2.
   int m_heads = 0;
   int m_status = 0;
   Headers m_headers;
   std::string m_body;
-  /// The answer came to its end.
+  /// Whether the response was completed.
   bool m_whole = false;
 
  private:
--- a/src/libverbenalead/wire/request.h
+++ b/src/libverbenalead/wire/request.h
@@ -7,13 +7,14 @@
 
 namespace verbenalead::wire {
 
-/// How a stream shares a connection with others: chunks of weights yield to
-/// live requests.
+/// Priority of a stream among the streams of one connection: chunks of weights
+/// (kBulk) yield to live requests.
 enum class Priority { kLive, kBulk };
 
-/// A whole request, over HTTP/1.1 or HTTP/2 alike.
+/// A complete request, the same for HTTP/1.1 and HTTP/2.
 struct Request {
-  // No aggregate, for the reason given at ResponseHead.
+  // Keeps Request from being an aggregate: GCC 12 destroys an aggregate
+  // temporary twice inside a co_await expression.
   Request() {}
 
   std::string m_method = "GET";
@@ -21,13 +22,13 @@
   Headers m_headers;
   std::string m_body;
   Priority m_priority = Priority::kLive;
-  /// The IP:port of the sender; set on the receiving side.
+  /// Address (IP:port) of the sender; set on the receiving side.
   std::string m_peer;
 };
 
-/// The path of `request` without its query.
+/// Returns the path of `request` without its query.
 std::string PathOf(const Request& request);
-/// The value of `name` in the query of `request`, or "" where it is absent.
+/// Returns the value of `name` in the query of `request`, or "" if absent.
 std::string QueryValue(const Request& request, const std::string& name);
 
 }  // namespace verbenalead::wire
--- a/src/libverbenalead/wire/response.h
+++ b/src/libverbenalead/wire/response.h
@@ -10,8 +10,8 @@
 
 /// Status and header fields, before any body.
 struct ResponseHead {
-  // A constructor, and so no aggregate: GCC 12 destroys an aggregate temporary
-  // twice where it stands inside a co_await expression.
+  // The constructors keep ResponseHead from being an aggregate: GCC 12 destroys
+  // an aggregate temporary twice inside a co_await expression.
   ResponseHead() = default;
   ResponseHead(int status, Headers headers)
       : m_status(status), m_headers(std::move(headers)) {}
@@ -20,7 +20,7 @@
   Headers m_headers;
 };
 
-/// A whole response.
+/// A complete response.
 struct Response {
   Response() = default;
   Response(int status, Headers headers, std::string body)
@@ -33,7 +33,7 @@
   std::string m_body;
 };
 
-/// A response with a JSON body.
+/// Returns a response with the JSON document `body`.
 inline Response JsonResponse(int status, std::string body) {
   return {status, {{"content-type", "application/json"}}, std::move(body)};
 }
--- a/src/libverbenalead/wire/response_reader.h
+++ b/src/libverbenalead/wire/response_reader.h
@@ -11,22 +11,22 @@
 
 namespace verbenalead::wire {
 
-/// The response to a request that was sent. Destroying it cancels what has not
-/// arrived. Used by one coroutine at a time.
+/// Reads the response to a request that was sent. Destroying the reader cancels
+/// the rest of the response. Used by one coroutine at a time.
 class ResponseReader {
  public:
   virtual ~ResponseReader() = default;
 
-  /// Waits for status and headers until `deadline`.
+  /// Waits until `deadline` for the status and headers.
   virtual Awaitable<AsyncResult<ResponseHead>> ReadHead(TimePoint deadline) = 0;
-  /// The next piece of the body, or nullopt after a proper end. A response
-  /// that was cut is a kBroken failure, never an end.
+  /// Returns the next piece of the body, or nullopt after a regular end. A
+  /// truncated response fails with kBroken and never looks like a regular end.
   virtual Awaitable<AsyncResult<std::optional<std::string>>> ReadBody(
       TimePoint deadline) = 0;
-  /// Trailer fields; complete once ReadBody has returned nullopt.
+  /// Returns the trailer fields; complete after ReadBody has returned nullopt.
   virtual const Headers& trailers() const = 0;
-  /// Ends a read that is waiting, and each later one, with a failure, and
-  /// tells the other side that nothing more is wanted.
+  /// Cancels the response: a pending read and all later ones fail, and the peer
+  /// is notified to stop sending.
   virtual void Cancel() {}
 };
 
--- a/src/libverbenalead/wire/response_writer.h
+++ b/src/libverbenalead/wire/response_writer.h
@@ -10,28 +10,30 @@
 
 namespace verbenalead::wire {
 
-/// The way back to whoever sent a request. Either Send() once, or Start(), any
-/// number of Write()s and Finish(). A handler that returns without finishing
-/// leaves a cut response, which the other side sees as broken, never as an end.
-/// Each call returns false once the other side has gone. Used by one coroutine
-/// at a time.
+/// Sends the response to the client of a request. Call either Send() once, or
+/// Start(), any number of Write()s and Finish(). If a handler returns without
+/// finishing, the response is truncated, and the client detects it as broken
+/// rather than complete. All four functions return false after the client has
+/// disconnected. Used by one coroutine at a time.
 class ResponseWriter {
  public:
   virtual ~ResponseWriter() = default;
 
   virtual Awaitable<bool> Send(Response response) = 0;
   virtual Awaitable<bool> Start(ResponseHead head) = 0;
-  /// Waits while the other side reads slower than we write.
+  /// Suspends the caller while the client reads more slowly than data is
+  /// written.
   virtual Awaitable<bool> Write(std::string bytes) = 0;
   virtual Awaitable<bool> Finish(Headers trailers) = 0;
-  /// True once the other side is known to have gone.
+  /// Whether the client is known to have disconnected.
   virtual bool gone() const = 0;
-  /// Calls `function` once the other side is known to have gone, at once if it
-  /// already is; an empty one unsubscribes.
+  /// Registers `function`, which is called when the client is known to have
+  /// disconnected; immediately if that is already the case. An empty function
+  /// removes the registration.
   virtual void OnGone(std::function<void()> function) { function = nullptr; }
 };
 
-/// Answers one request.
+/// Handles one request and sends its response.
 using Handler = std::function<Awaitable<void>(const Request&, ResponseWriter&)>;
 
 }  // namespace verbenalead::wire
--- a/src/libverbenalead/wire/scripted_client.h
+++ b/src/libverbenalead/wire/scripted_client.h
@@ -17,22 +17,24 @@
 
 namespace verbenalead::wire {
 
-/// One answer that a scripted replica gives.
+/// One scripted response of a simulated replica.
 struct ScriptedAnswer {
-  /// Set: no connection is made, or it breaks before the head.
+  /// If set, the connection fails (kUnreachable) or reading the head fails with
+  /// this code.
   std::optional<FailureCode> m_failure;
   ResponseHead m_head;
   std::vector<std::string> m_pieces;
-  /// The connection breaks after the last piece.
+  /// Whether the connection breaks after the last piece.
   bool m_breaks = false;
-  /// How long nothing comes before the head.
+  /// Delay before the head.
   Duration m_head_silence{};
-  /// The same before a piece, by its number from 0 on.
+  /// Delay before a piece of the body, by the index of the piece (from 0).
   std::map<size_t, Duration> m_silences;
 };
 
-/// Stands for replicas in tests: gives the answers of a script in order and
-/// keeps what it was sent.
+/// A Client for tests that simulates replicas: returns scripted responses in
+/// order and records the requests. Fails with kUnreachable when no response is
+/// left.
 class ScriptedClient : public Client {
  public:
   Awaitable<AsyncResult<std::unique_ptr<ResponseReader>>>
@@ -52,10 +54,10 @@
 
   std::deque<ScriptedAnswer> m_answers;
   std::vector<Request> m_requests;
-  /// Until when each head, and each piece, was waited for.
+  /// The deadline of each read of a head and of a piece of the body.
   std::vector<TimePoint> m_head_deadlines;
   std::vector<TimePoint> m_body_deadlines;
-  /// Answers whose reading was cancelled.
+  /// Number of responses that were cancelled.
   size_t m_cancelled = 0;
 
  private:
@@ -100,7 +102,8 @@
     }
 
    private:
-    /// Why the wait ended before its time; absent: the silence is over.
+    /// Waits for `silence`. Returns why the wait ended early (cancelled or past
+    /// `deadline`), or nullopt after the full time.
     Awaitable<std::optional<FailureCode>> WaitInSilence(Duration silence,
                                                         TimePoint deadline) {
       const TimePoint silence_end = Now() + silence;
