--- a/src/libverbenalead/base/large_blocks.cc
+++ b/src/libverbenalead/base/large_blocks.cc
@@ -5,17 +5,18 @@
 namespace verbenalead {
 namespace {
 
-/// Above the largest chunk (16 MB) and the buffers around it.
-constexpr int kLargestKept = 32 << 20;
-/// Freed memory kept at the end of the heap; a daemon may use 256 MB besides
-/// the weights.
-constexpr int kMostKept = 64 << 20;
+/// Blocks below this size come from the heap instead of mmap. It is larger than
+/// the largest chunk (16 MB) with the buffers around it.
+constexpr int kMmapThresholdBytes = 32 << 20;
+/// Amount of freed memory retained at the end of the heap. A daemon may use
+/// 256 MB of memory in addition to the weights.
+constexpr int kTrimThresholdBytes = 64 << 20;
 
 }  // namespace
 
 void KeepLargeBlocks() {
-  mallopt(M_MMAP_THRESHOLD, kLargestKept);
-  mallopt(M_TRIM_THRESHOLD, kMostKept);
+  mallopt(M_MMAP_THRESHOLD, kMmapThresholdBytes);
+  mallopt(M_TRIM_THRESHOLD, kTrimThresholdBytes);
 }
 
 }  // namespace verbenalead
--- a/src/libverbenalead/base/spawn_test.cc
+++ b/src/libverbenalead/base/spawn_test.cc
@@ -12,7 +12,7 @@
   co_return;
 }
 
-Awaitable<void> Note(bool& done) {
+Awaitable<void> SetDone(bool& done) {
   done = true;
   co_return;
 }
@@ -23,12 +23,13 @@
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // One caller's message makes a handler throw; the others must not notice.
+  // Guards against one caller's message ending the work for all others: the
+  // handler of that message throws.
   void OneFailedTaskDoesNotStopOthers() {
     boost::asio::io_context context;
     bool done = false;
     Spawn(context.get_executor(), Throw(), "throw");
-    Spawn(context.get_executor(), Note(done), "note");
+    Spawn(context.get_executor(), SetDone(done), "note");
     context.run();
     CPPUNIT_ASSERT(done);
   }
--- a/src/libverbenalead/wire/scripted_client.h
+++ b/src/libverbenalead/wire/scripted_client.h
@@ -17,22 +17,24 @@
 
 namespace verbenalead::wire {
 
-/// One answer that a scripted replica gives.
+/// One scripted response of a simulated replica.
 struct ScriptedAnswer {
-  /// Set: no connection is made, or it breaks before the head.
+  /// If set, the connection fails (kUnreachable) or reading the head fails with
+  /// this code.
   std::optional<FailureCode> m_failure;
   ResponseHead m_head;
   std::vector<std::string> m_pieces;
-  /// The connection breaks after the last piece.
+  /// Whether the connection breaks after the last piece.
   bool m_breaks = false;
-  /// How long nothing comes before the head.
+  /// Delay before the head.
   Duration m_head_silence{};
-  /// The same before a piece, by its number from 0 on.
+  /// Delay before a piece of the body, by the index of the piece (from 0).
   std::map<size_t, Duration> m_silences;
 };
 
-/// Stands for replicas in tests: gives the answers of a script in order and
-/// keeps what it was sent.
+/// A Client for tests that simulates replicas: returns scripted responses in
+/// order and records the requests. Fails with kUnreachable when no response is
+/// left.
 class ScriptedClient : public Client {
  public:
   Awaitable<AsyncResult<std::unique_ptr<ResponseReader>>>
@@ -52,10 +54,10 @@
 
   std::deque<ScriptedAnswer> m_answers;
   std::vector<Request> m_requests;
-  /// Until when each head, and each piece, was waited for.
+  /// The deadline of each read of a head and of a piece of the body.
   std::vector<TimePoint> m_head_deadlines;
   std::vector<TimePoint> m_body_deadlines;
-  /// Answers whose reading was cancelled.
+  /// Number of responses that were cancelled.
   size_t m_cancelled = 0;
 
  private:
@@ -67,8 +69,8 @@
     Awaitable<AsyncResult<ResponseHead>> ReadHead(TimePoint deadline) override {
       m_client.m_head_deadlines.push_back(deadline);
       const auto silence = m_answer.m_head_silence;
-      if (const auto ended = co_await WaitInSilence(silence, deadline))
-        co_return Failure{*ended, "read head", "replica", "silent"};
+      if (const auto failure_code = co_await WaitInSilence(silence, deadline))
+        co_return Failure{*failure_code, "read head", "replica", "silent"};
       if (m_answer.m_failure)
         co_return Failure{*m_answer.m_failure, "read head", "replica", "no"};
       co_return m_answer.m_head;
@@ -79,8 +81,8 @@
       const auto found = m_answer.m_silences.find(m_next);
       if (found != m_answer.m_silences.end()) {
         const Duration silence = std::exchange(found->second, Duration());
-        if (const auto ended = co_await WaitInSilence(silence, deadline))
-          co_return Failure{*ended, "read body", "replica", "silent"};
+        if (const auto failure_code = co_await WaitInSilence(silence, deadline))
+          co_return Failure{*failure_code, "read body", "replica", "silent"};
       }
       if (m_cancelled)
         co_return Failure{FailureCode::kCancelled, "read body", "replica", ""};
@@ -100,20 +102,21 @@
     }
 
    private:
-    /// Why the wait ended before its time; absent: the silence is over.
+    /// Waits for `silence`. Returns why the wait ended early (cancelled or past
+    /// `deadline`), or nullopt after the full time.
     Awaitable<std::optional<FailureCode>> WaitInSilence(Duration silence,
                                                         TimePoint deadline) {
-      const TimePoint over = Now() + silence;
+      const TimePoint silence_end = Now() + silence;
       if (silence > Duration() && !m_cancelled) {
         m_timer.emplace(co_await boost::asio::this_coro::executor,
-                        std::min(over, deadline));
+                        std::min(silence_end, deadline));
         boost::system::error_code ignored;
         co_await m_timer->async_wait(
             boost::asio::redirect_error(boost::asio::use_awaitable, ignored));
       }
       if (m_cancelled)
         co_return FailureCode::kCancelled;
-      if (silence > Duration() && over > deadline)
+      if (silence > Duration() && silence_end > deadline)
         co_return FailureCode::kTimeout;
       co_return std::nullopt;
     }
