--- a/src/libverbenalead/backends/request_signature_test.cc
+++ b/src/libverbenalead/backends/request_signature_test.cc
@@ -12,13 +12,13 @@
 
 class RequestSignatureTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RequestSignatureTest);
-  CPPUNIT_TEST(AgreesWithThePublishedExample);
-  CPPUNIT_TEST(CoversTheBody);
+  CPPUNIT_TEST(MatchesPublishedExample);
+  CPPUNIT_TEST(CoversBody);
   CPPUNIT_TEST_SUITE_END();
 
  public:
   /// The worked example of the Signature Version 4 documentation.
-  void AgreesWithThePublishedExample() {
+  void MatchesPublishedExample() {
     wire::Request request;
     request.m_path = "/?Version=2010-05-08&Action=ListUsers";
     request.m_headers["content-type"] =
@@ -36,19 +36,19 @@
   }
 
   // Somebody between us and the table changes a body. The signature covers the
-  // digest of the body, so the service sees that it is not ours.
-  void CoversTheBody() {
+  // digest of the body, so the service sees that it is not original.
+  void CoversBody() {
     const auto now =
         std::chrono::system_clock::time_point(std::chrono::seconds(1440938160));
-    wire::Request ours;
-    ours.m_body = "a";
-    wire::Request changed = ours;
+    wire::Request original;
+    original.m_body = "a";
+    wire::Request changed = original;
     changed.m_body = "b";
-    SignRequest(kKey, "dynamodb", "10.0.0.1:8000", now, ours);
+    SignRequest(kKey, "dynamodb", "10.0.0.1:8000", now, original);
     SignRequest(kKey, "dynamodb", "10.0.0.1:8000", now, changed);
     CPPUNIT_ASSERT_EQUAL(std::string("20150830T123600Z"),
-                         ours.m_headers.at("x-amz-date"));
-    CPPUNIT_ASSERT(ours.m_headers.at("authorization") !=
+                         original.m_headers.at("x-amz-date"));
+    CPPUNIT_ASSERT(original.m_headers.at("authorization") !=
                    changed.m_headers.at("authorization"));
   }
 };
--- a/src/libverbenalead/front/call_parser.cc
+++ b/src/libverbenalead/front/call_parser.cc
@@ -70,9 +70,10 @@
 uint64_t FingerprintOf(const wire::Request& request,
                        const std::string& organisation) {
   const std::string key = wire::Get(request.m_headers, kIdempotencyKeyHeader);
-  const std::string& what = key.empty() ? request.m_body : key;
+  const std::string& content = key.empty() ? request.m_body : key;
   return decide::MixHash(
-      organisation + "\n" + request.m_method + request.m_path + "\n" + what, 0);
+      organisation + "\n" + request.m_method + request.m_path + "\n" + content,
+      0);
 }
 
 Result<Duration> ReadTimeout(const wire::Request& request) {
--- a/src/libverbenalead/front/call_parser_test.cc
+++ b/src/libverbenalead/front/call_parser_test.cc
@@ -41,15 +41,15 @@
 
 class CallParserTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(CallParserTest);
-  CPPUNIT_TEST(ReadsACompletion);
-  CPPUNIT_TEST(ReadsAServiceCall);
-  CPPUNIT_TEST(AtMostOnceNeedsAKey);
-  CPPUNIT_TEST(TellsWrongFromUnknown);
-  CPPUNIT_TEST(AnyBodyIsTakenOrRefused);
+  CPPUNIT_TEST(ParsesCompletion);
+  CPPUNIT_TEST(ParsesServiceCall);
+  CPPUNIT_TEST(NonIdempotentRequestNeedsKey);
+  CPPUNIT_TEST(DistinguishesInvalidFromNotFound);
+  CPPUNIT_TEST(AcceptsOrRejectsAnyBody);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void ReadsACompletion() {
+  void ParsesCompletion() {
     wire::Request request = Completion(kGood);
     request.m_headers[kTimeoutHeader] = "1500";
     request.m_headers[kPriorityHeader] = "u=1, i";
@@ -62,7 +62,7 @@
     CPPUNIT_ASSERT(call->idempotent());
   }
 
-  void ReadsAServiceCall() {
+  void ParsesServiceCall() {
     wire::Request request;
     request.m_path = "/services/ledger/fees/7?full=1";
     request.m_headers[kOrganisationHeader] = "acme";
@@ -72,7 +72,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("/fees/7?full=1"), TargetPath(request));
   }
 
-  void AtMostOnceNeedsAKey() {
+  void NonIdempotentRequestNeedsKey() {
     wire::Request request = Completion(kGood);
     request.m_headers[kIdempotentHeader] = "false";
     CPPUNIT_ASSERT(CodeOf(request) == FailureCode::kInvalid);
@@ -83,7 +83,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("fee-42"), call->idempotency_key());
   }
 
-  void TellsWrongFromUnknown() {
+  void DistinguishesInvalidFromNotFound() {
     for (const char* body :
          {"", "[]", "{}", R"({"model": 1, "prompt": "x"})",
           R"({"model": "breakdowns"})",
@@ -103,7 +103,7 @@
     CPPUNIT_ASSERT(CodeOf(request) == FailureCode::kNotFound);
   }
 
-  void AnyBodyIsTakenOrRefused() {
+  void AcceptsOrRejectsAnyBody() {
     CPPUNIT_ASSERT(rc::check("any body", [](const std::string& body) {
       const auto call = Parse(Completion(body));
       RC_ASSERT(call.has_value() || !call.error().m_reason.empty());
--- a/src/libverbenalead/front/callers_api.cc
+++ b/src/libverbenalead/front/callers_api.cc
@@ -35,8 +35,9 @@
 }
 
 /// The answer to a request that is no call; nullopt for a call.
-std::optional<wire::Response> Simple(const CallersContext& context,
-                                     const wire::Request& request) {
+std::optional<wire::Response> ResponseWithoutCall(
+    const CallersContext& context,
+    const wire::Request& request) {
   const std::string path = wire::PathOf(request);
   if (path == "/healthz")
     return context.m_stopping() ? wire::Response{503, {}, "stopping\n"}
@@ -53,7 +54,7 @@
 Awaitable<void> Answer(std::shared_ptr<const CallersContext> context,
                        const wire::Request& request,
                        wire::ResponseWriter& writer) {
-  if (auto response = Simple(*context, request)) {
+  if (auto response = ResponseWithoutCall(*context, request)) {
     co_await writer.Send(std::move(*response));
     co_return;
   }
@@ -70,9 +71,10 @@
     co_await writer.Send(ToResponse(ProblemFor(call.error(), id)));
     co_return;
   }
-  wire::Request onward = request;
-  onward.m_path = TargetPath(request);
-  co_await context->m_runner->Run(std::move(*call), std::move(onward), writer);
+  wire::Request forwarded = request;
+  forwarded.m_path = TargetPath(request);
+  co_await context->m_runner->Run(std::move(*call), std::move(forwarded),
+                                  writer);
 }
 
 }  // namespace
--- a/src/libverbenalead/front/problem_test.cc
+++ b/src/libverbenalead/front/problem_test.cc
@@ -10,14 +10,14 @@
 
 class ProblemTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ProblemTest);
-  CPPUNIT_TEST(TellsWhetherItRan);
-  CPPUNIT_TEST(TellsWhenToComeBack);
+  CPPUNIT_TEST(ReportsWhetherRequestRan);
+  CPPUNIT_TEST(ReportsRetryDelay);
   CPPUNIT_TEST_SUITE_END();
 
  public:
   // A caller decides by `ran` whether it may send again. Nobody can tell for an
   // unknown outcome, so that one must be null and never false.
-  void TellsWhetherItRan() {
+  void ReportsWhetherRequestRan() {
     const std::pair<model::Outcome, json::value> cases[] = {
         {model::Outcome::kRefused, false},
         {model::Outcome::kFailed, true},
@@ -30,7 +30,7 @@
     }
   }
 
-  void TellsWhenToComeBack() {
+  void ReportsRetryDelay() {
     Problem problem;
     problem.m_retry_after = 1200ms;
     const wire::Response response = ToResponse(problem);
--- a/src/libverbenalead/front/trace_summary_test.cc
+++ b/src/libverbenalead/front/trace_summary_test.cc
@@ -7,12 +7,12 @@
 
 class TraceSummaryTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(TraceSummaryTest);
-  CPPUNIT_TEST(TellsTheOutcome);
-  CPPUNIT_TEST(DoesNotGuess);
+  CPPUNIT_TEST(SummarizesOutcome);
+  CPPUNIT_TEST(ReportsUnknownWithoutOutcome);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void TellsTheOutcome() {
+  void SummarizesOutcome() {
     CPPUNIT_ASSERT_EQUAL(
         std::string("ran: yes, on target-3, version ab, 1 attempt, outcome "
                     "completed"),
@@ -28,7 +28,7 @@
 
   // The entry died before it knew. Whether the request ran to its end can't be
   // told from the target's first line, and must not be.
-  void DoesNotGuess() {
+  void ReportsUnknownWithoutOutcome() {
     CPPUNIT_ASSERT_EQUAL(
         std::string("ran: at least begun, on target-1, version ab, no line "
                     "tells the outcome"),
--- a/src/libverbenalead/http/caller_watch.cc
+++ b/src/libverbenalead/http/caller_watch.cc
@@ -12,7 +12,7 @@
 
 /// How often a connection is looked at on which bytes wait that are not ours
 /// to read yet: a pipelined request, or TLS records.
-constexpr Duration kLookAgain = 200ms;
+constexpr Duration kPollInterval = 200ms;
 
 }  // namespace
 
@@ -51,7 +51,7 @@
     return;
   }
   m_armed = true;
-  m_timer.expires_after(kLookAgain);
+  m_timer.expires_after(kPollInterval);
   m_timer.async_wait(
       [self = shared_from_this()](const boost::system::error_code& error) {
         self->m_armed = false;
--- a/src/libverbenalead/http/client.cc
+++ b/src/libverbenalead/http/client.cc
@@ -24,8 +24,8 @@
 constexpr size_t kMaxIdle = 16;
 /// A read starts small, as one token of a stream is, and grows while pieces
 /// come full: thousands of waiting streams must not hold the largest each.
-constexpr size_t kFirstRead = 4 * 1024;
-constexpr size_t kLargestRead = 64 * 1024;
+constexpr size_t kMinReadBytes = 4 * 1024;
+constexpr size_t kMaxReadBytes = 64 * 1024;
 
 using Stream = std::unique_ptr<beast::tcp_stream>;
 
@@ -54,7 +54,7 @@
     while (!idle.empty()) {
       Stream stream = std::move(idle.back());
       idle.pop_back();
-      if (StillOpen(*stream))
+      if (IsReusable(*stream))
         return stream;
     }
     return nullptr;
@@ -69,7 +69,7 @@
  private:
   /// An idle connection on which something waits to be read has been closed by
   /// the other side (or is out of step): a request sent on it would be lost.
-  static bool StillOpen(beast::tcp_stream& stream) {
+  static bool IsReusable(beast::tcp_stream& stream) {
     beast::error_code error;
     stream.socket().non_blocking(true, error);
     char byte = 0;
@@ -146,7 +146,7 @@
         co_return Broken(error);
       piece.resize(piece.size() - m_parser.get().body().size);
       if (piece.size() == m_read_bytes)
-        m_read_bytes = std::min(2 * m_read_bytes, kLargestRead);
+        m_read_bytes = std::min(2 * m_read_bytes, kMaxReadBytes);
       if (!piece.empty())
         co_return std::optional<std::string>(std::move(piece));
     }
@@ -189,7 +189,7 @@
   bhttp::response_parser<bhttp::buffer_body> m_parser;
   wire::Headers m_trailers;
   bool m_cancelled = false;
-  size_t m_read_bytes = kFirstRead;
+  size_t m_read_bytes = kMinReadBytes;
 };
 
 Awaitable<AsyncResult<Stream>> Connect(asio::any_io_executor executor,
--- a/src/libverbenalead/http/server.cc
+++ b/src/libverbenalead/http/server.cc
@@ -21,17 +21,17 @@
 using StatePtr = std::shared_ptr<ServerState>;
 using Parser = bhttp::request_parser<bhttp::string_body>;
 
-constexpr size_t kFirstRead = 8 * 1024;
+constexpr size_t kReadBytes = 8 * 1024;
 constexpr Duration kHandshakeTimeout = 10s;
 
 /// Counts one request as under way for as long as it lives.
-class Busy {
+class BusyGuard {
  public:
-  explicit Busy(ServerState& state) : m_state(state) { ++m_state.m_busy; }
-  ~Busy() { --m_state.m_busy; }
+  explicit BusyGuard(ServerState& state) : m_state(state) { ++m_state.m_busy; }
+  ~BusyGuard() { --m_state.m_busy; }
 
-  Busy(const Busy&) = delete;
-  Busy& operator=(const Busy&) = delete;
+  BusyGuard(const BusyGuard&) = delete;
+  BusyGuard& operator=(const BusyGuard&) = delete;
 
  private:
   ServerState& m_state;
@@ -98,7 +98,7 @@
   beast::get_lowest_layer(stream).socket().shutdown(tcp::socket::shutdown_send,
                                                     ignored);
   beast::get_lowest_layer(stream).expires_after(1s);
-  std::string rest(kFirstRead, '\0');
+  std::string rest(kReadBytes, '\0');
   while (!ignored) {
     co_await beast::get_lowest_layer(stream).async_read_some(
         asio::buffer(rest), asio::redirect_error(asio::use_awaitable, ignored));
@@ -112,7 +112,7 @@
     co_return true;
   beast::error_code error;
   const size_t size = co_await stream.async_read_some(
-      buffer.prepare(kFirstRead),
+      buffer.prepare(kReadBytes),
       asio::redirect_error(asio::use_awaitable, error));
   buffer.commit(size);
   co_return !error;
@@ -138,10 +138,10 @@
       co_await RefuseBadInput(stream, *state, peer, error);
     co_return false;
   }
-  const bool wants_more = parser.get().keep_alive();
+  const bool client_keeps_alive = parser.get().keep_alive();
   const wire::Request request = RequestFrom(parser, peer);
-  auto keep_alive = [state, wants_more] {
-    return wants_more && !state->m_draining;
+  auto keep_alive = [state, client_keeps_alive] {
+    return client_keeps_alive && !state->m_draining;
   };
   Http1Writer<Stream> writer(stream, limits.m_idle, keep_alive);
   beast::get_lowest_layer(stream).expires_never();
@@ -168,7 +168,7 @@
     if (!co_await AwaitRequest(stream, buffer))
       break;
     kept->set_idle(false);
-    const Busy busy(*state);
+    const BusyGuard busy(*state);
     more = co_await ServeRequest(stream, buffer, state, peer, *watch);
     kept->set_idle(true);
     more = more && !state->m_connections.ended();
--- a/src/libverbenalead/peer/client.cc
+++ b/src/libverbenalead/peer/client.cc
@@ -92,8 +92,9 @@
   }
   if (!session) {
     auto socket = std::make_shared<tcp::socket>(executor);
-    const auto give_up = std::min(deadline, Now() + m_limits.m_silent_after);
-    auto connected = co_await Connect(*socket, endpoint, give_up);
+    const auto connect_deadline =
+        std::min(deadline, Now() + m_limits.m_silent_after);
+    auto connected = co_await Connect(*socket, endpoint, connect_deadline);
     if (!connected)
       co_return connected.error();
     // Somebody else on this thread may have dialled meanwhile.
--- a/src/libverbenalead/peer/credentials.cc
+++ b/src/libverbenalead/peer/credentials.cc
@@ -13,7 +13,7 @@
 namespace {
 
 /// Clocks of hosts differ, and a message may wait in a frozen process.
-constexpr int64_t kValidMilliseconds = 60000;
+constexpr int64_t kMaxProofAgeMs = 60000;
 
 int64_t UnixMilliseconds() {
   return std::chrono::duration_cast<std::chrono::milliseconds>(
@@ -21,13 +21,13 @@
       .count();
 }
 
-bool OnlyReads(const wire::Request& request) {
+bool IsRead(const wire::Request& request) {
   return request.m_method == "GET";
 }
 
 /// What the proof covers. Without the attempt's fields a proof could be taken
 /// from one message and put on another.
-std::string Covered(const wire::Request& request, const std::string& stamp) {
+std::string ProofInput(const wire::Request& request, const std::string& stamp) {
   std::string text = request.m_method + "\n" + request.m_path + "\n" + stamp;
   for (const char* name : {kRequestId, kAttempt, kIncarnation, kPath, kMethod,
                            kOrganisation, kDigest})
@@ -74,18 +74,18 @@
 }
 
 void Credentials::Sign(wire::Request& request) const {
-  if (m_path.empty() || OnlyReads(request))
+  if (m_path.empty() || IsRead(request))
     return;
   const std::vector<std::string> keys = Keys();
   if (keys.empty())
     return;
   const std::string stamp = std::to_string(UnixMilliseconds()) + "." + NewId();
   request.m_headers[kAuthorization] =
-      stamp + "." + HmacSha256(keys.front(), Covered(request, stamp));
+      stamp + "." + HmacSha256(keys.front(), ProofInput(request, stamp));
 }
 
 bool Credentials::Accepts(const wire::Request& request) const {
-  if (m_path.empty() || OnlyReads(request))
+  if (m_path.empty() || IsRead(request))
     return true;
   const std::string proof = wire::Get(request.m_headers, kAuthorization);
   const size_t dot = proof.rfind('.');
@@ -94,12 +94,12 @@
   const std::string stamp = proof.substr(0, dot);
   const int64_t age =
       UnixMilliseconds() - std::strtoll(stamp.c_str(), nullptr, 10);
-  if (std::abs(age) > kValidMilliseconds)
+  if (std::abs(age) > kMaxProofAgeMs)
     return false;
-  const std::string covered = Covered(request, stamp);
+  const std::string input = ProofInput(request, stamp);
   bool good = false;
   for (const std::string& key : Keys())
-    good |= EqualSecrets(HmacSha256(key, covered), proof.substr(dot + 1));
+    good |= EqualSecrets(HmacSha256(key, input), proof.substr(dot + 1));
   return good;
 }
 
--- a/src/libverbenalead/peer/session.cc
+++ b/src/libverbenalead/peer/session.cc
@@ -153,18 +153,18 @@
 
 Awaitable<bool> Session::Probe() {
   const auto self = shared_from_this();
-  const TimePoint asked = Now();
-  const TimePoint give_up = asked + m_state->m_limits.m_probe_timeout;
+  const TimePoint sent_at = Now();
+  const TimePoint deadline = sent_at + m_state->m_limits.m_probe_timeout;
   SendPing();
-  while (!m_state->m_closed && Now() < give_up) {
-    if (m_state->m_last_received >= asked)
+  while (!m_state->m_closed && Now() < deadline) {
+    if (m_state->m_last_received >= sent_at)
       co_return true;
     auto event =
         std::make_shared<asio::steady_timer>(m_state->m_socket.get_executor());
     m_state->m_probes.push_back(event);
-    co_await WaitForEvent(*event, give_up);
+    co_await WaitForEvent(*event, deadline);
   }
-  co_return !m_state->m_closed && m_state->m_last_received >= asked;
+  co_return !m_state->m_closed && m_state->m_last_received >= sent_at;
 }
 
 void Session::Retire() {
