--- a/src/libverbenalead/backends/dynamo_table.cc
+++ b/src/libverbenalead/backends/dynamo_table.cc
@@ -24,7 +24,8 @@
   return {{"pk", Text(partition)}, {"sk", Text(sort)}};
 }
 
-/// Attribute `name` of `item`, of DynamoDB type `type`.
+/// Returns attribute `name` of `item`, which must have the DynamoDB type
+/// `type`.
 Result<std::string> Attribute(const json::object& item,
                               std::string_view name,
                               std::string_view type) {
@@ -83,8 +84,8 @@
   return json::object{{"Put", std::move(put)}};
 }
 
-/// Whether `response` answers a request as done; its failure otherwise. A 5xx
-/// says nothing of whether the write took effect.
+/// Returns true for status 200 and a failure otherwise. A 5xx status becomes
+/// kBroken, because the write may have taken effect.
 AsyncResult<bool> CheckStatus(const wire::Response& response,
                               const char* operation,
                               const Endpoint& endpoint) {
--- a/src/libverbenalead/backends/dynamo_table.h
+++ b/src/libverbenalead/backends/dynamo_table.h
@@ -6,8 +6,9 @@
 
 namespace verbenalead::backends {
 
-/// The table service by the DynamoDB JSON protocol (version 20120810): GetItem,
-/// Query and TransactWriteItems on one table with the keys `pk` and `sk`.
+/// Client of the platform's transactional table over the DynamoDB JSON protocol
+/// (version 20120810). Uses GetItem, Query and TransactWriteItems on one table
+/// with the keys `pk` and `sk`.
 class DynamoTable : public Table {
  public:
   DynamoTable(wire::Client& client,
--- a/src/libverbenalead/backends/engine.h
+++ b/src/libverbenalead/backends/engine.h
@@ -8,18 +8,20 @@
 
 namespace verbenalead::backends {
 
-/// An order to an engine to load one version's weights.
+/// An order to an engine to load the weights of one version.
 struct LoadOrder {
   std::string m_model;
   std::string m_version;
   Digest m_digest;
-  /// Where on loopback the engine reads the weights from.
+  /// URL on loopback from which the engine reads the weights.
   std::string m_weights_url;
-  /// Engines that check it refuse an order with a lower one than they know.
+  /// Fencing token. An engine that checks it refuses an order with a lower
+  /// token than the highest one that it has received.
   uint64_t m_fence = 0;
 };
 
-/// What an engine says that it serves; an empty digest: nothing.
+/// The model that an engine reports as loaded. The digest is empty if no model
+/// is loaded.
 struct EngineStatus {
   std::string m_model;
   Digest m_digest;
@@ -27,23 +29,26 @@
   friend bool operator==(const EngineStatus&, const EngineStatus&) = default;
 };
 
-/// The engine beside a target process, reached over loopback: the OpenAI API
-/// for requests (`/v1/completions`, `/v1/models`) and `/v1/load` for orders.
+/// Client of the inference engine that runs beside a target process and is
+/// reached over loopback. Requests use the OpenAI API (`/v1/completions`,
+/// `/v1/models`), orders to load weights use `/v1/load`.
 class Engine {
  public:
   Engine(wire::Client& client, Endpoint endpoint)
       : m_client(client), m_endpoint(std::move(endpoint)) {}
 
-  /// Orders a load and waits for its end. kTimeout and kBroken leave open what
-  /// the engine serves: ask Status().
+  /// Orders a load and waits until it ends. After kTimeout or kBroken it is
+  /// unknown which version the engine serves; call Status() to find out.
   Awaitable<AsyncResult<EngineStatus>> Load(LoadOrder order,
                                             TimePoint deadline);
   Awaitable<AsyncResult<EngineStatus>> Status(TimePoint deadline);
-  /// Returns when the engine process ends, told by the system as soon as it
-  /// closes an idle connection kept for this; also when the engine closes that
-  /// connection for reasons of its own, or can't be connected to.
+  /// Opens a connection to the engine, sends nothing on it, and returns when
+  /// the connection ends. The operating system closes it as soon as the engine
+  /// process ends, so the end is detected at once. Also returns if the engine
+  /// closes the connection while it keeps running, or if the connection can't
+  /// be made.
   Awaitable<void> WaitWhileConnected();
-  /// Sends a caller's request on.
+  /// Forwards a caller's request to the engine.
   Awaitable<AsyncResult<std::unique_ptr<wire::ResponseReader>>> Send(
       wire::Request request,
       TimePoint deadline);
--- a/src/libverbenalead/backends/host_list.h
+++ b/src/libverbenalead/backends/host_list.h
@@ -9,16 +9,18 @@
 
 namespace verbenalead::backends {
 
-/// The platform's list of live and leaving hosts, in the format of Prometheus
-/// HTTP service discovery at /hosts. It lags behind reality.
+/// Client of the platform's list of live and leaving hosts, which is served at
+/// /hosts in the format of Prometheus HTTP service discovery. The list lags
+/// behind the actual state of the hosts.
 class HostList {
  public:
   HostList(wire::Client& client, Endpoint endpoint, Duration timeout)
       : m_client(client), m_endpoint(std::move(endpoint)), m_timeout(timeout) {}
 
-  /// Where the platform names an entity tag, an unchanged list is not sent
-  /// again: 2,330 hosts make half a megabyte, which each daemon asks for once a
-  /// second. Used by one coroutine at a time.
+  /// Returns the current list. If the platform sends an entity tag, an
+  /// unchanged list is not transferred again: 2,330 hosts make half a megabyte,
+  /// which each daemon requests once a second. Must not be called by several
+  /// coroutines at once.
   Awaitable<AsyncResult<std::vector<model::Host>>> Get();
 
  private:
--- a/src/libverbenalead/backends/object_store.h
+++ b/src/libverbenalead/backends/object_store.h
@@ -8,8 +8,8 @@
 
 namespace verbenalead::backends {
 
-/// The platform's object store, by the S3 REST protocol: PUT and GET of whole
-/// objects and ListObjectsV2 in one bucket.
+/// Client of the platform's object store over the S3 REST protocol: PUT and GET
+/// of whole objects and ListObjectsV2 in one bucket.
 class ObjectStore {
  public:
   ObjectStore(wire::Client& client,
@@ -23,8 +23,8 @@
 
   Awaitable<AsyncResult<bool>> Put(std::string key, std::string bytes);
   Awaitable<AsyncResult<std::string>> Get(std::string key);
-  /// Keys that start with `prefix` and sort after `start_after`, in order, at
-  /// most 1,000.
+  /// Returns the keys that start with `prefix` and sort after `start_after`, in
+  /// order, at most 1,000.
   Awaitable<AsyncResult<std::vector<std::string>>> List(
       std::string prefix,
       std::string start_after = "");
--- a/src/libverbenalead/backends/origin.h
+++ b/src/libverbenalead/backends/origin.h
@@ -7,17 +7,18 @@
 
 namespace verbenalead::backends {
 
-/// The origin of weights: HTTP GET with byte ranges. Its link is shared and
-/// paid for, so every byte drawn is counted by the caller.
+/// Client of the origin from which weights are fetched, by HTTP GET with byte
+/// ranges. The link to the origin is shared and paid for, so callers must count
+/// every byte that they fetch.
 class Origin {
  public:
   Origin(wire::Client& client, Endpoint endpoint, Duration timeout)
       : m_client(client), m_endpoint(std::move(endpoint)), m_timeout(timeout) {}
 
-  /// The whole object at `path`, at most `max_bytes`.
+  /// Fetches the whole object at `path`, at most `max_bytes`.
   Awaitable<AsyncResult<std::string>> Get(std::string path, size_t max_bytes);
-  /// `length` bytes of `path` from `offset`. Fails with kRefused and the
-  /// reason "busy" where the origin limits its rate (429 or 503).
+  /// Fetches `length` bytes of `path` from `offset`. Fails with kRefused and
+  /// the reason "busy" if the origin limits its rate (status 429 or 503).
   Awaitable<AsyncResult<std::string>> GetRange(std::string path,
                                                uint64_t offset,
                                                uint64_t length);
--- a/src/libverbenalead/backends/request_signature.cc
+++ b/src/libverbenalead/backends/request_signature.cc
@@ -34,8 +34,8 @@
   return hex;
 }
 
-/// The query's parameters in order of their names. They are sent
-/// percent-encoded already.
+/// Returns the query's parameters in the order of their names. They are already
+/// percent-encoded in the path.
 std::string CanonicalQuery(const wire::Request& request) {
   const size_t mark = request.m_path.find('?');
   if (mark == std::string::npos)
--- a/src/libverbenalead/backends/request_signature.h
+++ b/src/libverbenalead/backends/request_signature.h
@@ -9,18 +9,18 @@
 
 namespace verbenalead::backends {
 
-/// Signs `request` by AWS Signature Version 4 as published: adds `x-amz-date`,
+/// Signs `request` with AWS Signature Version 4: adds the headers `x-amz-date`,
 /// `x-amz-content-sha256` and `authorization`. `host` is the value of the Host
-/// header, `service` e.g. "dynamodb" or "s3".
+/// header, `service` the name of the service, e.g. "dynamodb" or "s3".
 void SignRequest(const SigningKey& key,
                  const std::string& service,
                  const std::string& host,
                  std::chrono::system_clock::time_point now,
                  wire::Request& request);
 
-/// The Authorization header for `request`, whose headers (with `host` and
-/// `x-amz-date`) are all signed. `payload_digest` is the lower-case hexadecimal
-/// SHA-256 of the body.
+/// Returns the value of the Authorization header for `request`. All headers of
+/// `request` are signed; `host` and `x-amz-date` must be among them.
+/// `payload_digest` is the lower-case hexadecimal SHA-256 of the body.
 std::string Authorization(const SigningKey& key,
                           const std::string& service,
                           const wire::Request& request,
--- a/src/libverbenalead/backends/request_signature_test.cc
+++ b/src/libverbenalead/backends/request_signature_test.cc
@@ -35,8 +35,9 @@
         Authorization(kKey, "iam", request, ToString(Sha256(""))));
   }
 
-  // Somebody between us and the table changes a body. The signature covers the
-  // digest of the body, so the service sees that it is not original.
+  // A body that is changed between this process and the table must not be
+  // accepted. The signature covers the digest of the body, so a different body
+  // needs a different signature.
   void CoversBody() {
     const auto now =
         std::chrono::system_clock::time_point(std::chrono::seconds(1440938160));
--- a/src/libverbenalead/backends/signing_client.h
+++ b/src/libverbenalead/backends/signing_client.h
@@ -9,8 +9,8 @@
 
 namespace verbenalead::backends {
 
-/// Signs each request to one of the platform's services and hands it to another
-/// client. Without a key requests go out unsigned.
+/// Signs each request to one of the platform's services and passes it to
+/// another client. Without a key, requests are sent unsigned.
 class SigningClient : public wire::Client {
  public:
   SigningClient(wire::Client& client,
--- a/src/libverbenalead/backends/signing_key.h
+++ b/src/libverbenalead/backends/signing_key.h
@@ -8,11 +8,11 @@
 
 namespace verbenalead::backends {
 
-/// What the platform's services know us by.
+/// The credentials of this process for the platform's services.
 struct SigningKey {
   std::string m_access_key;
   std::string m_secret;
-  /// The services' own region name, e.g. "us-east-1"; it is part of the
+  /// Region name as the services define it, e.g. "us-east-1"; it is part of the
   /// signature.
   std::string m_service_region;
 
@@ -20,7 +20,8 @@
 };
 
 /// Reads {"access_key": ..., "secret": ..., "region": ...} from the file at
-/// `path`. Fails with kNotFound or kInvalid; the reason never holds the secret.
+/// `path`. Fails with kNotFound or kInvalid; the reason never contains the
+/// secret.
 Result<SigningKey> LoadSigningKey(const std::string& path);
 
 }  // namespace verbenalead::backends
--- a/src/libverbenalead/backends/table.h
+++ b/src/libverbenalead/backends/table.h
@@ -11,11 +11,11 @@
 
 namespace verbenalead::backends {
 
-/// One item of the platform's table, named by partition and sort key.
+/// One item of the platform's table, identified by partition and sort key.
 struct TableItem {
   std::string m_partition;
   std::string m_sort;
-  /// Ours to set; conditions compare it.
+  /// Set by the writer of the item; write conditions compare it.
   uint64_t m_revision = 0;
   std::string m_value;
 
@@ -27,17 +27,17 @@
   enum class Condition { kNone, kAbsent, kRevisionIs };
   TableItem m_item;
   Condition m_condition = Condition::kNone;
-  /// For kRevisionIs.
+  /// The revision that the stored item must have for kRevisionIs.
   uint64_t m_expected_revision = 0;
 };
 
 enum class TransactResult { kCommitted, kConflict };
 
-/// The platform's transactional table service. Tests mock it.
+/// Interface of the platform's transactional table service. Tests mock it.
 ///
-/// A failure of Transact with kTimeout or kBroken means that the write may have
-/// taken effect: its answer is lost, not the write. The caller finds out by
-/// reading what it wrote.
+/// If Transact fails with kTimeout or kBroken, the write may have taken effect
+/// and only its answer may be lost. The caller has to read the items again to
+/// find out.
 class Table {
  public:
   virtual ~Table() = default;
@@ -45,10 +45,12 @@
   virtual Awaitable<AsyncResult<std::optional<TableItem>>> Get(
       std::string partition,
       std::string sort) = 0;
-  /// Items of `partition` after `after_sort` in order, `limit` at most.
+  /// Returns the items of `partition` with a sort key after `after_sort`, in
+  /// order, at most `limit`.
   virtual Awaitable<AsyncResult<std::vector<TableItem>>>
   Query(std::string partition, std::string after_sort, uint32_t limit) = 0;
-  /// All writes or none. kConflict: a condition did not hold.
+  /// Applies all writes or none. kConflict: the condition of a write did not
+  /// hold.
   virtual Awaitable<AsyncResult<TransactResult>> Transact(
       std::vector<TableWrite> writes) = 0;
 };
--- a/src/libverbenalead/front/accepted_change.h
+++ b/src/libverbenalead/front/accepted_change.h
@@ -7,13 +7,15 @@
 
 namespace verbenalead::front {
 
-/// A change that is committed, and who holds it besides the entry that took it.
+/// A committed change, and how many other entries have received it from the
+/// entry that committed it.
 struct AcceptedChange {
   model::Change m_change;
-  /// Other entries known to hold it.
+  /// Number of other entries known to have received the change.
   size_t m_held_by = 0;
-  /// Other entries that there are. None of them holding it means that the loss
-  /// of this entry hides the change until the table is read again.
+  /// Number of other entries. If there are some but none of them has received
+  /// the change, the loss of this entry hides the change until the table is
+  /// read again.
   size_t m_others = 0;
 
   friend bool operator==(const AcceptedChange&,
--- a/src/libverbenalead/front/bearer_check.h
+++ b/src/libverbenalead/front/bearer_check.h
@@ -8,9 +8,10 @@
 
 namespace verbenalead::front {
 
-/// `handler` for requests with `Authorization: Bearer TOKEN` and one of
-/// `tokens`; others get 401. With no tokens every request passes: the daemon
-/// then listens on loopback only.
+/// Returns a handler that passes requests with `Authorization: Bearer TOKEN`,
+/// where TOKEN is one of `tokens`, to `handler` and answers others with 401.
+/// Without tokens every request passes: the daemon then listens on loopback
+/// only.
 wire::Handler RequireBearer(std::vector<std::string> tokens,
                             wire::Handler handler);
 
--- a/src/libverbenalead/front/call_parser.cc
+++ b/src/libverbenalead/front/call_parser.cc
@@ -18,7 +18,8 @@
 constexpr std::string_view kCompletionsPath = "/v1/completions";
 constexpr uint64_t kDefaultTokens = 128;
 constexpr uint64_t kMaxTokens = 1 << 20;
-/// Characters of the prompt that stand for its prefix.
+/// Number of characters at the start of the prompt that are hashed as its
+/// prefix.
 constexpr size_t kPrefixCharacters = 256;
 constexpr size_t kMaxIdLength = 128;
 
@@ -58,7 +59,7 @@
   return name;
 }
 
-/// The organisation's weight; 1 where its limits name none.
+/// Returns the organisation's weight; 1 if its limits don't set one.
 Result<double> WeightOf(const std::string& organisation,
                         const decide::ConfigState& config) {
   const auto& limits = config.m_resources.at({"limits", organisation});
@@ -88,7 +89,8 @@
   return std::min<Duration>(std::chrono::milliseconds(value), kMaxTimeout);
 }
 
-/// The urgency of a Priority header such as "u=1, i" (RFC 9218).
+/// Returns the urgency in a Priority header such as "u=1, i" (RFC 9218); the
+/// default urgency if it is missing or invalid.
 int ReadUrgency(const wire::Request& request) {
   const std::string text = wire::Get(request.m_headers, kPriorityHeader);
   const size_t at = text.find("u=");
--- a/src/libverbenalead/front/call_runner.h
+++ b/src/libverbenalead/front/call_runner.h
@@ -6,14 +6,14 @@
 
 namespace verbenalead::front {
 
-/// Carries a call to a target and its answer back. The entry daemon implements
-/// it; tests of the front mock it.
+/// Runs a call at a target and returns its answer to the caller. The entry
+/// daemon implements it; tests of the HTTP APIs mock it.
 class CallRunner {
  public:
   virtual ~CallRunner() = default;
 
   /// Runs `call`, whose HTTP form is `request`, and writes exactly one answer
-  /// to `writer`: the target's, or a problem document that tells the outcome.
+  /// to `writer`: that of the target, or a problem document with the outcome.
   virtual Awaitable<void> Run(model::Call call,
                               wire::Request request,
                               wire::ResponseWriter& writer) = 0;
--- a/src/libverbenalead/front/callers_api.cc
+++ b/src/libverbenalead/front/callers_api.cc
@@ -34,7 +34,7 @@
   return problem;
 }
 
-/// The answer to a request that is no call; nullopt for a call.
+/// Answers a request that is not a call; nullopt for a call.
 std::optional<wire::Response> ResponseWithoutCall(
     const CallersContext& context,
     const wire::Request& request) {
--- a/src/libverbenalead/front/callers_api.h
+++ b/src/libverbenalead/front/callers_api.h
@@ -11,19 +11,19 @@
 
 namespace verbenalead::front {
 
-/// What the callers' API asks of its daemon.
+/// Functions and objects of the daemon that the callers' API uses.
 struct CallersContext {
   std::function<std::shared_ptr<const decide::ConfigState>()> m_config;
-  /// A new request id.
+  /// Generates a request id.
   std::function<std::string()> m_new_id;
-  /// The addresses that callers may use now, "IP:port" each.
+  /// Returns the addresses that callers may use now, "IP:port" each.
   std::function<std::vector<std::string>()> m_entries;
   std::function<bool()> m_stopping;
   std::function<std::string()> m_metrics;
   CallRunner* m_runner = nullptr;
 };
 
-/// How long a caller keeps the list of entries.
+/// How long a caller may cache the list of entries.
 constexpr Duration kEntriesTtl = 5s;
 
 /// The callers' HTTP API: `POST /v1/completions`, `/services/NAME/...`,
--- a/src/libverbenalead/front/operators_api.cc
+++ b/src/libverbenalead/front/operators_api.cc
@@ -17,7 +17,7 @@
 constexpr std::string_view kResources = "/v1/resources";
 constexpr std::string_view kTrace = "/v1/trace/";
 constexpr std::string_view kDrain = "/v1/drain/";
-/// A watch sends an empty line as a sign of life after this long without news.
+/// A watch sends an empty line as a heartbeat after this long without a change.
 constexpr Duration kWatchHeartbeat = 5s;
 
 wire::Response Error(int status, const std::string& reason) {
@@ -44,7 +44,7 @@
   json::object body{{"error", ToString(failure)}};
   if (!operation.empty())
     body["operation"] = operation;
-  // 504: the write may have taken effect; 503: it has not.
+  // Status 504 means that the write may have taken effect, 503 that it has not.
   return wire::JsonResponse(StatusFor(failure), json::serialize(body) + "\n");
 }
 
@@ -68,7 +68,7 @@
           {"spec", json::parse(change.m_spec, ignored)}};
 }
 
-/// "/v1/resources/KIND/NAME" split; absent parts are empty.
+/// Splits "/v1/resources/KIND/NAME"; missing parts are empty.
 model::ResourceKey KeyOf(const std::string& path) {
   std::string rest = path.substr(kResources.size());
   if (!rest.empty())
@@ -142,7 +142,8 @@
     co_return ErrorFor(accepted.error(), operation);
   json::object body = ShowChange(accepted->m_change);
   body["held_by"] = accepted->m_held_by;
-  // 202: committed, but until the table is read again only this entry knows.
+  // 202: the change is committed, but only this entry has it until the table is
+  // read again.
   const bool hidden = accepted->m_held_by == 0 && accepted->m_others > 0;
   co_return wire::JsonResponse(hidden ? 202 : 200,
                                json::serialize(body) + "\n");
@@ -197,7 +198,8 @@
   while (alive) {
     const auto changes = context->m_changes(after);
     if (!changes) {
-      // The watcher reads slower than changes come. It lists again.
+      // The watcher reads more slowly than changes arrive, and has to list the
+      // resources again.
       co_await writer.Write("{\"error\":\"410 the revision is too old\"}\n");
       co_return;
     }
--- a/src/libverbenalead/front/operators_api.h
+++ b/src/libverbenalead/front/operators_api.h
@@ -6,13 +6,13 @@
 
 namespace verbenalead::front {
 
-/// The operators' HTTP API, on an address of its own:
+/// The operators' HTTP API, served on a separate address:
 ///
 ///     GET    /v1/resources[/KIND[/NAME]]
 ///     PUT    /v1/resources/KIND/NAME    If-Match, X-Operation-Id, X-Operator
 ///     DELETE /v1/resources/KIND/NAME
 ///     GET    /v1/watch?after=REVISION   a stream of JSON lines
-///     GET    /v1/status                 what is in force on each host
+///     GET    /v1/status                 revision, reports of targets
 ///     GET    /v1/trace/REQUEST
 ///     POST   /v1/drain/TARGET
 wire::Handler MakeOperatorsApi(OperatorsContext context);
--- a/src/libverbenalead/front/operators_context.h
+++ b/src/libverbenalead/front/operators_context.h
@@ -18,20 +18,21 @@
 
 namespace verbenalead::front {
 
-/// What the operators' API asks of its daemon.
+/// Functions of the daemon that the operators' API uses.
 struct OperatorsContext {
   std::function<std::shared_ptr<const decide::ConfigState>()> m_config;
-  /// Changes after a revision; nullopt if too old.
+  /// Returns the changes after a revision; nullopt if the revision is too old.
   std::function<std::optional<std::vector<model::Change>>(uint64_t)> m_changes;
-  /// Commits a write and hands it to other entries.
+  /// Commits a write and sends it to the other entries.
   std::function<Awaitable<AsyncResult<AcceptedChange>>(model::ResourceWrite)>
       m_commit;
-  /// Waits until a revision above the given one is in force, or the deadline.
+  /// Waits until a revision above the given one is in force, or until the
+  /// deadline.
   std::function<Awaitable<void>(uint64_t, TimePoint)> m_wait_beyond;
   std::function<std::vector<model::TargetReport>()> m_targets;
-  /// The lines of a request's trace from all processes, in order.
+  /// Returns the lines of a request's trace from all processes, in order.
   std::function<Awaitable<std::vector<std::string>>(std::string)> m_trace;
-  /// Tells a target to leave.
+  /// Orders a target to drain.
   std::function<Awaitable<AsyncResult<bool>>(std::string)> m_drain;
   std::function<std::string()> m_new_id;
   std::string m_host;
--- a/src/libverbenalead/front/problem.cc
+++ b/src/libverbenalead/front/problem.cc
@@ -25,7 +25,7 @@
   return 500;
 }
 
-/// true, false, or null where nobody can tell.
+/// Returns whether the request ran: true, false, or null if that is unknown.
 json::value Ran(model::Outcome outcome) {
   if (outcome == model::Outcome::kUnknown)
     return nullptr;
--- a/src/libverbenalead/front/problem.h
+++ b/src/libverbenalead/front/problem.h
@@ -10,7 +10,7 @@
 
 namespace verbenalead::front {
 
-/// What a caller is told when there is no answer to give.
+/// Describes to a caller why its call has no answer from a target.
 struct Problem {
   model::Outcome m_outcome = model::Outcome::kRefused;
   std::string m_reason;
@@ -18,16 +18,16 @@
   std::string m_target;
   std::string m_version;
   uint32_t m_attempts = 0;
-  /// When to come back; zero: coming back won't help.
+  /// Delay after which the caller may retry; zero: a retry won't help.
   Duration m_retry_after{};
-  /// HTTP status; 0 takes the usual one for the outcome.
+  /// HTTP status; 0 selects the usual one for the outcome.
   int m_status = 0;
 
   friend bool operator==(const Problem&, const Problem&) = default;
 };
 
-/// The problem document (RFC 9457) for `problem`, with Retry-After in whole
-/// seconds, rounded up.
+/// Returns the problem document (RFC 9457) for `problem`, with Retry-After in
+/// whole seconds, rounded up.
 wire::Response ToResponse(const Problem& problem);
 
 }  // namespace verbenalead::front
--- a/src/libverbenalead/front/problem_test.cc
+++ b/src/libverbenalead/front/problem_test.cc
@@ -15,8 +15,9 @@
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // A caller decides by `ran` whether it may send again. Nobody can tell for an
-  // unknown outcome, so that one must be null and never false.
+  // A caller uses `ran` to decide whether a retry is safe. For an unknown
+  // outcome it must be null: with false, the caller might run the request
+  // twice.
   void ReportsWhetherRequestRan() {
     const std::pair<model::Outcome, json::value> cases[] = {
         {model::Outcome::kRefused, false},
--- a/src/libverbenalead/front/trace_summary.cc
+++ b/src/libverbenalead/front/trace_summary.cc
@@ -3,7 +3,8 @@
 namespace verbenalead::front {
 namespace {
 
-/// The value of `key` in `line`; quotes are taken off, escapes are left.
+/// Returns the value of `key` in `line`. Enclosing quotes are removed, escapes
+/// are kept.
 std::string ValueOf(const std::string& line, const std::string& key) {
   const std::string mark = " " + key + "=";
   const size_t at = line.find(mark);
--- a/src/libverbenalead/front/trace_summary.h
+++ b/src/libverbenalead/front/trace_summary.h
@@ -6,13 +6,13 @@
 
 namespace verbenalead::front {
 
-/// What became of a request, in one line, out of the lines of its trace:
+/// Summarizes the trace of a request in one line:
 ///
 ///     ran: yes, on target-3, version 6ad0..., 1 attempt, outcome completed
 ///     ran: no, 2 attempts, outcome refused, reason queue_full
 ///
-/// Where no line tells the outcome, says what is known: that a target let it
-/// in, or nothing.
+/// If no line states the outcome, the summary says what is known: that a target
+/// admitted the request, or nothing.
 std::string SummarizeTrace(const std::vector<std::string>& lines);
 
 }  // namespace verbenalead::front
--- a/src/libverbenalead/front/trace_summary_test.cc
+++ b/src/libverbenalead/front/trace_summary_test.cc
@@ -26,8 +26,9 @@
                         "reason=\"queue full\" request=r"}));
   }
 
-  // The entry died before it knew. Whether the request ran to its end can't be
-  // told from the target's first line, and must not be.
+  // The entry ended before it recorded an outcome. The target's first line
+  // shows only that the request began, so the summary must not claim that it
+  // completed.
   void ReportsUnknownWithoutOutcome() {
     CPPUNIT_ASSERT_EQUAL(
         std::string("ran: at least begun, on target-1, version ab, no line "
--- a/src/libverbenalead/http/caller_watch.cc
+++ b/src/libverbenalead/http/caller_watch.cc
@@ -10,8 +10,9 @@
 namespace verbenalead::http {
 namespace {
 
-/// How often a connection is looked at on which bytes wait that are not ours
-/// to read yet: a pipelined request, or TLS records.
+/// Interval at which a connection is checked while it has unread bytes: a
+/// pipelined request, or TLS records. CallerWatch must not read them, and until
+/// they are read, waiting for the socket to become readable returns at once.
 constexpr Duration kPollInterval = 200ms;
 
 }  // namespace
@@ -60,8 +61,8 @@
       });
 }
 
-/// The state of the connection is asked for rather than its bytes, which may
-/// be a pipelined request or encrypted.
+/// Checks the state of the TCP connection instead of reading from it: pending
+/// bytes may belong to a pipelined request or be encrypted.
 bool CallerWatch::Gone() {
   tcp_info info{};
   socklen_t size = sizeof(info);
--- a/src/libverbenalead/http/caller_watch.h
+++ b/src/libverbenalead/http/caller_watch.h
@@ -8,18 +8,19 @@
 
 namespace verbenalead::http {
 
-/// Notices that a caller closes its connection while its answer is being made.
-/// Nothing is read or written then, so no error would tell; the engine would
-/// go on for a caller that is gone. Belongs to the thread of its socket.
+/// Detects that a caller closes its connection while its answer is being
+/// computed. The server neither reads nor writes during that time, so no I/O
+/// error would report it, and the engine would continue to work for a caller
+/// that is gone. All calls must come from the thread of the socket.
 class CallerWatch : public std::enable_shared_from_this<CallerWatch> {
  public:
   explicit CallerWatch(boost::asio::ip::tcp::socket& socket)
       : m_socket(socket), m_timer(socket.get_executor()) {}
 
-  /// Calls `on_gone`, once, if the caller goes before End().
+  /// Calls `on_gone` once if the caller closes its connection before End().
   void Begin(std::function<void()> on_gone);
   void End();
-  /// The socket is about to be destroyed.
+  /// Must be called before the socket is destroyed.
   void Detach();
 
  private:
--- a/src/libverbenalead/http/client.cc
+++ b/src/libverbenalead/http/client.cc
@@ -20,10 +20,11 @@
 namespace bhttp = boost::beast::http;
 using asio::ip::tcp;
 
-/// Idle connections kept for each endpoint; more are closed.
+/// Maximum number of idle connections kept for each endpoint.
 constexpr size_t kMaxIdle = 16;
-/// A read starts small, as one token of a stream is, and grows while pieces
-/// come full: thousands of waiting streams must not hold the largest each.
+/// Sizes of the read buffer. It starts small, because one token of a stream is
+/// small, and doubles while reads fill it. Otherwise thousands of waiting
+/// streams would each hold a buffer of the largest size.
 constexpr size_t kMinReadBytes = 4 * 1024;
 constexpr size_t kMaxReadBytes = 64 * 1024;
 
@@ -67,8 +68,9 @@
   }
 
  private:
-  /// An idle connection on which something waits to be read has been closed by
-  /// the other side (or is out of step): a request sent on it would be lost.
+  /// Returns false if data is pending on an idle connection: it was closed by
+  /// the other side, or has received bytes that belong to no request. A request
+  /// sent on it would be lost.
   static bool IsReusable(beast::tcp_stream& stream) {
     beast::error_code error;
     stream.socket().non_blocking(true, error);
@@ -92,7 +94,8 @@
 template <typename Socket>
 class Reader : public wire::ResponseReader {
  public:
-  /// `no_body` for the answer to HEAD, whose length speaks of no body.
+  /// `no_body` must be true for the answer to HEAD, whose Content-Length is not
+  /// followed by a body.
   Reader(Pool& pool,
          Endpoint endpoint,
          std::string step,
@@ -227,7 +230,7 @@
   return message;
 }
 
-/// Sends `request` over `stream`, whose connection stands.
+/// Sends `request` over `stream`, which must be connected.
 template <typename Socket>
 Awaitable<AsyncResult<std::unique_ptr<wire::ResponseReader>>> SendOver(
     std::unique_ptr<Socket> stream,
@@ -252,7 +255,8 @@
                                        std::move(stream), no_body, keep));
 }
 
-/// Dials, and checks that the far side's certificate names its IP number.
+/// Connects, and verifies that the server's certificate contains the IP address
+/// of `endpoint`.
 Awaitable<AsyncResult<std::unique_ptr<TlsStream>>>
 ConnectTls(asio::ssl::context& context, Endpoint endpoint, TimePoint deadline) {
   const auto executor = co_await asio::this_coro::executor;
--- a/src/libverbenalead/http/client.h
+++ b/src/libverbenalead/http/client.h
@@ -13,17 +13,18 @@
 
 namespace verbenalead::http {
 
-/// An HTTP/1.1 client on Beast. It keeps idle connections for the next request
-/// to the same endpoint, a set for each thread, so that no connection is ever
-/// touched by two.
+/// An HTTP/1.1 client based on Beast. It keeps idle connections for the next
+/// request to the same endpoint, in a separate pool for each thread, so that no
+/// connection is used by two threads.
 class Client : public wire::Client {
  public:
   Client() = default;
   explicit Client(ClientOptions options) : m_options(options) {}
 
-  /// Speaks TLS from now on, to far sides whose certificate names their IP
-  /// number and was signed by one in `ca_file` (PEM); connections are not kept
-  /// then. To be called before the first request.
+  /// Uses TLS from now on. The certificate of a server must contain the
+  /// server's IP address and be signed by a certificate in `ca_file` (PEM).
+  /// Connections are not kept with TLS. Must be called before the first
+  /// request.
   AsyncResult<bool> UseTls(const std::string& ca_file);
 
   Awaitable<AsyncResult<std::unique_ptr<wire::ResponseReader>>>
--- a/src/libverbenalead/http/client_options.h
+++ b/src/libverbenalead/http/client_options.h
@@ -5,14 +5,15 @@
 
 namespace verbenalead::http {
 
-/// How a client treats its connections.
+/// How a client manages its connections.
 struct ClientOptions {
-  /// Keep connections for later requests. A kept one may have been closed by
-  /// the far side just before the next request goes out, and then nobody knows
-  /// whether that request ran; where that matters, don't keep them.
+  /// Keep connections for later requests. The other side may close a kept
+  /// connection just before the next request is sent, and then it is unknown
+  /// whether that request ran. Set to false where this matters.
   bool m_keep = true;
-  /// Longest time for a connection to be made; zero: up to the deadline of the
-  /// request. A host without power answers nothing at all.
+  /// Maximum time to establish a connection; zero: up to the deadline of the
+  /// request. A host without power doesn't answer at all, so connecting to it
+  /// always takes the full time.
   Duration m_connect_timeout{};
 
   friend bool operator==(const ClientOptions&, const ClientOptions&) = default;
--- a/src/libverbenalead/http/http1_writer.h
+++ b/src/libverbenalead/http/http1_writer.h
@@ -14,12 +14,14 @@
 
 namespace verbenalead::http {
 
-/// Writes one response to one HTTP/1.1 connection; `Stream` is a Beast TCP or
+/// Writes one response to one HTTP/1.1 connection. `Stream` is a Beast TCP or
 /// TLS stream.
 template <typename Stream>
 class Http1Writer : public wire::ResponseWriter {
  public:
-  /// `keep_alive` is asked when the head is written.
+  /// `idle` limits how long a write may make no progress. `keep_alive` is
+  /// called when the response header is written, and returns whether the
+  /// connection stays open.
   Http1Writer(Stream& stream, Duration idle, std::function<bool()> keep_alive)
       : m_stream(stream), m_idle(idle), m_keep_alive(std::move(keep_alive)) {}
 
@@ -84,16 +86,17 @@
       m_on_gone = std::move(function);
   }
 
-  /// The connection was seen to end.
+  /// Records that the connection has ended and calls the function set by
+  /// OnGone().
   void NoteGone() {
     m_gone = true;
     if (const auto on_gone = std::exchange(m_on_gone, nullptr))
       on_gone();
   }
 
-  /// The whole response has been written.
+  /// True if the whole response has been written.
   bool finished() const { return m_finished; }
-  /// The response told the caller that the connection stays open.
+  /// True if the response header announced that the connection stays open.
   bool kept_alive() const { return m_kept_alive; }
 
  private:
--- a/src/libverbenalead/http/kept_connections.h
+++ b/src/libverbenalead/http/kept_connections.h
@@ -8,18 +8,20 @@
 
 namespace verbenalead::http {
 
-/// One connection, as far as others may end it. Belongs to the thread of its
-/// socket.
+/// Handle by which a server can end one of its connections while it waits for a
+/// next request. Belongs to the thread of the socket.
 class KeptConnection {
  public:
   explicit KeptConnection(boost::asio::ip::tcp::socket& socket)
       : m_socket(&socket), m_executor(socket.get_executor()) {}
 
-  /// An answer was sent, and the next request is waited for.
+  /// Sets whether an answer was sent and the connection waits for the next
+  /// request.
   void set_idle(bool idle) { m_idle = idle; }
-  /// The socket is about to be destroyed.
+  /// Must be called before the socket is destroyed.
   void Detach() { m_socket = nullptr; }
-  /// Ends the wait for a next request, if there is one. On its thread.
+  /// Ends the wait for a next request, if there is one. Must be called on the
+  /// thread of the socket.
   void EndIfIdle();
 
   const boost::asio::any_io_executor& executor() const { return m_executor; }
@@ -30,15 +32,15 @@
   bool m_idle = false;
 };
 
-/// The open connections of one server. From any thread.
+/// The open connections of one server. Thread-safe.
 class KeptConnections {
  public:
   using Pointer = std::shared_ptr<KeptConnection>;
 
   void Add(const Pointer& connection);
   void Remove(const Pointer& connection);
-  /// Connections on which a next request is waited for are closed, now and from
-  /// now on.
+  /// Closes the connections that wait for a next request. The server closes any
+  /// other connection after its current answer, see ended().
   void EndIdle();
   bool ended() const;
 
--- a/src/libverbenalead/http/server.cc
+++ b/src/libverbenalead/http/server.cc
@@ -24,7 +24,7 @@
 constexpr size_t kReadBytes = 8 * 1024;
 constexpr Duration kHandshakeTimeout = 10s;
 
-/// Counts one request as under way for as long as it lives.
+/// Counts one request as in progress during the lifetime of the object.
 class BusyGuard {
  public:
   explicit BusyGuard(ServerState& state) : m_state(state) { ++m_state.m_busy; }
@@ -51,7 +51,7 @@
       "{\"outcome\":\"refused\",\"ran\":false,\"title\":\"" + reason + "\"}\n"};
 }
 
-/// What a request that could not be read is told.
+/// Returns the answer to a request that could not be parsed.
 wire::Response ProblemFor(const beast::error_code& error) {
   if (error == bhttp::error::header_limit)
     return Problem(431, "the header is too long");
@@ -92,8 +92,9 @@
   Http1Writer<Stream> writer(stream, state.limits().m_idle,
                              [] { return false; });
   co_await writer.Send(ProblemFor(error));
-  // A connection closed with bytes unread is reset, and the caller might lose
-  // the answer: it is given a moment to read.
+  // TCP resets a connection that is closed with unread bytes, and the caller
+  // might lose the answer. So the server closes only its sending side, and
+  // discards what arrives for up to 1 s while the caller reads the answer.
   beast::error_code ignored;
   beast::get_lowest_layer(stream).socket().shutdown(tcp::socket::shutdown_send,
                                                     ignored);
@@ -105,7 +106,8 @@
   }
 }
 
-/// Waits for the first byte of the next request; false: none will come.
+/// Waits for the first byte of the next request. Returns false if the
+/// connection ends or times out before.
 template <typename Stream>
 Awaitable<bool> AwaitRequest(Stream& stream, beast::flat_buffer& buffer) {
   if (buffer.size() > 0)
@@ -118,7 +120,8 @@
   co_return !error;
 }
 
-/// Reads and answers one request; false: the connection ends.
+/// Reads and answers one request. Returns false if the connection has to be
+/// closed.
 template <typename Stream>
 Awaitable<bool> ServeRequest(Stream& stream,
                              beast::flat_buffer& buffer,
--- a/src/libverbenalead/http/server.h
+++ b/src/libverbenalead/http/server.h
@@ -12,29 +12,31 @@
 
 struct ServerState;
 
-/// An HTTP/1.1 server on Beast, over TCP or TLS. A malformed request is
+/// An HTTP/1.1 server based on Beast, over TCP or TLS. A malformed request is
 /// answered with a problem document whose outcome is `refused`, and its
-/// connection closed; nobody else notices.
+/// connection is closed; other connections are not affected.
 class Server {
  public:
-  /// With `tls`, each new connection takes the certificate that it holds then.
+  /// With `tls`, each new connection uses the certificate that is current when
+  /// it is accepted.
   Server(IoThreads& threads,
          ServerLimits limits,
          wire::Handler handler,
          std::shared_ptr<const TlsKeeper> tls = nullptr);
 
-  /// Starts listening. Port 0 takes a free one.
+  /// Starts listening. Port 0 selects a free port.
   AsyncResult<Endpoint> Listen(const Endpoint& endpoint) {
     return m_listener.Listen(endpoint);
   }
-  /// Stops accepting, and closes connections on which a next request is waited
-  /// for; answers under way are finished.
+  /// Stops accepting and closes connections that wait for a next request.
+  /// Answers in progress are completed.
   void StopAccepting();
-  /// Holds for each request that begins from now on.
+  /// Applies to each request that begins from now on.
   void SetLimits(const ServerLimits& limits);
-  /// From now on each answer tells its caller to close the connection.
+  /// From now on each answer announces that the connection will be closed.
   void Drain();
-  /// Requests under way, from their first byte to the last one of the answer.
+  /// Number of requests in progress, from their first byte to the last byte of
+  /// the answer.
   int busy() const;
 
  private:
--- a/src/libverbenalead/http/server_limits.h
+++ b/src/libverbenalead/http/server_limits.h
@@ -7,15 +7,17 @@
 
 namespace verbenalead::http {
 
-/// What one caller may use up.
+/// Limits on the resources that one caller may use.
 struct ServerLimits {
-  /// Bytes of header; past this 431.
+  /// Maximum size of the request header in bytes; a larger one is answered with
+  /// 431.
   uint32_t m_max_header = 16 * 1024;
-  /// Bytes of body; past this 413.
+  /// Maximum size of the body in bytes; a larger one is answered with 413.
   uint64_t m_max_body = 4 * 1024 * 1024;
-  /// How long a connection may stand idle between or inside requests.
+  /// How long a connection may be idle between requests, and how long writing
+  /// an answer may make no progress.
   Duration m_idle = 60s;
-  /// How long a request may take to come in, from its first byte.
+  /// How long it may take to receive a request, from its first byte.
   Duration m_request = 60s;
 };
 
--- a/src/libverbenalead/http/server_state.h
+++ b/src/libverbenalead/http/server_state.h
@@ -13,7 +13,7 @@
 
 namespace verbenalead::http {
 
-/// What the connections of one server have in common.
+/// State shared by the connections of one server.
 struct ServerState {
   ServerState(ServerLimits limits,
               wire::Handler handler,
@@ -32,11 +32,12 @@
   }
 
   const wire::Handler m_handler;
-  /// Null: plain TCP.
+  /// Null for plain TCP.
   const std::shared_ptr<const TlsKeeper> m_tls;
   KeptConnections m_connections;
   std::atomic<bool> m_draining{false};
-  /// Requests of which a byte has been read and whose answer is not written.
+  /// Number of requests of which a byte has been read and whose answer is not
+  /// completely written.
   std::atomic<int> m_busy{0};
 
  private:
--- a/src/libverbenalead/http/tls_files.h
+++ b/src/libverbenalead/http/tls_files.h
@@ -5,9 +5,10 @@
 
 namespace verbenalead::http {
 
-/// Where a server's certificate is, and the oldest TLS that it speaks.
+/// Paths of a server's certificate and key, and the oldest TLS version that it
+/// accepts.
 struct TlsFiles {
-  /// The certificate and those that vouch for it, PEM.
+  /// The certificate, followed by the certificates of its chain, PEM.
   std::string m_certificate;
   /// Its private key, PEM.
   std::string m_key;
--- a/src/libverbenalead/http/tls_keeper.h
+++ b/src/libverbenalead/http/tls_keeper.h
@@ -13,18 +13,19 @@
 
 namespace verbenalead::http {
 
-/// The certificate that a server shows, read anew without a restart. May be
-/// used from several threads.
+/// Holds the certificate that a server presents, which can be reloaded without
+/// a restart. Thread-safe.
 class TlsKeeper {
  public:
   using Context = std::shared_ptr<boost::asio::ssl::context>;
 
   explicit TlsKeeper(TlsFiles files) : m_files(std::move(files)) {}
 
-  /// Reads the files. On failure the earlier certificate stays in use: a half
-  /// written file must not lock all callers out.
+  /// Reads the files. On failure the previous certificate stays in use, so that
+  /// a partly written file doesn't lock out all callers.
   AsyncResult<bool> Load();
-  /// What new connections use; null before the first Load().
+  /// Returns the TLS context for new connections; null before the first
+  /// successful Load().
   Context current() const;
 
  private:
--- a/src/libverbenalead/peer/client.cc
+++ b/src/libverbenalead/peer/client.cc
@@ -14,7 +14,7 @@
 namespace asio = boost::asio;
 using asio::ip::tcp;
 
-/// The sessions that one thread has dialled, by peer.
+/// The sessions that the client has opened on one thread, by peer.
 class SessionPool : public asio::execution_context::service {
  public:
   static inline asio::execution_context::id id;
@@ -48,7 +48,8 @@
                  reason};
 }
 
-/// Connects `socket` until `deadline`: a SYN into a dead link gets no answer.
+/// Connects `socket`, or fails at `deadline`: a SYN sent over a broken link is
+/// never answered.
 Awaitable<AsyncResult<bool>> Connect(tcp::socket& socket,
                                      Endpoint endpoint,
                                      TimePoint deadline) {
@@ -81,10 +82,10 @@
   auto& pool = asio::use_service<SessionPool>(
       asio::query(executor, asio::execution::context));
   std::shared_ptr<Session> session = pool.Find(endpoint);
-  // A connection that has been quiet may have been dropped by something between
-  // the two hosts, with no error at either end. A request put on it would be
-  // lost; so would the question what became of an earlier one. A PING costs one
-  // round trip, and only after a pause.
+  // A device between the two hosts may have dropped an idle connection without
+  // an error at either end. A request sent on it would be lost, and so would a
+  // query for the outcome of an earlier request. The PING that detects this
+  // costs one round trip, and is sent only if nothing was received recently.
   if (session && !session->fresh() && !co_await session->Probe()) {
     LogLine("connection_doubtful").With("peer", ToString(endpoint)).Warn();
     session->Retire();
@@ -97,7 +98,7 @@
     auto connected = co_await Connect(*socket, endpoint, connect_deadline);
     if (!connected)
       co_return connected.error();
-    // Somebody else on this thread may have dialled meanwhile.
+    // Another coroutine on this thread may have connected in the meantime.
     session = pool.Find(endpoint);
     if (!session) {
       session = Session::Dial(std::move(*socket), m_limits, endpoint);
--- a/src/libverbenalead/peer/client.h
+++ b/src/libverbenalead/peer/client.h
@@ -7,12 +7,13 @@
 
 namespace verbenalead::peer {
 
-/// Sends requests to our other processes over HTTP/2: one connection to each
-/// peer and thread, dialled when first needed and again after it is lost.
+/// Sends requests to other processes of this system over HTTP/2. There is one
+/// connection for each peer and thread, opened on first use and again after it
+/// was lost.
 class Client : public wire::Client {
  public:
-  /// `credentials`, if any, sign what changes something; they must outlive the
-  /// client.
+  /// If `credentials` is not null, it signs the requests that change state; it
+  /// must outlive the client.
   explicit Client(SessionLimits limits,
                   const Credentials* credentials = nullptr)
       : m_limits(limits), m_credentials(credentials) {}
--- a/src/libverbenalead/peer/credentials.cc
+++ b/src/libverbenalead/peer/credentials.cc
@@ -12,7 +12,8 @@
 namespace verbenalead::peer {
 namespace {
 
-/// Clocks of hosts differ, and a message may wait in a frozen process.
+/// Maximum difference between the time of a proof and the current time. The
+/// clocks of hosts differ, and a message may wait in a suspended process.
 constexpr int64_t kMaxProofAgeMs = 60000;
 
 int64_t UnixMilliseconds() {
@@ -25,8 +26,8 @@
   return request.m_method == "GET";
 }
 
-/// What the proof covers. Without the attempt's fields a proof could be taken
-/// from one message and put on another.
+/// Returns the text that the proof covers. It includes the fields of the
+/// attempt: without them, a proof could be copied from one message to another.
 std::string ProofInput(const wire::Request& request, const std::string& stamp) {
   std::string text = request.m_method + "\n" + request.m_path + "\n" + stamp;
   for (const char* name : {kRequestId, kAttempt, kIncarnation, kPath, kMethod,
--- a/src/libverbenalead/peer/credentials.h
+++ b/src/libverbenalead/peer/credentials.h
@@ -11,26 +11,29 @@
 
 namespace verbenalead::peer {
 
-/// Proves to another of our processes that a message which changes something
-/// comes from one that holds the shared key. Not all targets check who gives
-/// them an order, so the processes before them must.
+/// Authenticates messages between processes of this system: a message that
+/// changes state carries a proof that its sender holds the shared key. Some
+/// targets don't check who sends them an order, so the processes in front of
+/// them must.
 ///
-/// HMAC-SHA256 over method, path, time, a nonce, the fields that say which
-/// attempt is meant, and the body's digest; a bearer token would be there for
-/// the taking on any link between hosts, which carry no TLS: chunks of weights
-/// are checked by their digests, and encrypting them costs a core per
-/// 10 Gbit/s. May be used from several threads.
+/// The proof is an HMAC-SHA256 over method, path, time, a nonce, the fields
+/// that identify the attempt, and the digest of the body. A bearer token could
+/// be read on any link between hosts and used again, because these links don't
+/// use TLS: chunks of weights are verified by their digests, and encrypting
+/// them would cost a core per 10 Gbit/s. Thread-safe.
 class Credentials {
  public:
-  /// With an empty `path` nothing is signed and nothing checked.
+  /// If `path` is empty, nothing is signed and nothing is checked.
   explicit Credentials(std::string path) : m_path(std::move(path)) {}
 
-  /// Reads the keys: the first signs, all are accepted, so that a key can be
-  /// replaced host by host. On failure the earlier keys stay.
+  /// Reads the keys. The first key signs and all keys are accepted, so that a
+  /// key can be replaced host by host. On failure the previous keys stay in
+  /// use.
   AsyncResult<bool> Load();
-  /// Adds the proof, unless `request` only reads.
+  /// Adds the proof to `request`, unless it only reads.
   void Sign(wire::Request& request) const;
-  /// True if `request` only reads, or carries a proof not older than a minute.
+  /// True if `request` only reads, or carries a valid proof whose time is
+  /// within a minute of the current time.
   bool Accepts(const wire::Request& request) const;
 
  private:
@@ -41,8 +44,9 @@
   std::vector<std::string> m_keys;
 };
 
-/// `handler` for requests that `credentials` accepts; others are refused as not
-/// run, and logged.
+/// Returns a handler that passes requests that `credentials` accepts to
+/// `handler`. It refuses others as not run, and logs them. `credentials` must
+/// outlive the result.
 wire::Handler RequireCredentials(const Credentials& credentials,
                                  wire::Handler handler);
 
--- a/src/libverbenalead/peer/header_names.h
+++ b/src/libverbenalead/peer/header_names.h
@@ -3,35 +3,40 @@
 
 namespace verbenalead::peer {
 
-// Header fields of an attempt, from entry to target.
+// Header fields of an attempt, sent by an entry to a target.
 constexpr char kRequestId[] = "x-request-id";
-/// Names the call; unique, where the request id is the caller's own.
+/// Identifies the call. Unlike the request id, which the caller may choose, it
+/// is unique.
 constexpr char kCall[] = "x-call";
 constexpr char kAttempt[] = "x-attempt";
 constexpr char kIncarnation[] = "x-incarnation";
 constexpr char kOrganisation[] = "x-organisation";
 constexpr char kPath[] = "x-path";
 constexpr char kMethod[] = "x-method";
-/// Digest of the version that the attempt was placed for.
+/// Digest of the model version for which the target was chosen.
 constexpr char kDigest[] = "x-model-digest";
-/// Milliseconds that the caller still waits.
+/// Time until the caller's deadline in milliseconds.
 constexpr char kDeadline[] = "x-deadline-ms";
-/// The attempt is to be refused, as not run, if more than this many run there.
+/// The target refuses the attempt as not run if it runs more attempts than
+/// this.
 constexpr char kMaxRunning[] = "x-max-running";
-/// The sender's configuration revision: whoever is behind learns it here.
+/// The sender's configuration revision, by which a receiver with an older one
+/// detects that it is out of date.
 constexpr char kRevision[] = "x-config-revision";
-/// The configuration in this answer is what the table held a moment ago.
+/// Set if the sender has just read the configuration in this answer from the
+/// table.
 constexpr char kFromTable[] = "x-config-from-table";
-/// Names the content of a target's report, so that only news is sent again.
+/// Identifies the content of a target's report, so that a report is sent again
+/// only if it has changed.
 constexpr char kReportMark[] = "x-report-mark";
 
-// Field of all messages between our processes that change something.
-/// Proof that the sender holds the peers' key.
+// Header field of all messages between processes that change state.
+/// Proof that the sender holds the shared key of the peers.
 constexpr char kAuthorization[] = "x-peer-authorization";
 
-/// The reason by which a target refuses for kMaxRunning.
+/// The reason of a target that refuses an attempt because of kMaxRunning.
 constexpr char kBusier[] = "target_busier";
-/// The reason by which it refuses for want of room.
+/// The reason of a target that refuses an attempt because it is full.
 constexpr char kFull[] = "target_full";
 
 // Header and trailer fields of the answer.
@@ -39,7 +44,8 @@
 constexpr char kReason[] = "x-reason";
 constexpr char kVersion[] = "x-model-version";
 constexpr char kTarget[] = "x-target";
-/// Attempts that ran at the target when this one came: fresher than a report.
+/// Number of attempts that ran at the target when this one arrived; more recent
+/// than the target's last report.
 constexpr char kRunning[] = "x-running";
 constexpr char kAttempts[] = "x-attempts";
 constexpr char kLength[] = "x-length";
--- a/src/libverbenalead/peer/nghttp2_fields.h
+++ b/src/libverbenalead/peer/nghttp2_fields.h
@@ -14,8 +14,8 @@
 /// Header fields in the order in which they are sent.
 using Fields = std::vector<std::pair<std::string, std::string>>;
 
-/// `fields` for nghttp2, which reads them where they stand: `fields` has to
-/// outlive the result.
+/// Converts `fields` for nghttp2. The result points into `fields`, which must
+/// outlive it.
 std::vector<nghttp2_nv> MakeFields(const Fields& fields);
 
 Fields FieldsOf(const wire::Headers& headers);
--- a/src/libverbenalead/peer/server.h
+++ b/src/libverbenalead/peer/server.h
@@ -7,12 +7,12 @@
 
 namespace verbenalead::peer {
 
-/// Accepts HTTP/2 connections from our other processes.
+/// Accepts HTTP/2 connections from other processes of this system.
 class Server {
  public:
   Server(IoThreads& threads, SessionLimits limits, wire::Handler handler);
 
-  /// Starts listening. Port 0 takes a free one.
+  /// Starts listening. Port 0 selects a free port.
   AsyncResult<Endpoint> Listen(const Endpoint& endpoint) {
     return m_listener.Listen(endpoint);
   }
--- a/src/libverbenalead/peer/session.cc
+++ b/src/libverbenalead/peer/session.cc
@@ -286,7 +286,8 @@
     const bool idle = m_state->m_streams.empty();
     if (idle && m_state->m_retired)
       Close("retired");
-    // The dialling side probes an idle connection when it is next used.
+    // The dialling side checks an idle connection with Probe() before its next
+    // use.
     if (m_state->m_closed || (idle && !m_state->m_handler))
       continue;
     const Duration silence = Now() - m_state->m_last_received;
--- a/src/libverbenalead/peer/session.h
+++ b/src/libverbenalead/peer/session.h
@@ -10,64 +10,71 @@
 
 namespace verbenalead::peer {
 
-/// What one HTTP/2 connection between our processes may use up, and how soon
-/// silence counts as loss.
+/// Limits of one HTTP/2 connection between processes of this system, and the
+/// times after which a connection without received data counts as lost.
 struct SessionLimits {
-  /// Bytes of one request's body; past this the stream is reset.
+  /// Maximum size of a request's body in bytes; the stream of a larger one is
+  /// reset.
   size_t m_max_body = size_t{16} << 20;
-  /// Bytes a stream may hold that its reader has not taken: 10,000 streams
-  /// whose callers all stand still hold 640 MB, and they never do.
+  /// Maximum number of received bytes that a stream holds for its reader.
+  /// 10,000 streams would hold 640 MB if all their callers stopped reading,
+  /// which never happens.
   int32_t m_stream_window = 64 << 10;
-  /// The same for chunks of weights, of which few are under way.
+  /// The same for streams with chunks of weights, of which only a few are open
+  /// at once.
   int32_t m_bulk_window = 4 << 20;
   int32_t m_connection_window = 32 << 20;
-  /// With streams open and nothing received for this long, a PING is sent.
+  /// A PING is sent if streams are open and nothing was received for this long.
   Duration m_ping_after = 500ms;
-  /// Nothing received for this long, the PING's answer included: the
-  /// connection is given up. A device between two hosts may drop a connection
-  /// without telling either; no error would ever come.
+  /// The connection is closed if nothing was received for this long, not even
+  /// the answer to the PING. A device between two hosts may drop a connection
+  /// without notifying either of them, and then no error is ever reported.
   Duration m_silent_after = 2s;
-  /// The accepting side waits longer: to end an attempt because its entry was
-  /// paused for a moment would put the outcome in doubt for nothing.
+  /// The same for the accepting side, which waits longer: if it ended an
+  /// attempt because the attempt's entry was suspended for a moment, the
+  /// outcome would be unknown without need.
   Duration m_accepted_silent_after = 10s;
-  /// A connection that stood idle is asked for a sign of life before a request
-  /// is put on it; this is many round trips between regions. Without it the
-  /// first request after the connection was dropped waits for m_silent_after,
-  /// and its fate is in doubt.
+  /// Before a request is sent on an idle connection, the connection is checked
+  /// with a PING, and replaced if nothing is received within this time, which
+  /// is many round trips between regions. Without the check, the first request
+  /// after the connection was dropped would wait for m_silent_after, and its
+  /// outcome would be unknown.
   Duration m_probe_timeout = 250ms;
-  /// The accepting side pings an idle connection this seldom, so that it
-  /// doesn't keep the sockets of peers that are gone.
+  /// Interval at which the accepting side pings an idle connection, so that it
+  /// closes the sockets of peers that no longer exist.
   Duration m_idle_ping = 60s;
 };
 
-/// One HTTP/2 connection by nghttp2, either side of it. It belongs to one
-/// thread: all calls come from the executor of its socket.
+/// One HTTP/2 connection based on nghttp2, for either side. It belongs to one
+/// thread: all calls must come from the executor of its socket.
 class Session : public std::enable_shared_from_this<Session> {
  public:
-  /// The accepting side; `handler` answers each request.
+  /// Creates the accepting side; `handler` answers each request.
   static std::shared_ptr<Session> Accept(boost::asio::ip::tcp::socket socket,
                                          SessionLimits limits,
                                          wire::Handler handler);
-  /// The dialling side.
+  /// Creates the dialling side.
   static std::shared_ptr<Session> Dial(boost::asio::ip::tcp::socket socket,
                                        SessionLimits limits,
                                        Endpoint endpoint);
   ~Session();
 
-  /// Opens a stream. Fails with kUnreachable if the session is closed.
+  /// Opens a stream and sends `request` on it. Fails with kUnreachable if no
+  /// stream can be opened.
   AsyncResult<std::unique_ptr<wire::ResponseReader>> Open(
       wire::Request request);
   bool closed() const;
-  /// True if it takes new streams.
+  /// True if new streams can be opened.
   bool usable() const;
-  /// True if something was received within m_ping_after.
+  /// True if something was received within the last m_ping_after.
   bool fresh() const;
-  /// Sends a PING and waits for whatever comes; false if nothing does within
-  /// m_probe_timeout.
+  /// Sends a PING and waits until anything is received; false if nothing is
+  /// within m_probe_timeout.
   Awaitable<bool> Probe();
-  /// Takes no new stream, and closes once its streams have ended.
+  /// Allows no new stream, and closes the connection once its streams have
+  /// ended.
   void Retire();
-  /// Sends GOAWAY: streams under way are finished, no new one is taken.
+  /// Sends GOAWAY: streams in progress are completed, no new one is accepted.
   void Drain();
 
  private:
@@ -81,9 +88,11 @@
   void Flush();
   void Close(const std::string& reason);
   void SendPing();
-  /// How long the other side may be silent now.
+  /// How long the other side may currently send nothing before the connection
+  /// is closed.
   Duration SilenceAllowed() const;
-  // Each loop holds the session alive by `self` from before it first runs.
+  // Each loop keeps the session alive through `self`, which the coroutine owns
+  // before it first runs.
   Awaitable<void> ReadLoop(std::shared_ptr<Session> self);
   Awaitable<void> WriteLoop(std::shared_ptr<Session> self);
   Awaitable<void> WatchForSilence(std::shared_ptr<Session> self);
--- a/src/libverbenalead/peer/session_callbacks.cc
+++ b/src/libverbenalead/peer/session_callbacks.cc
@@ -82,12 +82,13 @@
     nghttp2_session_consume(session, id, size);
     return 0;
   }
-  // Each stream is held back by its own window only: with one for the whole
-  // connection, a few callers that read slowly would hold up all others.
+  // Flow control applies to each stream separately. With a shared window for
+  // the whole connection, a few callers that read slowly would block all
+  // others.
   nghttp2_session_consume_connection(session, size);
   if (state.m_handler) {
-    // A request's body is taken whole, so its window opens again at once;
-    // the limit on its length bounds what is held.
+    // A request's body is stored whole, so its window is opened again at once;
+    // m_max_body bounds the memory.
     nghttp2_session_consume_stream(session, id, size);
     if (stream->m_inbound_bytes + size > state.m_limits.m_max_body) {
       nghttp2_submit_rst_stream(session, NGHTTP2_FLAG_NONE, id,
--- a/src/libverbenalead/peer/session_callbacks.h
+++ b/src/libverbenalead/peer/session_callbacks.h
@@ -7,10 +7,11 @@
 
 namespace verbenalead::peer {
 
-/// A writer waits once this much of its stream has not gone out.
+/// A writer waits while at least this many bytes of its stream are unsent.
 constexpr size_t kMaxOutbound = 1 << 20;
 
-/// nghttp2 calls back into the session through these.
+/// Callbacks by which nghttp2 passes received frames to the session and reads
+/// the data to be sent.
 struct Session::Callbacks {
   static Session& Self(void* user_data);
 
--- a/src/libverbenalead/peer/session_reader.cc
+++ b/src/libverbenalead/peer/session_reader.cc
@@ -51,8 +51,9 @@
   }
   std::string bytes = std::move(m_stream->m_inbound.front());
   m_stream->m_inbound.pop_front();
-  // All that has come, in one piece: a frame holds 16 KB, and to wake the
-  // reader and open the window for each costs more than to copy them.
+  // Returns all received data in one piece. A frame holds 16 KB, and to wake
+  // the reader and open the window for each frame costs more than to copy the
+  // data.
   while (!m_stream->m_inbound.empty()) {
     bytes += m_stream->m_inbound.front();
     m_stream->m_inbound.pop_front();
--- a/src/libverbenalead/peer/session_state.h
+++ b/src/libverbenalead/peer/session_state.h
@@ -18,7 +18,7 @@
 
 using StreamPtr = std::shared_ptr<Stream>;
 
-/// What a session holds; of the thread of its socket.
+/// State of a session, used only on the thread of its socket.
 struct Session::State {
   State(boost::asio::ip::tcp::socket socket, SessionLimits limits)
       : m_socket(std::move(socket)),
@@ -50,10 +50,12 @@
   TimePoint m_last_received;
   bool m_ping_sent = false;
   bool m_retired = false;
-  /// Cancelled when bytes come.
+  /// Timers of the calls of Probe() in progress; cancelled when data is
+  /// received.
   std::vector<std::shared_ptr<boost::asio::steady_timer>> m_probes;
   boost::asio::steady_timer m_watch_timer;
-  /// Requests whose last byte has come, to be answered after mem_recv.
+  /// Streams whose request has been received completely. They are answered
+  /// after nghttp2_session_mem_recv() has returned.
   std::vector<int32_t> m_ready;
   /// Streams whose last frame is in the buffer that is being written.
   std::vector<StreamPtr> m_sent;
--- a/src/libverbenalead/peer/session_writer.cc
+++ b/src/libverbenalead/peer/session_writer.cc
@@ -60,8 +60,9 @@
   m_stream->m_outbound_trailers = std::move(trailers);
   m_stream->m_outbound_finished = true;
   Resume();
-  // A process that stops ends once its attempts are answered: an answer that
-  // is still in this process's memory would be cut off.
+  // A process that stops exits once its attempts are answered, so Finish()
+  // waits until the answer was passed to the socket: what is still in the
+  // memory of the process would be cut off.
   while (!m_stream->m_flushed && !m_session->closed())
     co_await WaitForEvent(m_stream->m_outbound_event, kNever);
   co_return m_stream->m_flushed;
--- a/src/libverbenalead/peer/session_writer.h
+++ b/src/libverbenalead/peer/session_writer.h
@@ -27,7 +27,7 @@
 
   void OnGone(std::function<void()> function) override;
 
-  /// Resets a stream that the handler left unfinished.
+  /// Resets the stream if the handler left the response unfinished.
   void Abandon();
 
  private:
--- a/src/libverbenalead/peer/stream.h
+++ b/src/libverbenalead/peer/stream.h
@@ -12,7 +12,7 @@
 
 namespace verbenalead::peer {
 
-/// What one HTTP/2 stream has received and has yet to send.
+/// Received and unsent data of one HTTP/2 stream.
 struct Stream {
   explicit Stream(const boost::asio::any_io_executor& executor)
       : m_inbound_event(executor), m_outbound_event(executor) {}
@@ -29,7 +29,7 @@
   bool m_closed = false;
   std::string m_closed_reason;
   boost::asio::steady_timer m_inbound_event;
-  /// Opened for bulk data: its window is widened.
+  /// Opened for bulk data: its window is enlarged to m_bulk_window.
   bool m_bulk = false;
 
   // To be sent.
@@ -40,16 +40,17 @@
   bool m_trailers_sent = false;
   wire::Headers m_outbound_trailers;
   boost::asio::steady_timer m_outbound_event;
-  /// The last byte has been handed to the socket.
+  /// The last byte has been passed to the socket.
   bool m_flushed = false;
-  /// Called when the stream is closed before its end was sent.
+  /// Called if the stream is closed before the end of the response was sent.
   std::function<void()> m_on_gone;
 
-  /// Marks the stream closed, and wakes whoever waits for it.
+  /// Marks the stream closed, and wakes the coroutines that wait for it.
+  /// `whole` is false if data may be missing.
   void Close(const std::string& reason, bool whole);
 };
 
-/// Waits until somebody cancels `event` or `deadline` passes.
+/// Waits until `event` is cancelled or `deadline` passes.
 Awaitable<void> WaitForEvent(boost::asio::steady_timer& event,
                              TimePoint deadline);
 
