--- a/src/libverbenalead/front/bearer_check.cc
+++ b/src/libverbenalead/front/bearer_check.cc
@@ -16,10 +16,10 @@
              const wire::Request& request) {
   if (tokens.empty())
     return true;
-  const std::string given = wire::Get(request.m_headers, "authorization");
+  const std::string header = wire::Get(request.m_headers, "authorization");
   bool good = false;
   for (const std::string& token : tokens)
-    good |= EqualSecrets(kBearer + token, given);
+    good |= EqualSecrets(kBearer + token, header);
   return good;
 }
 
--- a/src/libverbenalead/front/operators_api.cc
+++ b/src/libverbenalead/front/operators_api.cc
@@ -80,11 +80,11 @@
 }
 
 wire::Response ListResources(const OperatorsContext& context,
-                             const model::ResourceKey& wanted) {
+                             const model::ResourceKey& filter) {
   const auto config = context.m_config();
   json::array items;
   for (const auto& [key, resource] : config->m_resources) {
-    if (wanted.m_kind.empty() || wanted.m_kind == key.m_kind)
+    if (filter.m_kind.empty() || filter.m_kind == key.m_kind)
       items.push_back(ShowResource(key, resource));
   }
   return wire::JsonResponse(
--- a/src/libverbenalead/http/server.cc
+++ b/src/libverbenalead/http/server.cc
@@ -127,7 +127,7 @@
                              beast::flat_buffer& buffer,
                              StatePtr state,
                              std::string peer,
-                             CallerWatch& watch) {
+                             CallerWatch& monitor) {
   const ServerLimits limits = state->limits();
   beast::get_lowest_layer(stream).expires_after(limits.m_request);
   Parser parser;
@@ -148,37 +148,37 @@
   };
   Http1Writer<Stream> writer(stream, limits.m_idle, keep_alive);
   beast::get_lowest_layer(stream).expires_never();
-  watch.Begin([&writer] { writer.NoteGone(); });
+  monitor.Begin([&writer] { writer.NoteGone(); });
   co_await state->m_handler(request, writer);
-  watch.End();
+  monitor.End();
   co_return writer.finished() && writer.kept_alive();
 }
 
 template <typename Stream>
 Awaitable<void> ServeConnection(Stream& stream, StatePtr state) {
-  auto& lowest = beast::get_lowest_layer(stream);
+  auto& tcp_layer = beast::get_lowest_layer(stream);
   beast::error_code ignored;
-  const auto remote = lowest.socket().remote_endpoint(ignored);
+  const auto remote = tcp_layer.socket().remote_endpoint(ignored);
   const std::string peer =
       remote.address().to_string() + ":" + std::to_string(remote.port());
-  auto watch = std::make_shared<CallerWatch>(lowest.socket());
-  auto kept = std::make_shared<KeptConnection>(lowest.socket());
-  state->m_connections.Add(kept);
+  auto monitor = std::make_shared<CallerWatch>(tcp_layer.socket());
+  auto connection = std::make_shared<KeptConnection>(tcp_layer.socket());
+  state->m_connections.Add(connection);
   beast::flat_buffer buffer;
   bool more = true;
   while (more) {
-    lowest.expires_after(state->limits().m_idle);
+    tcp_layer.expires_after(state->limits().m_idle);
     if (!co_await AwaitRequest(stream, buffer))
       break;
-    kept->set_idle(false);
+    connection->set_idle(false);
     const BusyGuard busy(*state);
-    more = co_await ServeRequest(stream, buffer, state, peer, *watch);
-    kept->set_idle(true);
+    more = co_await ServeRequest(stream, buffer, state, peer, *monitor);
+    connection->set_idle(true);
     more = more && !state->m_connections.ended();
   }
-  state->m_connections.Remove(kept);
-  kept->Detach();
-  watch->Detach();
+  state->m_connections.Remove(connection);
+  connection->Detach();
+  monitor->Detach();
 }
 
 Awaitable<void> ServePlain(tcp::socket socket, StatePtr state) {
--- a/src/libverbenalead/http/tls_keeper.cc
+++ b/src/libverbenalead/http/tls_keeper.cc
@@ -13,9 +13,9 @@
 
 AsyncResult<bool> TlsKeeper::Load() {
   auto context = std::make_shared<ssl::context>(ssl::context::tls_server);
-  const int oldest =
+  const int min_version =
       m_files.m_min_version == kVersion13 ? TLS1_3_VERSION : TLS1_2_VERSION;
-  SSL_CTX_set_min_proto_version(context->native_handle(), oldest);
+  SSL_CTX_set_min_proto_version(context->native_handle(), min_version);
   boost::system::error_code error;
   context->use_certificate_chain_file(m_files.m_certificate, error);
   if (error) {
--- a/src/libverbenalead/peer/client.h
+++ b/src/libverbenalead/peer/client.h
@@ -7,9 +7,8 @@
 
 namespace verbenalead::peer {
 
-/// Sends requests to other processes of this system over HTTP/2. There is one
-/// connection for each peer and thread, opened on first use and again after it
-/// was lost.
+/// Sends requests to other processes of this system over HTTP/2: one connection
+/// to each peer and thread, opened on first use and again after it was lost.
 class Client : public wire::Client {
  public:
   /// If `credentials` is not null, it signs the requests that change state; it
--- a/src/libverbenalead/peer/server.h
+++ b/src/libverbenalead/peer/server.h
@@ -12,7 +12,7 @@
  public:
   Server(IoThreads& threads, SessionLimits limits, wire::Handler handler);
 
-  /// Starts listening. Port 0 selects a free port.
+  /// Starts listening. With port 0, a free port is chosen.
   AsyncResult<Endpoint> Listen(const Endpoint& endpoint) {
     return m_listener.Listen(endpoint);
   }
--- a/src/libverbenalead/peer/session.cc
+++ b/src/libverbenalead/peer/session.cc
@@ -234,11 +234,11 @@
     m_state->m_ping_sent = false;
     for (const auto& probe : std::exchange(m_state->m_probes, {}))
       probe->cancel();
-    const ssize_t taken =
+    const ssize_t consumed =
         nghttp2_session_mem_recv(m_state->m_session, buffer.data(), size);
-    if (taken < 0) {
+    if (consumed < 0) {
       Close(std::string("protocol error: ") +
-            nghttp2_strerror(static_cast<int>(taken)));
+            nghttp2_strerror(static_cast<int>(consumed)));
       co_return;
     }
     auto ready = std::move(m_state->m_ready);
--- a/src/libverbenalead/peer/session_callbacks.cc
+++ b/src/libverbenalead/peer/session_callbacks.cc
@@ -37,9 +37,9 @@
   StreamPtr stream = Self(user_data).m_state->Find(frame->hd.stream_id);
   if (!stream)
     return 0;
-  wire::Headers& into =
+  wire::Headers& headers =
       stream->m_head_done ? stream->m_trailers : stream->m_headers;
-  into[std::string(reinterpret_cast<const char*>(name), name_size)] =
+  headers[std::string(reinterpret_cast<const char*>(name), name_size)] =
       std::string(reinterpret_cast<const char*>(value), value_size);
   return 0;
 }
@@ -129,11 +129,12 @@
   size_t copied = 0;
   while (copied < length && !stream.m_outbound.empty()) {
     const std::string& front = stream.m_outbound.front();
-    const size_t take =
+    const size_t count =
         std::min(length - copied, front.size() - stream.m_outbound_offset);
-    std::memcpy(buffer + copied, front.data() + stream.m_outbound_offset, take);
-    copied += take;
-    stream.m_outbound_offset += take;
+    std::memcpy(buffer + copied, front.data() + stream.m_outbound_offset,
+                count);
+    copied += count;
+    stream.m_outbound_offset += count;
     if (stream.m_outbound_offset == front.size()) {
       stream.m_outbound.pop_front();
       stream.m_outbound_offset = 0;
