--- a/src/libverbenalead/front/problem.h
+++ b/src/libverbenalead/front/problem.h
@@ -20,7 +20,7 @@
   uint32_t m_attempts = 0;
   /// Delay after which the caller may retry; zero: a retry won't help.
   Duration m_retry_after{};
-  /// HTTP status; with 0, the usual status for the outcome.
+  /// HTTP status; 0: the usual one for the outcome.
   int m_status = 0;
 
   friend bool operator==(const Problem&, const Problem&) = default;
--- a/src/libverbenalead/http/server.h
+++ b/src/libverbenalead/http/server.h
@@ -24,7 +24,7 @@
          wire::Handler handler,
          std::shared_ptr<const TlsKeeper> tls = nullptr);
 
-  /// Starts listening. With port 0, a free port is chosen.
+  /// Starts listening. Port 0: any free port.
   AsyncResult<Endpoint> Listen(const Endpoint& endpoint) {
     return m_listener.Listen(endpoint);
   }
--- a/src/libverbenalead/peer/server.h
+++ b/src/libverbenalead/peer/server.h
@@ -12,7 +12,7 @@
  public:
   Server(IoThreads& threads, SessionLimits limits, wire::Handler handler);
 
-  /// Starts listening. With port 0, a free port is chosen.
+  /// Starts listening. Port 0: any free port.
   AsyncResult<Endpoint> Listen(const Endpoint& endpoint) {
     return m_listener.Listen(endpoint);
   }
