--- a/src/libverbenalead/peer/header_names.h
+++ b/src/libverbenalead/peer/header_names.h
@@ -36,7 +36,8 @@
 
 /// The reason of a target that refuses an attempt because of kMaxRunning.
 constexpr char kBusier[] = "target_busier";
-/// The reason of a target that refuses an attempt because it is full.
+/// The reason of a target that refuses an attempt because all its slots are
+/// used.
 constexpr char kFull[] = "target_full";
 
 // Header and trailer fields of the answer.
--- a/src/libverbenalead/peer/session.h
+++ b/src/libverbenalead/peer/session.h
@@ -17,11 +17,11 @@
   /// reset.
   size_t m_max_body = size_t{16} << 20;
   /// Maximum number of received bytes that a stream holds for its reader.
-  /// 10,000 streams would hold 640 MB if all their callers stopped reading,
-  /// which never happens.
+  /// 10,000 streams would hold 640 MB if all their callers stopped reading at
+  /// once, which never happens.
   int32_t m_stream_window = 64 << 10;
-  /// The same for streams with chunks of weights, of which only a few are open
-  /// at once.
+  /// Maximum number of received bytes that a stream with chunks of weights
+  /// holds for its reader. Only a few such streams are open at once.
   int32_t m_bulk_window = 4 << 20;
   int32_t m_connection_window = 32 << 20;
   /// A PING is sent if streams are open and nothing was received for this long.
@@ -30,9 +30,9 @@
   /// the answer to the PING. A device between two hosts may drop a connection
   /// without notifying either of them, and then no error is ever reported.
   Duration m_silent_after = 2s;
-  /// The same for the accepting side, which waits longer: if it ended an
-  /// attempt because the attempt's entry was suspended for a moment, the
-  /// outcome would be unknown without need.
+  /// Used instead of m_silent_after on the accepting side. It is longer: if
+  /// that side ended an attempt because the attempt's entry was suspended for a
+  /// moment, the outcome would be unknown without need.
   Duration m_accepted_silent_after = 10s;
   /// Before a request is sent on an idle connection, the connection is checked
   /// with a PING, and replaced if nothing is received within this time, which
