--- a/src/libverbenalead/http/caller_watch.cc
+++ b/src/libverbenalead/http/caller_watch.cc
@@ -10,9 +10,10 @@
 namespace verbenalead::http {
 namespace {
 
-/// How often a connection is looked at on which bytes wait that are not ours
-/// to read yet: a pipelined request, or TLS records.
-constexpr Duration kLookAgain = 200ms;
+/// Interval at which a connection is checked while it has unread bytes: a
+/// pipelined request, or TLS records. CallerWatch must not read them, and until
+/// they are read, waiting for the socket to become readable returns at once.
+constexpr Duration kPollInterval = 200ms;
 
 }  // namespace
 
@@ -51,7 +52,7 @@
     return;
   }
   m_armed = true;
-  m_timer.expires_after(kLookAgain);
+  m_timer.expires_after(kPollInterval);
   m_timer.async_wait(
       [self = shared_from_this()](const boost::system::error_code& error) {
         self->m_armed = false;
@@ -60,8 +61,8 @@
       });
 }
 
-/// The state of the connection is asked for rather than its bytes, which may
-/// be a pipelined request or encrypted.
+/// Checks the state of the TCP connection instead of reading from it: pending
+/// bytes may belong to a pipelined request or be encrypted.
 bool CallerWatch::Gone() {
   tcp_info info{};
   socklen_t size = sizeof(info);
--- a/src/libverbenalead/http/client.cc
+++ b/src/libverbenalead/http/client.cc
@@ -20,12 +20,13 @@
 namespace bhttp = boost::beast::http;
 using asio::ip::tcp;
 
-/// Idle connections kept for each endpoint; more are closed.
+/// Maximum number of idle connections kept for each endpoint.
 constexpr size_t kMaxIdle = 16;
-/// A read starts small, as one token of a stream is, and grows while pieces
-/// come full: thousands of waiting streams must not hold the largest each.
-constexpr size_t kFirstRead = 4 * 1024;
-constexpr size_t kLargestRead = 64 * 1024;
+/// Sizes of the read buffer. It starts small, because one token of a stream is
+/// small, and doubles while reads fill it. Otherwise thousands of waiting
+/// streams would each hold a buffer of the largest size.
+constexpr size_t kMinReadBytes = 4 * 1024;
+constexpr size_t kMaxReadBytes = 64 * 1024;
 
 using Stream = std::unique_ptr<beast::tcp_stream>;
 
@@ -54,7 +55,7 @@
     while (!idle.empty()) {
       Stream stream = std::move(idle.back());
       idle.pop_back();
-      if (StillOpen(*stream))
+      if (IsReusable(*stream))
         return stream;
     }
     return nullptr;
@@ -67,9 +68,10 @@
   }
 
  private:
-  /// An idle connection on which something waits to be read has been closed by
-  /// the other side (or is out of step): a request sent on it would be lost.
-  static bool StillOpen(beast::tcp_stream& stream) {
+  /// Returns false if data is pending on an idle connection: it was closed by
+  /// the other side, or has received bytes that belong to no request. A request
+  /// sent on it would be lost.
+  static bool IsReusable(beast::tcp_stream& stream) {
     beast::error_code error;
     stream.socket().non_blocking(true, error);
     char byte = 0;
@@ -92,7 +94,8 @@
 template <typename Socket>
 class Reader : public wire::ResponseReader {
  public:
-  /// `no_body` for the answer to HEAD, whose length speaks of no body.
+  /// `no_body` must be true for the answer to HEAD, whose Content-Length is not
+  /// followed by a body.
   Reader(Pool& pool,
          Endpoint endpoint,
          std::string step,
@@ -146,7 +149,7 @@
         co_return Broken(error);
       piece.resize(piece.size() - m_parser.get().body().size);
       if (piece.size() == m_read_bytes)
-        m_read_bytes = std::min(2 * m_read_bytes, kLargestRead);
+        m_read_bytes = std::min(2 * m_read_bytes, kMaxReadBytes);
       if (!piece.empty())
         co_return std::optional<std::string>(std::move(piece));
     }
@@ -189,7 +192,7 @@
   bhttp::response_parser<bhttp::buffer_body> m_parser;
   wire::Headers m_trailers;
   bool m_cancelled = false;
-  size_t m_read_bytes = kFirstRead;
+  size_t m_read_bytes = kMinReadBytes;
 };
 
 Awaitable<AsyncResult<Stream>> Connect(asio::any_io_executor executor,
@@ -227,7 +230,7 @@
   return message;
 }
 
-/// Sends `request` over `stream`, whose connection stands.
+/// Sends `request` over `stream`, which must be connected.
 template <typename Socket>
 Awaitable<AsyncResult<std::unique_ptr<wire::ResponseReader>>> SendOver(
     std::unique_ptr<Socket> stream,
@@ -252,7 +255,8 @@
                                        std::move(stream), no_body, keep));
 }
 
-/// Dials, and checks that the far side's certificate names its IP number.
+/// Connects, and verifies that the server's certificate contains the IP address
+/// of `endpoint`.
 Awaitable<AsyncResult<std::unique_ptr<TlsStream>>>
 ConnectTls(asio::ssl::context& context, Endpoint endpoint, TimePoint deadline) {
   const auto executor = co_await asio::this_coro::executor;
--- a/src/libverbenalead/peer/session.cc
+++ b/src/libverbenalead/peer/session.cc
@@ -153,18 +153,18 @@
 
 Awaitable<bool> Session::Probe() {
   const auto self = shared_from_this();
-  const TimePoint asked = Now();
-  const TimePoint give_up = asked + m_state->m_limits.m_probe_timeout;
+  const TimePoint sent_at = Now();
+  const TimePoint deadline = sent_at + m_state->m_limits.m_probe_timeout;
   SendPing();
-  while (!m_state->m_closed && Now() < give_up) {
-    if (m_state->m_last_received >= asked)
+  while (!m_state->m_closed && Now() < deadline) {
+    if (m_state->m_last_received >= sent_at)
       co_return true;
     auto event =
         std::make_shared<asio::steady_timer>(m_state->m_socket.get_executor());
     m_state->m_probes.push_back(event);
-    co_await WaitForEvent(*event, give_up);
+    co_await WaitForEvent(*event, deadline);
   }
-  co_return !m_state->m_closed && m_state->m_last_received >= asked;
+  co_return !m_state->m_closed && m_state->m_last_received >= sent_at;
 }
 
 void Session::Retire() {
@@ -234,11 +234,11 @@
     m_state->m_ping_sent = false;
     for (const auto& probe : std::exchange(m_state->m_probes, {}))
       probe->cancel();
-    const ssize_t taken =
+    const ssize_t consumed =
         nghttp2_session_mem_recv(m_state->m_session, buffer.data(), size);
-    if (taken < 0) {
+    if (consumed < 0) {
       Close(std::string("protocol error: ") +
-            nghttp2_strerror(static_cast<int>(taken)));
+            nghttp2_strerror(static_cast<int>(consumed)));
       co_return;
     }
     auto ready = std::move(m_state->m_ready);
@@ -286,7 +286,8 @@
     const bool idle = m_state->m_streams.empty();
     if (idle && m_state->m_retired)
       Close("retired");
-    // The dialling side probes an idle connection when it is next used.
+    // The dialling side checks an idle connection with Probe() before its next
+    // use.
     if (m_state->m_closed || (idle && !m_state->m_handler))
       continue;
     const Duration silence = Now() - m_state->m_last_received;
