--- a/src/cmake/check_coroutines.py
+++ b/src/cmake/check_coroutines.py
@@ -1,10 +1,11 @@
-"""Refuses what GCC 12 miscompiles inside co_await expressions.
+"""Rejects coroutine code that GCC 12 miscompiles.
 
-A closure that captures, or an aggregate made in braces, is destroyed twice when
-it is a temporary of a full expression that suspends; so is a temporary of a
-conditional expression that awaits. A coroutine that awaits in a condition and
-declares no variable gets a frame whose parts it looks for at the wrong place, and
-crashes. CONTRIBUTING.md tells what to write instead.
+A capturing closure or a brace-initialised aggregate is destroyed twice if it is
+a temporary of a full expression that suspends; so is a temporary of a
+conditional expression that awaits. In a coroutine that awaits in a condition
+and declares no variable, the generated code uses wrong offsets into the
+coroutine frame, and the program crashes. CONTRIBUTING.md describes the
+alternatives.
 """
 
 import re
--- a/src/cmake/run_clang_tidy.py
+++ b/src/cmake/run_clang_tidy.py
@@ -1,7 +1,7 @@
 """Runs clang-tidy over the project's own sources, several files at a time.
 
-A file that was clean before, and that has not changed since with all it
-includes of ours, is not checked again.
+A file that passed before is skipped if neither the file, nor the project's
+headers that it includes, nor .clang-tidy has changed since.
 """
 
 import concurrent.futures
@@ -23,7 +23,7 @@
 
 
 def own_includes(path, seen):
-    """`path` and all files of ours that it includes."""
+    """Adds `path`, and all project files that it includes, to `seen`."""
     if path in seen:
         return
     seen.add(path)
--- a/src/vlctl/answer.cc
+++ b/src/vlctl/answer.cc
@@ -11,7 +11,7 @@
 
 namespace json = boost::json;
 
-ExitCode CodeFor(int status) {
+ExitCode ExitCodeFor(int status) {
   switch (status) {
     case 200:
     case 202:
@@ -45,9 +45,9 @@
   if (!object)
     return Complain(kFailed, ToString(object.error()));
   out = std::move(*object);
-  if (CodeFor(response->m_status) == kOk)
+  if (ExitCodeFor(response->m_status) == kOk)
     return kOk;
-  return Complain(CodeFor(response->m_status),
+  return Complain(ExitCodeFor(response->m_status),
                   out.contains("error")
                       ? json::value_to<std::string>(out.at("error"))
                       : "status " + std::to_string(response->m_status));
--- a/src/vlctl/answer.h
+++ b/src/vlctl/answer.h
@@ -10,15 +10,19 @@
 
 namespace verbenalead::vlctl {
 
-/// Writes `sentence` on standard error. Returns `code`.
+/// Prints `sentence` to standard error, prefixed by the program's name.
+/// Returns `code`, so that a command can report an error and return at once.
 ExitCode Complain(ExitCode code, const std::string& sentence);
 
-/// The JSON object in `response`, or the exit code for what went wrong, told on
-/// standard error.
+/// Parses the JSON object in the body of `response` into `out`. Returns kOk for
+/// a successful response. Otherwise prints the error to standard error and
+/// returns the exit code that corresponds to the status of the response, or
+/// kFailed if there was no response or its body is not a JSON object.
 ExitCode ReadObject(const AsyncResult<wire::Response>& response,
                     boost::json::object& out);
 
-/// `value` for people: a text without quotes.
+/// Formats `value` for terminal output: a string without quotes, anything else
+/// as JSON.
 std::string Show(const boost::json::value& value);
 
 }  // namespace verbenalead::vlctl
--- a/src/vlctl/apply.cc
+++ b/src/vlctl/apply.cc
@@ -56,9 +56,10 @@
   return kOk;
 }
 
-/// Where the kind of `resource` stands in the order in which kinds name each
-/// other; unknown kinds last.
-size_t OrderOf(const json::object& resource) {
+/// Index of the kind of `resource` in the order of declaration, in which each
+/// kind comes after the kinds that its resources refer to. Unknown kinds come
+/// last.
+size_t DeclarationOrder(const json::object& resource) {
   const json::value* kind = resource.if_contains("kind");
   const std::string name = kind != nullptr ? Show(*kind) : "";
   const std::vector<std::string>& kinds = model::ResourceKinds();
@@ -87,10 +88,11 @@
       return Complain(kBadUse, "a resource must be a JSON object");
     resources.push_back(item.get_object());
   }
-  // What others name is declared first: the order in the file is free.
+  // Declares a resource before those that refer to it, so that the order of the
+  // resources in the file does not matter.
   std::stable_sort(resources.begin(), resources.end(),
                    [](const json::object& a, const json::object& b) {
-                     return OrderOf(a) < OrderOf(b);
+                     return DeclarationOrder(a) < DeclarationOrder(b);
                    });
   size_t number = 0;
   for (const json::object& resource : resources) {
--- a/src/vlctl/commands.h
+++ b/src/vlctl/commands.h
@@ -10,16 +10,19 @@
 
 namespace verbenalead::vlctl {
 
-/// What every command is given.
+/// The client and the options that all commands share.
 struct Context {
   OperatorClient m_client;
-  /// Print JSON for scripts in place of tables.
+  /// Print JSON, for scripts, instead of tables.
   bool m_json = false;
+  /// The operator's name, which the entry records with each write.
   std::string m_operator;
 };
 
-/// Applies each resource of the JSON file: one object or a list of
-/// {"kind", "name", "spec"[, "revision"]}.
+/// Writes each resource of the JSON file at `path`, which holds one object or a
+/// list of objects {"kind", "name", "spec"[, "revision"]}. Stops at the first
+/// resource that is not accepted. `operation` is the operation id of the write;
+/// if it is empty, a new one is generated.
 ExitCode Apply(const Context& context,
                const std::string& path,
                const std::string& operation);
@@ -30,7 +33,8 @@
                 const std::string& kind,
                 const std::string& name,
                 const std::string& operation);
-/// Prints changes after `revision` until interrupted or `count` have come.
+/// Prints each change after `revision`, until interrupted or until `count`
+/// changes were printed. 0: no limit.
 ExitCode Watch(const Context& context,
                std::optional<uint64_t> revision,
                uint64_t count);
@@ -38,11 +42,11 @@
 ExitCode Trace(const Context& context, const std::string& request);
 ExitCode Status(const Context& context);
 
-/// Checks the settings file of `program` ("vlentry" or "vltarget") without
-/// starting it.
+/// Validates the settings file at `path` for `program` ("vlentry" or
+/// "vltarget") without starting the program.
 ExitCode CheckSettings(const std::string& program, const std::string& path);
-/// Writes FILE.manifest.json for a file of weights and prints the spec of its
-/// `version` resource.
+/// Writes the manifest of the weights file at `path` to PATH.manifest.json and
+/// prints the `version` resource that refers to both files.
 ExitCode MakeManifest(const std::string& path,
                       const std::string& model,
                       const std::string& name,
--- a/src/vlctl/exit_code.h
+++ b/src/vlctl/exit_code.h
@@ -3,15 +3,15 @@
 
 namespace verbenalead::vlctl {
 
-/// Exit codes of vlctl.
+/// Exit codes of vlctl, by which scripts tell errors apart.
 enum ExitCode {
   kOk = 0,
   kFailed = 1,    ///< The entry could not be reached, or it failed.
-  kBadUse = 2,    ///< Bad command line, file or settings.
-  kNotFound = 3,  ///< The named thing is not there.
-  kConflict = 4,  ///< Somebody else's write came first.
-  kUnknown = 5,   ///< The write may have taken effect; ask again with the
-                  ///< operation id that was printed.
+  kBadUse = 2,    ///< Invalid command line, file or settings.
+  kNotFound = 3,  ///< The named resource, target or request does not exist.
+  kConflict = 4,  ///< Another write changed the resource first.
+  kUnknown = 5,   ///< The write may have taken effect. Repeating it with the
+                  ///< printed operation id is safe.
 };
 
 }  // namespace verbenalead::vlctl
--- a/src/vlctl/main.cc
+++ b/src/vlctl/main.cc
@@ -11,11 +11,11 @@
 using vlctl::ExitCode;
 
 constexpr char kFooter[] =
-    "Exit codes: 0 done; 1 the entry can't be reached or failed; 2 bad command "
-    "line, file or settings; 3 not found; 4 somebody else's write came first; "
-    "5 unknown: repeat with the printed --operation.";
+    "Exit codes: 0 done; 1 the entry can't be reached or failed; 2 invalid "
+    "command line, file or settings; 3 not found; 4 another write changed the "
+    "resource first; 5 outcome unknown: repeat with the printed --operation.";
 
-/// What the command line says.
+/// Values of the command line's options.
 struct Options {
   std::string m_entry = "127.0.0.1:8081";
   std::string m_output = "table";
@@ -39,7 +39,7 @@
   auto* apply = app.add_subcommand("apply", "declare resources from a file");
   apply->add_option("-f,--file", options.m_file, "JSON file")->required();
   apply->add_option("--operation", options.m_operation,
-                    "operation id; a repeat with the same id is harmless");
+                    "operation id; repeating a write with the same id is safe");
   auto* get = app.add_subcommand("get", "show declared resources");
   get->add_option("kind", options.m_kind, "kind, or all");
   get->add_option("name", options.m_name, "name, or all of the kind");
@@ -47,9 +47,9 @@
   remove->add_option("kind", options.m_kind)->required();
   remove->add_option("name", options.m_name)->required();
   remove->add_option("--operation", options.m_operation, "operation id");
-  auto* watch = app.add_subcommand("watch", "print changes as they come");
+  auto* watch = app.add_subcommand("watch", "print changes as they are made");
   watch->add_option("--after", options.m_revision, "start after this revision");
-  watch->add_option("--count", options.m_count, "end after so many changes");
+  watch->add_option("--count", options.m_count, "exit after this many changes");
 }
 
 void AddFleetCommands(CLI::App& app, Options& options) {
@@ -57,31 +57,33 @@
   auto* status = rollout->add_subcommand("status", "progress on each host");
   status->add_option("pool", options.m_name, "pool")->required();
   auto* pause = rollout->add_subcommand(
-      "pause", "let no further serving host begin to load");
+      "pause", "start no further load on a host that serves");
   pause->add_option("pool", options.m_name, "pool")->required();
   auto* resume =
-      rollout->add_subcommand("resume", "go on, also after a load that failed");
+      rollout->add_subcommand("resume", "resume, also after a failed load");
   resume->add_option("pool", options.m_name, "pool")->required();
   auto* undo = rollout->add_subcommand(
-      "undo", "declare the version before, as a new revision");
+      "undo", "declare the previous version, as a new revision");
   undo->add_option("pool", options.m_name, "pool")->required();
   undo->add_option("--to", options.m_version, "version to go back to");
   rollout->require_subcommand(1);
-  auto* drain = app.add_subcommand("drain", "let a target take nothing new");
+  auto* drain =
+      app.add_subcommand("drain", "make a target refuse new requests");
   drain->add_option("target", options.m_name)->required();
-  auto* trace = app.add_subcommand("trace", "what became of a request");
+  auto* trace = app.add_subcommand(
+      "trace", "show the outcome and the events of a request");
   trace->add_option("request", options.m_name, "request id")->required();
-  app.add_subcommand("status", "what is in force on each host");
+  app.add_subcommand("status", "show state and version of each target");
 }
 
 void AddLocalCommands(CLI::App& app, Options& options) {
   auto* check =
-      app.add_subcommand("check-settings", "check a daemon's settings file");
+      app.add_subcommand("check-settings", "validate a settings file");
   check->add_option("program", options.m_program, "vlentry or vltarget")
       ->required();
   check->add_option("file", options.m_file, "settings file")->required();
   auto* manifest =
-      app.add_subcommand("manifest", "make the manifest of a weights file");
+      app.add_subcommand("manifest", "write the manifest of a weights file");
   manifest->add_option("file", options.m_file, "weights file")->required();
   manifest->add_option("--model", options.m_model, "model")->required();
   manifest->add_option("--name", options.m_name, "version name")->required();
@@ -89,8 +91,9 @@
       ->check(CLI::Range(uint64_t{1024}, uint64_t{16} << 20));
 }
 
-/// Reads the files named on the command line; false: one is bad.
-bool UseFiles(vlctl::OperatorClient& client, const Options& options) {
+/// Loads the token and certificate files named on the command line. Prints an
+/// error and returns false if one of them cannot be used.
+bool LoadCredentials(vlctl::OperatorClient& client, const Options& options) {
   AsyncResult<bool> done = true;
   if (!options.m_token_file.empty())
     done = client.UseToken(options.m_token_file);
@@ -126,7 +129,7 @@
   }
   vlctl::OperatorClient client(*entry,
                                std::chrono::milliseconds(options.m_timeout_ms));
-  if (!UseFiles(client, options))
+  if (!LoadCredentials(client, options))
     return vlctl::kBadUse;
   const vlctl::Context context{client, options.m_output == "json",
                                options.m_operator};
@@ -138,12 +141,13 @@
     return vlctl::Delete(context, options.m_kind, options.m_name,
                          options.m_operation);
   if (command == "watch") {
-    const bool given =
+    const bool has_revision =
         app.get_subcommand("watch")->get_option("--after")->count() > 0;
-    return vlctl::Watch(
-        context,
-        given ? std::optional<uint64_t>(options.m_revision) : std::nullopt,
-        options.m_count);
+    return vlctl::Watch(context,
+                        has_revision
+                            ? std::optional<uint64_t>(options.m_revision)
+                            : std::nullopt,
+                        options.m_count);
   }
   if (command == "rollout")
     return RunRollout(*app.get_subcommands().front(), context, options);
@@ -168,14 +172,16 @@
       ->capture_default_str();
   app.add_option("-o,--output", options.m_output, "table or json")
       ->check(CLI::IsMember({"table", "json"}));
-  app.add_option("--operator", options.m_operator, "name told with writes");
+  app.add_option("--operator", options.m_operator,
+                 "operator name recorded with writes");
   app.add_option("--token-file", options.m_token_file,
                  "file with the operators' token")
       ->envname("VLCTL_TOKEN_FILE");
   app.add_option("--ca-file", options.m_ca_file,
-                 "speak TLS, and trust the certificates in this PEM file")
+                 "connect by TLS, trusting the certificates in this PEM file")
       ->envname("VLCTL_CA_FILE");
-  app.add_option("--timeout", options.m_timeout_ms, "ms to wait");
+  app.add_option("--timeout", options.m_timeout_ms,
+                 "timeout of a request in ms");
   AddResourceCommands(app, options);
   AddFleetCommands(app, options);
   AddLocalCommands(app, options);
--- a/src/vlctl/operator_client.cc
+++ b/src/vlctl/operator_client.cc
@@ -11,9 +11,9 @@
 
 namespace asio = boost::asio;
 
-/// Runs `task` to its end on this thread.
+/// Runs `task` on this thread and returns its result when it has finished.
 template <typename T>
-T RunToEnd(Awaitable<T> task) {
+T RunBlocking(Awaitable<T> task) {
   asio::io_context context(1);
   std::optional<T> result;
   asio::co_spawn(context, std::move(task), [&](std::exception_ptr, T value) {
@@ -84,7 +84,7 @@
   request.m_headers = headers;
   request.m_body = body;
   AddToken(request);
-  return RunToEnd(
+  return RunBlocking(
       wire::Fetch(*m_client, m_entry, std::move(request), Now() + m_timeout));
 }
 
@@ -94,7 +94,8 @@
   wire::Request request;
   request.m_path = path;
   AddToken(request);
-  return RunToEnd(ReadLines(*m_client, m_entry, std::move(request), on_line));
+  return RunBlocking(
+      ReadLines(*m_client, m_entry, std::move(request), on_line));
 }
 
 }  // namespace verbenalead::vlctl
--- a/src/vlctl/operator_client.h
+++ b/src/vlctl/operator_client.h
@@ -14,23 +14,27 @@
 
 namespace verbenalead::vlctl {
 
-/// Asks one entry's operators' API, one request at a time.
+/// Blocking client of the operators' API of one entry. Sends one request at a
+/// time.
 class OperatorClient {
  public:
   OperatorClient(Endpoint entry, Duration timeout)
       : m_entry(std::move(entry)), m_timeout(timeout) {}
 
-  /// Shows the first token in `path` with each request.
+  /// Sends the first token of the file at `path` with each request.
   AsyncResult<bool> UseToken(const std::string& path);
-  /// Speaks TLS, and trusts the certificates in `path`.
+  /// Connects by TLS and trusts the certificates in the PEM file at `path`.
   AsyncResult<bool> UseTls(const std::string& path);
 
+  /// Sends one request and waits for the whole response, for at most the
+  /// timeout given to the constructor.
   AsyncResult<wire::Response> Call(const std::string& method,
                                    const std::string& path,
                                    const wire::Headers& headers = {},
                                    const std::string& body = "") const;
-  /// Hands each line of a streamed answer to `on_line` until that returns
-  /// false or the stream ends.
+  /// Calls `on_line` with each non-empty line of a streamed response, until
+  /// `on_line` returns false or the stream ends. Fails if no bytes arrive for
+  /// 60 s.
   AsyncResult<bool> Follow(
       const std::string& path,
       const std::function<bool(const std::string&)>& on_line) const;
--- a/src/vlctl/rollout_commands.cc
+++ b/src/vlctl/rollout_commands.cc
@@ -19,7 +19,7 @@
 
 constexpr int kBarWidth = 30;
 
-std::string Bar(uint64_t held, uint64_t total) {
+std::string ProgressBar(uint64_t held, uint64_t total) {
   const int filled =
       total == 0 ? 0 : static_cast<int>(held * kBarWidth / total);
   return std::string(static_cast<size_t>(filled), '#') +
@@ -29,7 +29,8 @@
 void PrintHost(const model::TargetReport& report) {
   const bool loading = !report.m_loading.empty();
   const std::string bar =
-      loading ? Bar(report.m_chunks_held, report.m_chunks_total) : Bar(1, 1);
+      loading ? ProgressBar(report.m_chunks_held, report.m_chunks_total)
+              : ProgressBar(1, 1);
   std::string stage = report.m_stage;
   if (!report.m_reason.empty())
     stage += ": " + report.m_reason;
@@ -38,7 +39,7 @@
              stage);
 }
 
-json::object ShowHost(const model::TargetReport& report) {
+json::object HostToJson(const model::TargetReport& report) {
   return {{"host", report.m_name},
           {"stage", report.m_stage},
           {"reason", report.m_reason},
@@ -51,7 +52,7 @@
           {"peer_bytes", report.m_peer_bytes}};
 }
 
-/// The spec of `pool` and the revision that set it.
+/// The spec of a pool and the revision at which it was written.
 struct PoolSpec {
   json::object m_spec;
   std::string m_revision;
@@ -72,7 +73,8 @@
   return kOk;
 }
 
-/// Writes the spec only if nobody else has meanwhile.
+/// Writes the spec by compare-and-swap: the entry refuses the write if the pool
+/// has changed since `spec` was read.
 ExitCode WritePool(const Context& context,
                    const std::string& pool,
                    const PoolSpec& spec) {
@@ -95,20 +97,20 @@
   return kOk;
 }
 
-std::string VersionIn(const json::value* spec) {
+std::string VersionOf(const json::value* spec) {
   if (spec == nullptr || !spec->is_object())
     return "";
   const json::value* version = spec->get_object().if_contains("version");
   return version != nullptr && version->is_string() ? Show(*version) : "";
 }
 
-/// Follows the changes that are still known up to revision `last` for the last
-/// version of `pool` that is not `current`.
-ExitCode FindVersionBefore(const Context& context,
-                           const std::string& pool,
-                           const std::string& current,
-                           uint64_t last,
-                           std::string& out) {
+/// Reads the retained history of changes up to revision `last` and sets `out`
+/// to the most recent version of `pool` other than `current`.
+ExitCode FindPreviousVersion(const Context& context,
+                             const std::string& pool,
+                             const std::string& current,
+                             uint64_t last,
+                             std::string& out) {
   auto followed = context.m_client.Follow(
       "/v1/watch?after=0", [&](const std::string& line) {
         boost::system::error_code error;
@@ -116,7 +118,7 @@
         if (error || !value.is_object())
           return true;
         const json::object& change = value.get_object();
-        const std::string version = VersionIn(change.if_contains("spec"));
+        const std::string version = VersionOf(change.if_contains("spec"));
         if (Show(change.at("kind")) == "pool" &&
             Show(change.at("name")) == pool && !version.empty() &&
             version != current)
@@ -146,7 +148,7 @@
   for (const model::TargetReport& report : targets) {
     if (!context.m_json)
       PrintHost(report);
-    hosts.push_back(ShowHost(report));
+    hosts.push_back(HostToJson(report));
     origin += report.m_origin_bytes;
     peers += report.m_peer_bytes;
   }
@@ -184,17 +186,17 @@
   ExitCode code = ReadPool(context, pool, spec);
   if (code != kOk)
     return code;
-  std::string before = version;
-  if (before.empty()) {
+  std::string previous = version;
+  if (previous.empty()) {
     const json::value current_spec(spec.m_spec);
-    const std::string current = VersionIn(&current_spec);
-    code = FindVersionBefore(
+    const std::string current = VersionOf(&current_spec);
+    code = FindPreviousVersion(
         context, pool, current,
-        std::strtoull(spec.m_revision.c_str(), nullptr, 10), before);
+        std::strtoull(spec.m_revision.c_str(), nullptr, 10), previous);
     if (code != kOk)
       return code;
   }
-  spec.m_spec["version"] = before;
+  spec.m_spec["version"] = previous;
   return WritePool(context, pool, spec);
 }
 
--- a/src/vlctl/rollout_commands.h
+++ b/src/vlctl/rollout_commands.h
@@ -7,15 +7,18 @@
 
 namespace verbenalead::vlctl {
 
-/// Progress of each host of `pool`, and bytes by source.
+/// Prints the progress of each host of `pool`, and how many bytes of weights
+/// came from the origin and from other hosts.
 ExitCode RolloutStatus(const Context& context, const std::string& pool);
-/// Lets no further serving host begin to load, or goes on. Going on also begins
-/// anew after a failed load.
+/// Pauses or resumes the rollout of `pool`. While it is paused, no further host
+/// that serves calls starts to load the new version. Resuming also retries a
+/// rollout that stopped because a load failed.
 ExitCode RolloutPause(const Context& context,
                       const std::string& pool,
                       bool paused);
-/// Declares, as a new revision, the version that the pool had before: `version`
-/// or, where that is empty, the last other one among the changes still known.
+/// Rolls `pool` back by declaring an earlier version as a new revision:
+/// `version` or, if that is empty, the most recent different version in the
+/// history of changes that the entry retains.
 ExitCode RolloutUndo(const Context& context,
                      const std::string& pool,
                      const std::string& version);
--- a/src/vlctl/target_reports.h
+++ b/src/vlctl/target_reports.h
@@ -10,13 +10,15 @@
 
 namespace verbenalead::vlctl {
 
-/// The targets of `pool` ("" for all) from the status of the entry.
+/// Reads the status of the entry into `status`, and appends the reports of the
+/// targets of `pool` (empty: of all pools) to `targets`. Reports that cannot be
+/// parsed are skipped.
 ExitCode ReadTargets(const Context& context,
                      const std::string& pool,
                      boost::json::object& status,
                      std::vector<model::TargetReport>& targets);
 
-/// Whether the target takes requests, in a word or two.
+/// The label that tables show for the target: whether it accepts requests.
 std::string StateOf(const model::TargetReport& report);
 
 }  // namespace verbenalead::vlctl
--- a/testsuite/call_report.py
+++ b/testsuite/call_report.py
@@ -1,10 +1,10 @@
-"""Tells from the logs of entries which calls were on time, late, refused or cut.
+"""Reports, from entries' logs, which calls were on time, late, refused or cut.
 
     python3 testsuite/call_report.py entry-1.log entry-2.log ...
 
-Each file holds what one entry wrote; `-` reads standard input. Prints a table
-by second, and by route, size of the prompt and data centre, with the reasons of
-what wasn't on time.
+Each file is the log of one entry; `-` reads standard input. Prints tables by
+second, route, size of the prompt and data centre, and the most frequent reasons
+why calls were not on time.
 """
 
 import collections
@@ -14,9 +14,9 @@
 FIELD = re.compile(r'(\w+)=("(?:[^"\\]|\\.)*"|\S+)')
 PEER = re.compile(r"^[A-Z]+ \S+ with \S+: ")
 TIME = re.compile(r"time=\S*T(\d\d):(\d\d):(\d\d)")
-# Bounds of the size classes, in prompt tokens.
+# Lower bounds of the size classes, in prompt tokens.
 SIZES = (0, 500, 1000, 2000, 4000)
-# A stream that pauses for longer than this counts as late.
+# A stream with a longer pause between two events counts as late.
 LONGEST_PAUSE_MS = 400
 
 
@@ -25,7 +25,7 @@
 
 
 def outcome(call):
-    """What became of a call, and why it wasn't on time."""
+    """Returns the outcome of a call, and why it was not on time."""
     if call["outcome"] != "delivered":
         return call["outcome"], PEER.sub("", call.get("reason", ""))
     first = int(call.get("first_event_ms", -1))
@@ -51,7 +51,7 @@
 
 
 def read(lines, calls, data_center=""):
-    """Adds the calls of one entry's log to `calls`."""
+    """Appends the calls of one entry's log to `calls`."""
     for line in lines:
         if "event=starting" in line:
             data_center = fields(line).get("data_center", data_center)
@@ -59,7 +59,7 @@
             continue
         call = fields(line)
         if "route" not in call:
-            # Turned away before a route was found.
+            # Refused before a route was found.
             call["route"], call["attempts"] = "-", "0"
         at = TIME.search(line)
         call["second"] = ":".join(at.groups()) if at else "-"
--- a/testsuite/demo.py
+++ b/testsuite/demo.py
@@ -1,7 +1,8 @@
-"""The demonstration: weights from the origin to four targets, then requests.
+"""Demonstration: distributes weights to four targets, then sends requests.
 
-Starts 2 vlentry, 4 vltarget before model engines, 1 before a plain service,
-and the stand-ins. Ends with 0 only if every digest and every answer was right.
+Starts 2 vlentry, 4 vltarget for model engines, 1 vltarget for a plain service,
+and the stand-ins. Exits with 0 only if every digest and every response was
+right.
 """
 
 import argparse
@@ -73,7 +74,7 @@
 
 
 class Checks:
-    """Counts right and wrong answers."""
+    """Prints the result of each check and counts those that failed."""
 
     def __init__(self):
         self.wrong = 0
@@ -101,7 +102,7 @@
 
 
 def check_once(cluster, checks):
-    """A fee confirmation sent twice through two entries runs once."""
+    """Checks that a confirmation sent through two entries runs once."""
     headers = {"x-organisation": "acme", "x-idempotent": "false",
                "idempotency-key": "fee-42"}
     replies = [harness.call(entry["callers"], "POST",
@@ -120,7 +121,7 @@
 
 
 def check_metrics(cluster, checks):
-    """Both daemons tell their metrics in the text exposition format."""
+    """Checks that both daemons export metrics in the text format."""
     entry = harness.call(cluster.entries[0]["callers"], "GET", "/metrics")
     checks.expect("metrics of an entry",
                   b"verbenalead_calls_total" in entry.body)
@@ -142,7 +143,7 @@
 
 
 def check_kill(cluster, digest, checks):
-    """One target dies under load: every outcome told is true."""
+    """Kills a target under load; checks that every reported outcome is true."""
     victim = cluster.processes["target-3"]
     outcomes = {}
     for number in range(40):
--- a/testsuite/fleet.py
+++ b/testsuite/fleet.py
@@ -1,5 +1,5 @@
 """A fleet of entries and plain-service targets for cases and benchmarks of
-configuration, and what can be asked of its processes."""
+configuration, and functions that measure its processes."""
 
 import concurrent.futures
 import json
@@ -14,7 +14,10 @@
 
 
 def start(cluster, entries, targets, log_level="warn", **platform):
-    """All targets stand before one plain service: the measure is control."""
+    """Starts a fleet whose targets share one plain service.
+
+    One service is enough, as only the control traffic is measured.
+    """
     quiet = {"log": {"level": log_level}}
     for number in range(entries):
         cluster.add_entry("entry-%d" % number, **quiet)
@@ -60,14 +63,17 @@
 
 
 class Watchers:
-    """The time at which each entry puts a revision into force, by watches, and
-    the reports of targets by the status of the entries."""
+    """Measures when a revision is in force, by polling the status of the entries,
+    which contains the reports of the targets."""
 
     def __init__(self, cluster):
         self.cluster = cluster
 
     def in_force_everywhere(self, revision, targets, skip=(), timeout=20):
-        """Seconds until all live entries and targets stand at `revision`."""
+        """Returns the seconds until `revision` is in force everywhere.
+
+        Entries named in `skip` are ignored.
+        """
         start_at = time.monotonic()
         entries = [entry for entry in self.cluster.entries
                    if entry["name"] not in skip]
@@ -92,13 +98,13 @@
 
 
 def in_parallel(count, work):
-    """Results of work(0) ... work(count - 1), run at once."""
+    """Runs work(0) ... work(count - 1) concurrently; returns the results."""
     with concurrent.futures.ThreadPoolExecutor(count) as pool:
         return list(pool.map(work, range(count)))
 
 
 class Usage:
-    """CPU seconds and resident bytes of a process."""
+    """CPU time in seconds and resident memory in bytes of a process."""
 
     def __init__(self, process):
         with open("/proc/%d/stat" % process.child.pid) as file:
@@ -109,7 +115,7 @@
 
 
 def wire_bytes(cluster):
-    """Bytes sent and received by connection of each process, by `ss`."""
+    """Bytes sent and received on each connection of each process, as `ss` reports."""
     text = subprocess.run(["ss", "-tinpH"], capture_output=True,
                           text=True).stdout
     names = {process.child.pid: name
@@ -129,7 +135,7 @@
 
 
 def wire_rates(before, after, seconds):
-    """Bytes a second by process."""
+    """Bytes per second by process."""
     rates = {}
     for connection, amount in after.items():
         name = connection[0]
--- a/testsuite/harness.py
+++ b/testsuite/harness.py
@@ -1,7 +1,7 @@
 """Starts real programs and stand-ins on loopback for the demo and the cases.
 
-Only Python's standard library is used. Every process is ended by the id under
-which it was started.
+Uses only Python's standard library. Processes are ended by the process id under
+which they were started.
 """
 
 import concurrent.futures
@@ -19,15 +19,15 @@
 SEED = 20261202
 
 
-# Below the range from which the kernel takes ports for outgoing connections: a
-# port that was free a moment ago could else be some connection's own end when
-# the program that is to listen there starts.
+# Below the kernel's range of ephemeral ports. A port within that range could be
+# taken by an outgoing connection after it was found free and before the program
+# that should listen on it starts.
 PORTS = range(10000, 32000)
 _given = set()
 
 
 def free_ports(count):
-    """Ports that nobody listens on now."""
+    """Returns `count` ports that are free now and were not returned before."""
     sockets = []
     source = random.SystemRandom()
     while len(sockets) < count:
@@ -48,7 +48,7 @@
 
 
 def write_safetensors(path, size, seed=SEED):
-    """Writes a file in the safetensors layout of about `size` bytes."""
+    """Writes a file of about `size` bytes in the safetensors format."""
     tensors = {}
     offset = 0
     tensor_bytes = 4 << 20
@@ -69,7 +69,7 @@
 
 
 class Reply:
-    """Status, headers and body of one HTTP answer; body None if it was cut."""
+    """Status, headers and body of an HTTP response; body None if truncated."""
 
     def __init__(self, status, headers, body):
         self.status = status
@@ -85,7 +85,7 @@
 
 
 def call(address, method, path, body=None, headers=None, timeout=30):
-    """One HTTP request. Raises OSError where no connection is made."""
+    """Sends one HTTP request. Raises OSError if it cannot connect."""
     host, port = address.rsplit(":", 1)
     connection = http.client.HTTPConnection(host, int(port), timeout=timeout)
     try:
@@ -104,7 +104,7 @@
 
 
 def wait_for(what, condition, timeout=60, interval=0.05):
-    """Waits until `condition()` holds; fails the case at `timeout` seconds."""
+    """Waits until `condition()` is true; raises after `timeout` seconds."""
     deadline = time.monotonic() + timeout
     while time.monotonic() < deadline:
         if condition():
@@ -139,7 +139,7 @@
         self.send(signal.SIGCONT)
 
     def stop(self, timeout=40):
-        """Asks for a graceful stop; returns the exit code."""
+        """Requests a graceful stop by SIGTERM; returns the exit code."""
         self.wake()
         self.send(signal.SIGTERM)
         return self.child.wait(timeout)
@@ -175,12 +175,13 @@
         raise AssertionError("no program " + name)
 
     def start_platform_program(self, name, program, settings):
-        """Starts an entry or a target for the users' platform."""
+        """Starts an entry or a target in the mode for the users' platform."""
         return self.start(name, program, settings, ["--platform"])
 
     def start(self, name, program, settings, options=()):
-        # A second process of that name would hide the first, which then nobody
-        # ends: it went on writing into the store of a later run.
+        # A second process of the same name would replace the first in
+        # `processes`, so that stop() would not end the first one, which would
+        # then write into the store of a later run.
         assert name not in self.processes or \
             not self.processes[name].alive(), name + " is running"
         path = self.path(name + ".json")
@@ -267,7 +268,7 @@
         return target
 
     def add_relay(self, target):
-        """Puts a relay before `target`; returns where it takes commands."""
+        """Starts a relay in front of `target`; returns its command address."""
         commands, relay = ["127.0.0.1:%d" % port for port in free_ports(2)]
         for host in self.hosts:
             if host["labels"]["host"] == target["name"]:
@@ -320,7 +321,7 @@
         return done
 
     def apply(self, resources, entry=0):
-        """Declares `resources`, and before them the models of versions."""
+        """Declares the models of all versions in `resources`, then `resources`."""
         resources = resources if isinstance(resources, list) else [resources]
         models = {resource["spec"]["model"] for resource in resources
                   if resource["kind"] == "version"}
@@ -333,7 +334,7 @@
         return self.vlctl("apply", "-f", path, entry=entry)
 
     def make_version(self, name, model, size, seed=SEED, chunk_size=1 << 20):
-        """Writes weights at the origin; returns their version resource."""
+        """Writes a weights file at the origin; returns its version resource."""
         file_name = name + ".safetensors"
         write_safetensors(self.path(file_name), size, seed)
         done = self.vlctl("manifest", self.path(file_name), "--model", model,
@@ -345,7 +346,7 @@
                     "/v1/status").json()
 
     def live(self, digest, entry=0):
-        """Names of the targets where `digest` is in force."""
+        """Names of the targets that serve `digest`."""
         return {target["name"] for target in self.status(entry)["targets"]
                 if target["open"] and target["digest"] == digest}
 
@@ -361,7 +362,7 @@
 
 def declare_model(cluster, size=1 << 20):
     """Declares version v1 of model breakdowns, served by pool drafting to
-    organisation acme. Returns its digest."""
+    organisation acme. Returns the digest of its weights."""
     version = cluster.make_version("v1", "breakdowns", size)
     cluster.apply([
         {"kind": "limits", "name": "acme", "spec": {"weight": 1}}, version,
@@ -371,7 +372,7 @@
 
 
 def expected_text(digest, prompt, tokens):
-    """The stand-in engine's answer."""
+    """The text that the stand-in engine generates."""
     import hashlib
     words = []
     for index in range(tokens):
@@ -390,7 +391,7 @@
 
 
 def confirm(entry, key, body="{}", timeout_ms=20000, service="fee-ledger"):
-    """A non-idempotent call of the plain service."""
+    """Sends a non-idempotent call to the plain service."""
     return call(entry["callers"], "POST", "/services/%s/confirm" % service,
                 body, {"x-organisation": "acme", "x-idempotent": "false",
                        "idempotency-key": key,
@@ -398,7 +399,7 @@
 
 
 def in_parallel(count, function):
-    """Calls `function(number)` in threads of its own; returns the results."""
+    """Calls function(0) ... function(count - 1) in threads; returns the results."""
     with concurrent.futures.ThreadPoolExecutor(count) as pool:
         return list(pool.map(function, range(count)))
 
@@ -411,7 +412,7 @@
 
 
 def wait_open(cluster, count):
-    """Waits until every entry sees `count` targets that take requests."""
+    """Waits until every entry sees `count` targets that accept requests."""
     for entry in range(len(cluster.entries)):
         wait_for("%d open targets" % count, lambda: sum(
             1 for target in cluster.status(entry)["targets"]
@@ -419,7 +420,7 @@
 
 
 def service_runs(*targets):
-    """How often each key ran, over all `targets`."""
+    """Maps each key to how often it ran on all `targets` together."""
     total = {}
     for target in targets:
         for key, runs in call(target["backend"], "GET", "/runs").json().items():
@@ -428,7 +429,7 @@
 
 
 def check_truth(told, runs):
-    """Compares each outcome told, by key, with how often the call ran."""
+    """Checks each reported outcome, by key, against how often the call ran."""
     allowed = {"completed": (1,), "failed": (1,), "refused": (0,),
                "unknown": (0, 1)}
     for key, outcome in told.items():
@@ -438,7 +439,7 @@
 
 
 def streamed_text(reply):
-    """The text of a whole event stream; None if it was cut."""
+    """Returns the text of a complete event stream; None if it was truncated."""
     if reply.body is None:
         return None
     text = ""
@@ -452,7 +453,11 @@
 
 
 def run_case(body):
-    """Runs `body(cluster)` in a folder of its own and ends all it started."""
+    """Runs `body(cluster)` in a temporary folder and ends its processes.
+
+    If `body` raises, prints the last lines of each log. Deletes the folder
+    unless --keep is given.
+    """
     import argparse
     import tempfile
     parser = argparse.ArgumentParser()
--- a/testsuite/load/generator.cc
+++ b/testsuite/load/generator.cc
@@ -45,7 +45,8 @@
 
 Awaitable<void> Generator::RunOpenLoop() {
   const auto executor = co_await asio::this_coro::executor;
-  // Arrivals of many independent callers: exponential gaps.
+  // Exponential gaps between arrivals model many independent callers (a Poisson
+  // process).
   std::exponential_distribution<double> gap(m_options.m_rate);
   for (TimePoint due = Now(); due < m_end; due += Seconds(gap(m_random))) {
     if (due > Now())
@@ -89,7 +90,8 @@
     if (!piece->has_value())
       break;
   }
-  // A stream's outcome is its proper end; an engine names none.
+  // Streams and responses of an engine have no outcome header. For them, a
+  // response that was read to its end is judged by its status.
   if (outcome.empty())
     outcome = head->m_status == 200 ? "completed" : "failed";
   co_return outcome;
--- a/testsuite/load/generator.h
+++ b/testsuite/load/generator.h
@@ -11,23 +11,26 @@
 
 namespace verbenalead::load {
 
-/// Sends requests and tallies their outcomes. Belongs to one thread.
+/// Generates load on entries or on an engine, in a closed or an open loop, and
+/// tallies the outcomes. Not thread-safe: used from one thread.
 class Generator {
  public:
   explicit Generator(LoadOptions options)
       : m_options(std::move(options)), m_random(m_options.m_seed) {}
 
-  /// Sends for the options' time, warming up first, and waits for the answers.
+  /// Sends requests during the warm-up and the measured time, then waits for
+  /// the responses that are outstanding.
   Awaitable<void> Run();
-  /// Of what was sent after the warming up.
+  /// Counts the requests that were due after the warm-up.
   const Tally& tally() const { return m_tally; }
   Duration elapsed() const { return m_elapsed; }
 
  private:
   Awaitable<void> RunCaller();
   Awaitable<void> RunOpenLoop();
-  /// One request, due at `due`: in an open loop a late start counts as waiting,
-  /// or a system that holds up the sender would look fast.
+  /// Sends one request and counts its outcome. Latency is measured from `due`,
+  /// not from the moment of sending: in an open loop, a system that delays the
+  /// sender would otherwise appear fast (coordinated omission).
   Awaitable<void> SendOne(TimePoint due);
   Awaitable<std::string> ReadOutcome(wire::ResponseReader& reader,
                                      TimePoint deadline,
--- a/testsuite/load/tally.cc
+++ b/testsuite/load/tally.cc
@@ -11,7 +11,7 @@
   return std::chrono::duration<double, std::milli>(duration).count();
 }
 
-/// The `quantile` of `samples`, which are sorted.
+/// Returns the given quantile of `samples`, which must be sorted; 0 if empty.
 double Quantile(const std::vector<double>& samples, double quantile) {
   if (samples.empty())
     return 0;
--- a/testsuite/load/tally.h
+++ b/testsuite/load/tally.h
@@ -10,14 +10,16 @@
 
 namespace verbenalead::load {
 
-/// What came of the requests of one run.
+/// Outcomes and latencies of the requests of one run.
 class Tally {
  public:
-  /// One answer: its outcome, the time to its first byte and to its end.
+  /// Adds one response: its outcome, the time to its first byte and the time to
+  /// its end. Latencies are kept of completed requests only.
   void Add(const std::string& outcome, Duration first, Duration whole);
   void NotSent() { ++m_not_sent; }
 
-  /// One line of key=value pairs, times in milliseconds.
+  /// Formats the results as one line of key=value pairs, with latencies in
+  /// milliseconds.
   std::string Line(Duration elapsed) const;
 
  private:
--- a/testsuite/platform_fleet.py
+++ b/testsuite/platform_fleet.py
@@ -1,7 +1,7 @@
 """Entries, target processes and stand-ins of the users' platform on loopback.
 
-Each host has an IP number of its own in 127/8, as target processes are reached
-at the same port of their replicas' hosts.
+Each host has its own IP address in 127.0.0.0/8, because all target processes
+listen on the same port, at the addresses of their replicas' hosts.
 """
 
 import base64
@@ -13,9 +13,9 @@
 
 
 class PlatformFleet:
-    """A small deployment; `cluster` starts and ends its processes."""
+    """A small deployment whose processes `cluster` starts and ends."""
 
-    # Longest time that a write into the store may take, in seconds.
+    # Timeout of a write into the store, in seconds.
     WRITE_TIMEOUT = 30
 
     def __init__(self, cluster):
@@ -31,15 +31,18 @@
         self.version = 0
         self.keys = [KEY]
         self.guest_keys = []
-        # Routes beside those that are used.
+        # Number of additional routes, to which no calls are sent.
         self.more_routes = 0
 
     def store_for(self, name):
-        """Where the process `name` reaches the store."""
+        """Address at which the process `name` connects to the store."""
         return self.store
 
     def listen_for(self, name, address):
-        """Where the replica `name` listens that callers reach at `address`."""
+        """Address on which the replica `name` listens.
+
+        Callers connect to `address`, which differs if a relay is in between.
+        """
         return address
 
     def start_platform(self):
@@ -62,11 +65,11 @@
         assert reply.status == 200, reply.status
 
     def conditions(self, table, key):
-        """What must hold for a write to take effect."""
+        """Preconditions of a write to the row `key` of `table`."""
         return []
 
     def configure(self):
-        """Declares the configuration with the present keys."""
+        """Writes a new version of the configuration with the current keys."""
         self.version += 1
         engine = {"slots": 8, "stride": 1, "step_ms": 1.0,
                   "read_per_s": 30000.0, "chunks": 12, "chunk_bytes": 4096,
@@ -134,7 +137,7 @@
                     "store": self.store, "version": version}
         settings.update(extra)
         self.cluster.start(name, "standin_platform_replica", settings)
-        # It registers with the first request.
+        # The replica registers when it gets its first request.
         harness.wait_for(name + " to answer",
                          lambda: self.answers_at_all(replica))
         if model:
@@ -198,6 +201,6 @@
 
 
 def events(count):
-    """The whole stream of so many events."""
+    """The body of a complete stream of `count` events."""
     return "".join("id: %d\ndata: token %d\n\n" % (number, number)
                    for number in range(1, count + 1)).encode()
--- a/testsuite/run_ctest.py
+++ b/testsuite/run_ctest.py
@@ -1,11 +1,11 @@
-"""Runs CTest, and passes over failures that KNOWN-RED.txt lists.
+"""Runs CTest and tolerates the failures that KNOWN-RED.txt lists.
 
     run_ctest.py BUILD [LABEL]
 
-With a label, only the tests that have it. Each line of the file starts with
-the name of a CTest test, and tells after a colon what was seen, the cause and
-the issue; three lines at most. Listed tests still run, and their failure is
-printed.
+With a label, runs only the tests that have it. Each line of the file starts
+with the name of a CTest test; after a colon it gives the symptom, the cause and
+the issue. At most three lines are allowed. Listed tests still run, and their
+results are printed.
 """
 
 import os
--- a/testsuite/run_fuzz.py
+++ b/testsuite/run_fuzz.py
@@ -1,7 +1,7 @@
-"""Runs the unit tests' properties again and again with free seeds.
+"""Runs the unit tests repeatedly, with random seeds for their properties.
 
-Prints the seed of each round; a failing one is a test to be added: run
-`RC_PARAMS="seed=N" build/src/NAME` to see it again.
+Prints the seed of each round. `RC_PARAMS="seed=N" build/src/NAME` reproduces a
+failure, which should be added as a test.
 """
 
 import argparse
--- a/testsuite/soak/callers.py
+++ b/testsuite/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers of a deployment, and what each of their calls came to."""
+"""Callers of a soak deployment, and a record of the outcome of each call."""
 
 import dataclasses
 import http.client
@@ -25,7 +25,7 @@
     sent: float
     events: int = 0
     took: float = 0.0
-    # None: the connection broke before an answer.
+    # None: the connection failed before response headers arrived.
     status: int | None = None
     headers: dict = dataclasses.field(default_factory=dict)
     body: bytes = b""
@@ -33,7 +33,7 @@
 
 
 class Callers:
-    """Threads that call without a pause, some on kept connections."""
+    """Threads that call continuously, half of them on persistent connections."""
 
     def __init__(self, deployment, seed, count):
         self.deployment = deployment
@@ -50,7 +50,7 @@
             thread.start()
 
     def probe_guest(self):
-        """Calls each entry with the guest's key, beside the usual calls."""
+        """Calls each entry with the guest's key, in addition to the usual calls."""
         for entry in self.deployment.entries:
             for _ in range(PROBES):
                 self.probes += 1
@@ -94,7 +94,7 @@
             time.sleep(source.choice(PAUSES))
 
     def call(self, entry, outcome, connection):
-        """Makes one call; returns the connection if it can be used again."""
+        """Makes one call; returns the connection if it can be reused, else None."""
         host, port = entry["callers"].rsplit(":", 1)
         connection = connection or http.client.HTTPConnection(
             host, int(port), timeout=CALL_TIMEOUT)
--- a/testsuite/soak/deployment.py
+++ b/testsuite/soak/deployment.py
@@ -1,4 +1,4 @@
-"""The deployment that the soak runs: real programs, with relays between them."""
+"""The deployment under soak: real programs that are connected by relays."""
 
 import collections
 
@@ -6,27 +6,29 @@
 import platform_fleet
 
 GUEST_KEY = "key-of-guest"
-# A removed key may run for so long after the removal was acknowledged.
+# Longest time in seconds for which calls with a removed key may still run after
+# the removal was acknowledged.
 KEY_BOUND = 5.0
 
 
-# Entries, engines and plain services, callers, places of an engine, time
-# between two events in ms.
+# Numbers of entries, engines, replicas of the plain service, callers and slots of
+# an engine; time between two events of a stream in ms.
 Size = collections.namedtuple("Size", "entries engines plain callers slots event")
 SMALL = Size(3, 4, 2, 6, 8, 8)
-# More callers than places.
+# More callers than an engine has slots, so that calls have to wait.
 FULL = Size(3, 4, 2, 24, 4, 40)
 
 
 class Deployment(platform_fleet.PlatformFleet):
     """Entries and replicas in two data centres.
 
-    Each entry and target reaches the store by a relay of its own, and each
-    replica is reached by one. `relays` holds where they take commands, by the
-    name of the process behind which, or before which, they stand.
+    Each entry and each target process connects to the store through a relay of
+    its own, and callers connect to each replica through one. `relays` maps the
+    name of such a process to the command address of its relay.
     """
 
-    # Faults that are due must not wait behind a store that hangs.
+    # In seconds; short, as a write into a store that hangs delays the faults
+    # that are due after it.
     WRITE_TIMEOUT = 0.5
 
     def __init__(self, cluster, size=SMALL):
@@ -36,8 +38,11 @@
         self.guest_keys = [GUEST_KEY]
 
     def conditions(self, table, key):
-        """The row must be as it is now: a write that was given up may still
-        take effect, and must not undo a later one."""
+        """Requires that the row still has its present revision.
+
+        A write that timed out may still take effect. Without this condition it
+        could overwrite a later one.
+        """
         rows = harness.call(
             self.store, "GET", "/rows-get?table=%s&part=" % table,
             timeout=self.WRITE_TIMEOUT).json()["rows"]
@@ -78,7 +83,7 @@
         self.serve_all("at the start")
 
     def serve_all(self, when):
-        """Waits until each entry serves both kinds of calls."""
+        """Waits until each entry serves streams and payments."""
         for number, entry in enumerate(self.entries):
             harness.wait_for(
                 "%s to serve streams %s" % (entry["name"], when),
@@ -89,7 +94,7 @@
 
     @staticmethod
     def spread(count):
-        """The data centres of `count` processes."""
+        """Data centres of `count` processes: the first half in a, the rest in b."""
         return ["a" if number < (count + 1) // 2 else "b"
                 for number in range(count)]
 
@@ -111,7 +116,7 @@
                             self.headers("pay-%s" % number, key))
 
     def programs(self):
-        """Names of our own processes: entries and targets."""
+        """Names of the processes under test: entries and targets."""
         return [entry["name"] for entry in self.entries] + [
             replica["target"] for replica in self.replicas
             if replica["target"] in self.cluster.processes]
--- a/testsuite/soak/fault_plan.py
+++ b/testsuite/soak/fault_plan.py
@@ -1,12 +1,12 @@
-"""Which fault comes when, drawn from a seed."""
+"""Generates a random schedule of faults from a seed."""
 
 import collections
 import random
 
 Fault = collections.namedtuple("Fault", "at kind victim lasts")
 
-# Kinds by how often they are drawn. A store that forgets, loses answers or
-# answers late hits every process; all others hit one.
+# Weights of the kinds of faults in the random choice. Faults of the store affect
+# every process; each other fault affects one.
 KINDS = {
     "kill_entry": 3, "kill_target": 2, "kill_replica": 2, "stop_entry": 3,
     "stop_target": 1, "freeze_entry": 3, "freeze_target": 2,
@@ -14,8 +14,8 @@
     "store_forgets": 1, "store_loses": 1, "link_silent": 4, "link_one_way": 3,
     "link_cut": 4, "link_slow": 2, "revoke": 2, "revoke_asleep": 3, "configure": 3, "storm": 2,
     "declare": 2}
-# Planned work, and replicas that say nothing for a while: none of it excuses an
-# answer that is cut.
+# Kinds and weights of a run without unplanned faults: planned operations, and
+# replicas that pause for a while. None of these excuses a truncated response.
 PLANNED = {"stop_entry": 3, "hup_entry": 2, "configure": 3, "storm": 3,
            "large": 2, "revoke": 1, "declare": 1, "pause_replica": 6}
 LONGEST_FREEZE = 6.5
@@ -24,9 +24,10 @@
 
 
 def draw(seed, seconds, planned=False):
-    """Faults of the first three quarters of a run, in the order of time.
+    """Returns the faults of a run in order of time.
 
-    `planned`: planned work only, and pauses of replicas.
+    They start within the first three quarters of the run, so that the rest
+    remains for recovery. `planned`: only the kinds of PLANNED.
     """
     source = random.Random(seed)
     weights = PLANNED if planned else KINDS
@@ -39,6 +40,6 @@
             kind.split("_")[0], LONGEST_OUTAGE)
         faults.append(Fault(round(at, 2), kind, source.randrange(100),
                             round(source.uniform(0.1, longest), 2)))
-        # Faults come in series: some right after each other, then a pause.
+        # Produces bursts: several faults in quick succession, then a pause.
         at += source.choice((0.02, 0.1, 0.3, 0.3, 1.0, 2.0))
     return faults
--- a/testsuite/soak/injector.py
+++ b/testsuite/soak/injector.py
@@ -1,4 +1,4 @@
-"""Brings the faults of a plan upon a deployment, from outside its processes."""
+"""Injects the faults of a plan into a deployment, from outside its processes."""
 
 import heapq
 import http.client
@@ -15,29 +15,31 @@
 SLOW_MS = 150
 LOST_ANSWERS = 3
 STORM = 6
-# An entry sleeps over the bound on a removed key, and a little longer.
+# Seconds for which an entry is frozen: somewhat longer than the bound within
+# which a removed key must stop working.
 SLEEP_OVER_BOUND = 6.3
 PROBE_AFTER = KEY_BOUND + 0.1
 LARGE_ROUTES = 1000
-# Faults that nobody plans. What runs on a connection that was silenced is
-# harmed for as long as a call may last.
+# Prefixes of the kinds of unplanned faults.
 UNPLANNED = ("kill", "freeze", "store", "link", "revoke_asleep")
+# A call on a connection that was silenced can be affected for as long as the
+# call may last, in seconds.
 HARM_OF_LINKS = 8.0
 
 
 class Injector:
-    """Runs a plan. What the checks need to know of it is kept here."""
+    """Runs a plan, and records what the checks need to know of the faults."""
 
     def __init__(self, deployment, plan, probe_guest):
         self.deployment = deployment
-        # Calls each entry with the guest's key, at once.
+        # Function that calls each entry with the guest's key.
         self.probe_guest = probe_guest
         self.cluster = deployment.cluster
         self.queue = []
         self.order = itertools.count()
         self.weights = 1
-        # Times between which the guest's key was surely barred: from the
-        # acknowledgement of its removal until its return was sent.
+        # Intervals in which the guest's key was certainly removed: from the
+        # acknowledgement of its removal until its restoration was sent.
         self.barred = []
         self.ended = []
         self.disturbances = []
@@ -50,7 +52,7 @@
                        (at, next(self.order), action, arguments))
 
     def run(self):
-        """Runs the whole plan and ends all its faults."""
+        """Runs the whole plan; returns when the last fault has ended."""
         self.begun = time.monotonic()
         while self.queue:
             at, _, action, arguments = heapq.heappop(self.queue)
@@ -74,7 +76,7 @@
         return time.monotonic() - self.begun
 
     def note_ended(self):
-        """Finds processes of ours that ended without being told to."""
+        """Records processes under test that exited without being stopped."""
         for name in self.deployment.programs():
             if not self.cluster.processes[name].alive() and \
                     name not in self.stopping:
@@ -114,7 +116,7 @@
             self.later(self.now() + RETRY, self.register, name)
 
     def register(self, name):
-        """A replica registers with the first request that it gets."""
+        """Sends a request, as a replica registers only at its first one."""
         address = self.cluster.settings[name][1]["listen"]
         try:
             harness.call(address, "GET", "/state", timeout=1)
@@ -162,7 +164,7 @@
         self.freeze(self.pick(self.replicas(), fault), fault)
 
     def pause_replica(self, fault):
-        """The replica says nothing for a while, and works on after it."""
+        """The replica sends nothing for a while and then continues."""
         self.freeze_replica(fault)
 
     def hup_entry(self, fault):
@@ -217,7 +219,7 @@
     # The operator.
 
     def write(self, action, *arguments):
-        """Writes into the store; comes again if that isn't acknowledged."""
+        """Writes into the store; schedules a retry if it is not acknowledged."""
         try:
             action()
             return True
@@ -252,7 +254,7 @@
         self.bar(fault)
 
     def revoke_asleep(self, fault):
-        """The key goes while an entry sleeps, which then wakes to calls."""
+        """Removes the key while an entry is frozen, which then gets calls."""
         self.freeze(self.pick(self.entries(), fault),
                     fault._replace(lasts=SLEEP_OVER_BOUND))
         self.revoke(fault)
--- a/testsuite/soak/judge_lost.py
+++ b/testsuite/soak/judge_lost.py
@@ -1,17 +1,19 @@
-"""Finds answers that were lost: a replica had the call, and its caller's
-connection ended without a whole answer.
+"""Finds lost responses: a replica ran the call, but its caller's connection
+ended without a complete response.
 
-Judged by what callers and replicas saw. Excused is a call whose time was over,
-one that its replica broke off, and one beside a disturbance that nobody
-planned. A replica's silence excuses nothing.
+The judgement rests on the records of callers and replicas. A call is excused if
+its deadline had passed, if its replica broke off the response, or if it
+coincided with an unplanned fault. Silence of a replica excuses nothing.
 """
 
 import collections
 import re
 
-# A disturbance still excuses calls that are sent so long after its end.
+# A disturbance also excuses calls that are sent within this many seconds after
+# its end.
 SETTLES = 3.0
-# A caller whose time ends closes at about the moment at which it is told.
+# In seconds. At its deadline a caller may close the connection at the moment at
+# which the response that reports the deadline arrives.
 TIME_MARGIN = 0.3
 
 RAN = re.compile(r"event=(ran|run_ended) call=(\S+)(?:.* how=(\w+))?")
@@ -20,9 +22,9 @@
 
 
 def ends_of_runs(lines):
-    """How each run of a call ended, in the order of a replica's log, by call.
+    """Maps each call to how its runs ended, in the order of a replica's log.
 
-    None: the replica never said, as it was killed.
+    None stands for a run without a logged end, as the replica was killed.
     """
     ends = collections.defaultdict(list)
     for line in lines:
@@ -33,7 +35,8 @@
         if event == "ran":
             ends[call].append(None)
         elif ends[call]:
-            # Runs of one call at one replica follow each other.
+            # Runs of one call at one replica do not overlap, so that this end
+            # belongs to the latest run.
             ends[call][-1] = how
     return ends
 
@@ -43,7 +46,7 @@
 
 
 def broken_off(ends):
-    """Whether a replica ended the answer: nobody could have kept it whole."""
+    """Whether a replica ended the response, so that no entry could complete it."""
     return any(how in (None, "broken_off") for how in ends)
 
 
@@ -54,7 +57,7 @@
 
 
 def is_lost(outcome, ends, disturbances, deadline):
-    """`ends`: how its runs ended, at all replicas."""
+    """`ends`: how the runs of the call ended, at all replicas."""
     return bool(ends) and not is_whole(outcome) and \
         not broken_off(ends) and \
         outcome.took < deadline - TIME_MARGIN and \
@@ -62,7 +65,7 @@
 
 
 def find_lost(outcomes, ends, disturbances, deadline):
-    """The lost ones among `outcomes`."""
+    """Returns those of `outcomes` whose responses were lost."""
     return [outcome for outcome in outcomes
             if is_lost(outcome, ends.get(outcome.call, ()), disturbances,
                        deadline)]
--- a/testsuite/soak/promises.py
+++ b/testsuite/soak/promises.py
@@ -1,5 +1,5 @@
-"""The promises that hold whatever happens, checked against what callers and
-replicas saw."""
+"""Checks the invariants that hold under all faults against the records of
+callers and replicas."""
 
 import collections
 
@@ -9,14 +9,15 @@
 from soak.callers import DEADLINE_MS
 from soak.deployment import KEY_BOUND
 
-# An entry reads a call that was sent while it was frozen when it wakes, 6.5 s
-# later at most, and the caller's 6 s begin then.
+# Longest time of a call in seconds. An entry that is frozen reads a call when it
+# resumes, at most 6.5 s after the call was sent, and the caller's deadline of 6 s
+# starts then.
 LATEST = 13.5
 OWN_REFUSALS = (502, 503, 504)
 
 
 def ends_of_runs(cluster, replicas):
-    """How each run of a call ended, from the replicas' logs, by call."""
+    """Maps each call to how its runs ended, by the logs of all replicas."""
     ends = collections.defaultdict(list)
     for replica in replicas:
         with open(cluster.path(replica["name"] + ".log"),
@@ -27,7 +28,7 @@
 
 
 def check_answer(outcome, problems):
-    """What a caller may see of one call, taken by itself."""
+    """Checks the response of one call, without regard to its runs."""
     if outcome.took > LATEST:
         problems.append("answered after %.1f s" % outcome.took)
     if outcome.status is None:
@@ -53,7 +54,7 @@
 
 
 def check_runs(outcome, runs, barred, problems):
-    """What a caller was told, against how often its call ran."""
+    """Checks the response of one call against how often the call ran."""
     if outcome.kind == "pay" and runs > 1:
         problems.append("ran %d times" % runs)
     if outcome.status in (401, 503) and runs > 0:
@@ -68,7 +69,7 @@
 
 
 def find_broken(deployment, outcomes, injector):
-    """A line for each broken promise."""
+    """Returns a line for each violated invariant."""
     broken = ["%s ended by itself" % name for name in injector.ended]
     ends = ends_of_runs(deployment.cluster, deployment.replicas)
     lost = judge_lost.find_lost(outcomes, ends, injector.disturbances,
@@ -96,7 +97,7 @@
 
 
 def settle(deployment, injector):
-    """After the last fault everything works again, on the newest weights."""
+    """Waits until all entries serve and all engines have the newest weights."""
     deployment.serve_all("after the faults")
     engines = [replica for replica in deployment.replicas
                if replica["target"] in deployment.cluster.processes]
--- a/testsuite/soak/run_soak.py
+++ b/testsuite/soak/run_soak.py
@@ -1,9 +1,9 @@
-"""Runs real programs under random faults and checks what callers were promised.
+"""Runs real programs under random faults and checks the promises to callers.
 
     python3 testsuite/soak/run_soak.py --bin build --seeds 50
 
-Each run prints its seed; one that breaks a promise prints the plan of its
-faults and keeps its logs. Such a seed goes into seeds.txt, with its cause.
+Each run prints its seed. A run that breaks a promise also prints its plan of
+faults and keeps its logs; add its seed to seeds.txt, with the cause.
 """
 
 import argparse
@@ -23,14 +23,15 @@
 from soak.deployment import FULL, SMALL, Deployment, Size  # noqa: E402
 from soak.injector import Injector  # noqa: E402
 
-# Addresses of hosts stand in one byte; a few hundred processes in all.
+# Upper limits of the options. The number of a host is one byte of its IP address,
+# and one machine runs a few hundred processes.
 MOST = {"entries": 60, "engines": 60, "plain": 20, "callers": 400, "slots": 64,
         "event": 1000}
 SEEDS = os.path.join(os.path.dirname(os.path.abspath(__file__)), "seeds.txt")
 
 
 def play(cluster, run):
-    """Plays a run; returns a line for each broken promise."""
+    """Executes a run; returns a line for each broken promise."""
     seed, seconds, planned, size = run
     plan = fault_plan.draw(seed, seconds, planned)
     deployment = Deployment(cluster, size)
@@ -59,7 +60,7 @@
 
 
 def play_alone(bin_folder, run):
-    """One run in a folder of its own; true if it kept all promises."""
+    """Executes a run in a folder of its own; returns whether no promise broke."""
     work = tempfile.mkdtemp(prefix="verbenalead-soak-")
     cluster = harness.Cluster(bin_folder, work)
     try:
@@ -81,7 +82,7 @@
 
 
 def kept_runs():
-    """Those that broke a promise once."""
+    """Returns the runs of seeds.txt, each of which once broke a promise."""
     with open(SEEDS) as file:
         lines = [line.split("#")[0].split() for line in file]
     return [run_of(int(line[0]), float(line[1]), "planned" in line[2:])
--- a/testsuite/steady_callers.py
+++ b/testsuite/steady_callers.py
@@ -1,4 +1,4 @@
-"""Callers that send requests without a pause and judge each answer."""
+"""Callers that send requests continuously and check each response."""
 
 import threading
 
@@ -6,7 +6,11 @@
 
 
 class SteadyCallers:
-    """Each answer must be whole, of one declared version, and name it."""
+    """Threads that check that each response is complete and correct.
+
+    The text must be that of the version whose digest the response names, and
+    that digest must be one of the declared `digests`.
+    """
 
     def __init__(self, cluster, model, digests, threads=4):
         self.cluster = cluster
--- a/testsuite/write_settings_page.py
+++ b/testsuite/write_settings_page.py
@@ -1,4 +1,4 @@
-"""Writes docs/operators/settings.md from what the programs say of themselves."""
+"""Writes docs/operators/settings.md from the output of --describe-settings."""
 
 import argparse
 import os
