--- a/src/vlctl/commands.h
+++ b/src/vlctl/commands.h
@@ -21,8 +21,9 @@
 
 /// Writes each resource of the JSON file at `path`, which holds one object or a
 /// list of objects {"kind", "name", "spec"[, "revision"]}. Stops at the first
-/// resource that is not accepted. `operation` is the operation id of the write;
-/// if it is empty, a new one is generated.
+/// resource that is not accepted. `operation` is the operation id of the write,
+/// with the position appended if there are several resources; if it is empty, a
+/// new one is generated.
 ExitCode Apply(const Context& context,
                const std::string& path,
                const std::string& operation);
--- a/src/vlctl/main.cc
+++ b/src/vlctl/main.cc
@@ -71,7 +71,7 @@
       app.add_subcommand("drain", "make a target refuse new requests");
   drain->add_option("target", options.m_name)->required();
   auto* trace = app.add_subcommand(
-      "trace", "show the outcome and the events of a request");
+      "trace", "what became of a request");
   trace->add_option("request", options.m_name, "request id")->required();
   app.add_subcommand("status", "show state and version of each target");
 }
--- a/src/vlentry/main.cc
+++ b/src/vlentry/main.cc
@@ -6,11 +6,11 @@
 
 int main(int argc, char** argv) {
   using namespace verbenalead;
-  const daemon::ProgramMode own = {"", "", daemon::EntrySettings(),
-                                   LogTarget::kStandardError,
-                                   [](const Settings& settings) {
-                                     return daemon::EntryDaemon(settings).Run();
-                                   }};
+  const daemon::ProgramMode default_mode = {
+      "", "", daemon::EntrySettings(), LogTarget::kStandardError,
+      [](const Settings& settings) {
+        return daemon::EntryDaemon(settings).Run();
+      }};
   const daemon::ProgramMode platform = {
       "--platform", "run on the users' platform", entry::EntrySettings(),
       LogTarget::kStandardOutput, [](const Settings& settings) {
@@ -18,5 +18,5 @@
       }};
   return daemon::RunProgram(argc, argv, "vlentry",
                             "Serves callers and operators on an entry host.",
-                            {own, platform});
+                            {default_mode, platform});
 }
--- a/src/vltarget/main.cc
+++ b/src/vltarget/main.cc
@@ -8,7 +8,7 @@
 int main(int argc, char** argv) {
   using namespace verbenalead;
   KeepLargeBlocks();
-  const daemon::ProgramMode own = {
+  const daemon::ProgramMode default_mode = {
       "", "", daemon::TargetSettings(), LogTarget::kStandardError,
       [](const Settings& settings) {
         return daemon::TargetDaemon(settings).Run();
@@ -20,5 +20,5 @@
       }};
   return daemon::RunProgram(argc, argv, "vltarget",
                             "Serves one target host: weights, gate and engine.",
-                            {own, platform});
+                            {default_mode, platform});
 }
--- a/testsuite/bench/capacity.py
+++ b/testsuite/bench/capacity.py
@@ -1,4 +1,4 @@
-"""What real processes cost while idle, by fleet size: `make bench-capacity`."""
+"""Resource use of idle processes by fleet size: `make bench-capacity`."""
 
 import os
 import time
--- a/testsuite/bench/config.py
+++ b/testsuite/bench/config.py
@@ -1,4 +1,4 @@
-"""Figures of configuration on 8 entries and 24 targets: `make bench-config`."""
+"""Configuration benchmarks on 8 entries and 24 targets: `make bench-config`."""
 
 import threading
 import time
@@ -20,8 +20,8 @@
 
 
 def spread(cluster, name, rounds, killed=None):
-    """Accepted to in force everywhere; the asking itself takes time and is
-    counted in."""
+    """Measures the time from acceptance of a change until it is in force
+    everywhere, including the time of the polls."""
     watchers = fleet.Watchers(cluster)
     accepted_after = []
     in_force_after = []
@@ -71,7 +71,7 @@
 
 
 def race(cluster):
-    """Each writer adds one to a shared counter by compare-and-set."""
+    """Each writer increments a shared counter by compare-and-swap."""
     fleet.put(cluster.entries[0], "limits", "counter",
               {"weight": 1, "max_queued": 0}, "race-start")
     conflicts = [0] * WRITERS
--- a/testsuite/bench/platform_cold_start.py
+++ b/testsuite/bench/platform_cold_start.py
@@ -1,9 +1,9 @@
-"""Measures a start of everything on the users' platform.
+"""Measures a cold start of all entries on the users' platform.
 
-Entries of several data centres stand before a store with many replicas and a
-large configuration. All of them are killed and started again at once. Prints a
-line of `bench=platform_cold_start` with the seconds from the first start until
-the first, the middle and the last entry was ready.
+Entries of several data centres read a store with many replicas and a large
+configuration. All of them are killed and restarted at once. Prints a line of
+`bench=platform_cold_start` with the seconds from the first start until the
+first, the middle and the last entry was ready.
 """
 
 import argparse
@@ -27,7 +27,7 @@
 
 
 def write_replicas(fleet, count, data_centers):
-    """Rows of `count` replicas that nobody asks."""
+    """Writes rows of `count` replicas, to which no calls are sent."""
     for first in range(0, count, ROWS_A_WRITE):
         rows = []
         for number in range(first, min(count, first + ROWS_A_WRITE)):
@@ -44,7 +44,7 @@
 
 
 def ready_times(fleet, begun):
-    """When each entry first was ready, in seconds after `begun`."""
+    """Seconds from `begun` until each entry was ready, sorted."""
     def wait(entry):
         while not fleet.ready(entry):
             assert time.monotonic() - begun < GIVE_UP, entry["name"]
--- a/testsuite/bench/platform_request_path.py
+++ b/testsuite/bench/platform_request_path.py
@@ -1,9 +1,9 @@
-"""Measures what a call costs the processes on the users' platform.
+"""Measures the processor time of a call on the users' platform.
 
 Callers stream drafts through one entry from two replicas on loopback. Prints a
-line of `bench=platform_path` with the processor time that vlentry and the target
-processes took for a call. With --profile, also the functions that took most of
-it by the samples of perf, where that is installed.
+line of `bench=platform_path` with the processor time per call of vlentry and of
+the target processes. With --profile, also prints the functions with the largest
+share of the samples of perf, where that is installed.
 """
 
 import argparse
@@ -27,7 +27,7 @@
 
 
 def play(fleet, seconds):
-    """Sends calls for so long; returns how many were answered whole."""
+    """Sends calls for `seconds`; returns the number of complete responses."""
     whole = []
     end = time.monotonic() + seconds
 
@@ -50,7 +50,7 @@
 
 
 def print_profile(name, samples):
-    """The functions of one process, those first that took most."""
+    """Prints the functions with the largest share of a process's samples."""
     report = subprocess.run(
         ["perf", "report", "-i", samples, "--stdio", "--no-children",
          "-g", "none", "--percent-limit", "0.5", "-F", "overhead,dso,sym"],
@@ -89,7 +89,7 @@
         calls = play(fleet, seconds)
         cost = {name: 1e6 * (cpu_seconds(each) - before[name]) / max(1, calls)
                 for name, each in processes.items()}
-        # Each of the two target processes has half of the calls.
+        # Each of the two target processes handles half of the calls.
         print("bench=platform_path calls=%d events=%d entry_us_a_call=%.0f "
               "target_us_a_call=%.0f" % (calls, EVENTS, cost["vlentry"],
                                          2 * cost["vltarget"]), flush=True)
--- a/testsuite/bench/request_path.py
+++ b/testsuite/bench/request_path.py
@@ -1,8 +1,9 @@
-"""Measures what the way through vlentry and vltarget costs a request.
+"""Measures the overhead of vlentry and vltarget on a request.
 
-One caller asks the stand-in engine directly, and then through an entry and a
-target, on loopback. `ratio` is the median time through over the median time
-direct. Prints lines of `bench=requests scenario=path ...`.
+One caller calls the stand-in engine directly, and then through an entry and a
+target, on loopback. `ratio` is the median time through them divided by the
+median time of a direct call. Prints lines of
+`bench=requests scenario=path ...`.
 """
 
 import argparse
@@ -32,7 +33,7 @@
 
 
 def through(cluster, entry, *words):
-    """The load's figures, and the processor time that both processes took."""
+    """Figures of the load program, and processor time of both processes."""
     names = ("entry-0", "target-0")
     before = sum(cpu_seconds(cluster.processes[name]) for name in names)
     figures = load(cluster, entry["callers"], *words)
--- a/testsuite/bench/weights_real.py
+++ b/testsuite/bench/weights_real.py
@@ -1,7 +1,7 @@
-"""Weights to 24 real vltarget processes on loopback, each on a paced link.
+"""Distributes weights to 24 vltarget processes on loopback with paced links.
 
-Prints the time of the last host over its bound, and the bytes a second that
-the chunk path verified, beside what SHA-256 alone does here.
+Prints the time of the last host relative to its bound, and the bytes per second
+that the chunk path verified, compared with SHA-256 alone on this machine.
 """
 
 import argparse
@@ -18,7 +18,8 @@
 REGIONS = 3
 CHUNK_BYTES = 1 << 20
 WEIGHTS_BYTES = 128 << 20
-# The share that chunks get; the bound counts with that.
+# Rate of a host's link in bytes per second, all of which chunks may use. The
+# bound is computed from it.
 HOST_RATE = 16 << 20
 ORIGIN_RATE = 2 * HOST_RATE
 POOL = "drafting"
@@ -57,7 +58,7 @@
 
 
 def transfer_seconds(cluster):
-    """How long each host's transfer took, by its log; sorted."""
+    """Duration of each host's transfer, from its log; sorted."""
     seconds = []
     for target in cluster.targets:
         with open(cluster.path(target["name"] + ".log")) as log:
@@ -69,7 +70,7 @@
 
 
 def wait_live(cluster, digest, hosts, timeout):
-    """Seconds from now until each host serves `digest`."""
+    """Seconds from now until each host serves `digest`, sorted."""
     start = time.monotonic()
     live_at = {}
 
@@ -109,7 +110,7 @@
 
 
 def measure_path(bin_folder, work, size=768 << 20):
-    """One host fetches from one that has it all, without paced links."""
+    """One host fetches from another that has all chunks, without pacing."""
     cluster = build_cluster(bin_folder, work, 0, 0, 2)
     try:
         late = cluster.processes["target-01"]
--- a/testsuite/cases/access/run.py
+++ b/testsuite/cases/access/run.py
@@ -1,10 +1,11 @@
-"""Who may speak to the system's processes, and how.
-
-Callers and operators speak TLS; the certificate is replaced without a restart
-and with no connection refused. Operators show a token; callers' addresses know
-nothing of the operators' paths. An order to a target without the peers' key is
-refused: the target goes on serving. An entry whose operators' API would stand
-open to the network does not start.
+"""Access control of callers, operators and peers.
+
+Callers and operators connect by TLS; the certificate is replaced without a
+restart and without a refused connection. Operators authenticate with a token,
+and the operators' paths do not exist at the callers' address. A target refuses
+an order that is sent without the peers' key, and goes on serving. An entry
+whose operators' API would be open to the network without a token does not
+start.
 """
 
 import http.client
@@ -69,13 +70,14 @@
         got = tls_call(entry["operators"], trusted, "GET", "/v1/status", None,
                        headers)
         assert got[0] == status, (headers, got)
-    # Callers' address: no operators' path, with or without the token.
+    # The callers' address does not serve the operators' paths, even with a
+    # token.
     got = tls_call(entry["callers"], trusted, "GET", "/v1/status", None, good)
     assert got[0] != 200, got
 
 
 def check_orders(cluster, keyless_entry, trusted):
-    """An entry without the key orders a drain; the target goes on."""
+    """An entry without the peers' key orders a drain, which is refused."""
     done = cluster.vlctl("drain", "ledger-0", entry=1, check=False)
     assert done.returncode == 0 or done.returncode == 1, done
     log = open(cluster.path("ledger-0.log")).read()
@@ -95,7 +97,7 @@
             return False
 
     harness.wait_for("the new certificate", shown, 20)
-    # A broken file leaves the certificate in use.
+    # An invalid file is rejected, and the present certificate stays in use.
     write(cluster, "tls.pem", "no certificate")
     cluster.processes["entry-0"].send(signal.SIGHUP)
     harness.wait_for("the failure's log line", lambda: "event=reload_failed"
--- a/testsuite/cases/bad_input/run.py
+++ b/testsuite/cases/bad_input/run.py
@@ -1,8 +1,8 @@
-"""Callers send what no well-behaved client sends, while others go on.
+"""Malformed requests are refused and do not affect other callers.
 
 Malformed HTTP, a header and a body past the limits, JSON of the wrong shape,
-unknown models and organisations. Each is refused as not run, with a reason; the
-process lives on, and the callers beside it notice nothing.
+unknown models and organisations: each is refused as not run, with a reason. The
+process keeps running and serves the other callers meanwhile.
 """
 
 import json
@@ -15,7 +15,7 @@
 
 
 def raw(entry, data):
-    """Sends bytes; returns the status and the body of the answer."""
+    """Sends raw bytes; returns the status and the body of the response."""
     host, port = entry["callers"].rsplit(":", 1)
     with socket.create_connection((host, int(port)), 20) as connection:
         connection.sendall(data)
--- a/testsuite/cases/bad_settings/run.py
+++ b/testsuite/cases/bad_settings/run.py
@@ -1,7 +1,7 @@
-"""Wrong settings stop a program at start, with path, value and what is allowed.
+"""Invalid settings stop a program at start, with path, value and allowed range.
 
-An operator misspells a key or sets a value out of range. A program that started
-all the same would serve with a default that nobody chose.
+Guards against a misspelt key or a value out of range that is ignored, so that
+the program serves with a default that the operator did not choose.
 """
 
 import json
--- a/testsuite/cases/call_report/run.py
+++ b/testsuite/cases/call_report/run.py
@@ -1,7 +1,7 @@
-"""The report on calls names what wasn't on time, and why.
+"""The call report names the calls that were not on time, and the reason.
 
-A support engineer asks which calls of a bad minute were late. The lines are as
-an entry writes them; one is cut short, as the last line of a killed process is.
+The input consists of log lines as an entry writes them. One line is truncated,
+as the last line of a killed process is.
 """
 
 import contextlib
--- a/testsuite/cases/caller_gone/run.py
+++ b/testsuite/cases/caller_gone/run.py
@@ -1,10 +1,10 @@
-"""Callers close their connections while their answers are being made.
+"""Callers disconnect while their responses are generated.
 
-Some wait for a streamed answer and some for a whole one. The entry sees the end
-of the connection, resets its streams to the target, and the target closes its
-connection to the engine, which stops within moments: the slots are free for
-callers that are there. What may run only once goes on to its end, and a
-repeated call is told what came of it.
+Some wait for a streamed response and some for a whole one. The entry sees the
+closed connection and resets its stream to the target, which closes its
+connection to the engine. The engine stops the work at once, so that its slots
+are free for other callers. A call that may run only once runs to its end, and a
+repeated call gets its outcome.
 """
 
 import json
@@ -14,7 +14,7 @@
 
 import harness
 
-TOKENS = 60000  # a minute of work at a millisecond each
+TOKENS = 60000  # a minute of work at 1 ms per token
 
 
 def engine_running(target):
--- a/testsuite/cases/config_leaving/run.py
+++ b/testsuite/cases/config_leaving/run.py
@@ -1,8 +1,8 @@
-"""A target that leaves gets nothing new after 2 s, whoever says that it leaves.
+"""A leaving target gets no new call after 2 s, however its leaving is reported.
 
-First only the target itself knows (it was drained), then only the host list
-does. Callers go on calling through all entries; after 2 s the leaving target's
-journal must show no new attempt, and no call is lost.
+First only the target itself reports it (it was drained), then only the host
+list does. Callers continue through all entries. After 2 s the target's journal
+must show no new attempt, and no call is lost.
 """
 
 import time
--- a/testsuite/cases/config_outage/run.py
+++ b/testsuite/cases/config_outage/run.py
@@ -1,13 +1,15 @@
-"""An accepted change outlives its entry and the table, and never goes back.
-
-While nobody else can be reached, the operator is told 202: committed, but this
-entry's loss would hide it. Else the operator is told accepted; at that moment the table goes down and the entry
-that took the change is killed. The other entries and all targets must put it
-into force, since peers held it before the answer. The entry comes back while
-the table is still down: it learns the change from peers before it serves, and serves nobody while none answers.
-Changes are refused with a reason meanwhile; calls that need no claim go on.
-When table and all other processes are out of reach, the entry takes no new
-work; when they are back, changes are accepted again.
+"""An accepted change survives the loss of its entry and of the table.
+
+While no other process can be reached, the operator gets 202: the change is
+committed, but would be hidden if this entry were lost. Otherwise the operator
+gets 200; at that moment the table goes down and the entry that accepted the
+change is killed. The other entries and all targets must put the change into
+force, since peers held it before the response. The entry restarts while the
+table is still down. It learns the change from peers before it serves, and
+serves no call while no peer responds. Meanwhile changes are refused with a
+reason, and calls that need no claim continue. When the table and all other
+processes are unreachable, the entry accepts no new work; when they are back,
+changes are accepted again.
 """
 
 import fleet
@@ -18,8 +20,8 @@
 
 
 def read_fee(entry):
-    # With a deadline of its own: a call that was sent to a frozen target just
-    # before the entry is cut off is answered when its time is up.
+    # A call that was sent to a frozen target just before the entry is isolated
+    # is answered only at its deadline, which therefore has to be short.
     return harness.call(entry["callers"], "GET", "/services/fee-ledger/fees/1",
                         None, {"x-organisation": "acme",
                                "x-timeout-ms": "2000"}, timeout=10)
--- a/testsuite/cases/config_race/run.py
+++ b/testsuite/cases/config_race/run.py
@@ -1,9 +1,10 @@
-"""Eight operators race through eight entries; a watch sees each change once.
+"""Eight operators write concurrently through eight entries.
 
-Each operator adds one to the same counter by compare-and-set while the table
-loses answers after the writes have taken effect. The loser of a race is told
-the winner's revision, operation and operator. No update is lost, none counts
-twice, and a repeat of an operation returns the revision of the first.
+Each operator increments the same counter by compare-and-swap, while the table
+loses responses after the writes took effect. The loser of a race gets the
+winner's revision, operation and operator. No update is lost or applied twice, a
+repeated operation returns the revision of the first, and a watch sees each
+change once.
 """
 
 import json
@@ -18,7 +19,7 @@
 
 
 class Operator:
-    """Adds to the counter through one entry until `EACH` writes went through."""
+    """Increments the counter through one entry until EACH writes succeeded."""
 
     def __init__(self, cluster, number):
         self.cluster = cluster
@@ -28,7 +29,7 @@
         self.revisions = {}
 
     def write(self, operation, spec, match):
-        """Repeats the same operation for as long as its outcome is unknown."""
+        """Repeats the operation until its outcome is known."""
         while True:
             reply = fleet.put(self.entry, "limits", "counter", spec, operation,
                               self.name, match)
@@ -36,13 +37,13 @@
                 return reply
 
     def run(self):
-        tries = 0
+        attempts = 0
         while len(self.revisions) < EACH:
             now = harness.call(self.entry["operators"], "GET",
                                "/v1/resources/limits/counter").json()
             spec = {"weight": 1, "max_queued": now["spec"]["max_queued"] + 1}
-            tries += 1
-            operation = "%s-%d" % (self.name, tries)
+            attempts += 1
+            operation = "%s-%d" % (self.name, attempts)
             reply = self.write(operation, spec, now["revision"])
             if reply.status == 409:
                 self.conflicts.append(reply.json()["error"])
--- a/testsuite/cases/crashing_request/run.py
+++ b/testsuite/cases/crashing_request/run.py
@@ -1,10 +1,10 @@
-"""A request crashes each engine that runs it, and its caller sends it again.
+"""A request that crashes engines is refused after two crashes.
 
-The caller gets `failed` or `unknown` first, then, through whichever entry it
-tries, `refused` at once: two engines crashed under the request, so it is set
-aside on every entry. Without the news between entries each of the three would
-let it take two more engines, and the pool would be gone. Other callers are
-served throughout.
+The caller sends the request repeatedly through all entries. It gets `failed` or
+`unknown` first, and then `refused` at once from every entry, since two engines
+crashed while they ran the request. If entries did not share their crash
+records, each of the three would let the request crash two more engines, which
+would take down the pool. Other callers are served throughout.
 """
 
 import harness
@@ -32,18 +32,19 @@
             cluster.live(digest, entry)) == ENGINES, 60)
     for target in cluster.targets:
         cluster.faults(target["backend"], crash_on="poison")
-    told = []
+    reported = []
     for number in range(12):
         reply = harness.completion(cluster.entries[number % 3], "breakdowns",
                                    POISON)
-        told.append(reply.outcome)
+        reported.append(reply.outcome)
         assert reply.outcome in ("failed", "unknown", "refused"), reply.body
         other = harness.completion(cluster.entries[number % 3], "breakdowns",
                                    "scene %d" % number)
-        assert other.outcome == "completed", (told, other.body)
-    assert told[-6:] == ["refused"] * 6, told
-    # Two crashes set it aside; a third may be under way while the news travels.
-    assert alive(cluster) >= ENGINES - 3, (told, alive(cluster))
+        assert other.outcome == "completed", (reported, other.body)
+    assert reported[-6:] == ["refused"] * 6, reported
+    # The request is refused after two crashes. A third engine may run it before
+    # the crash records reach all entries.
+    assert alive(cluster) >= ENGINES - 3, (reported, alive(cluster))
 
 
 harness.run_case(body)
--- a/testsuite/cases/cut_stream/run.py
+++ b/testsuite/cases/cut_stream/run.py
@@ -1,8 +1,9 @@
-"""Streams break in the middle: the engine dies, or the target does.
+"""Streams break in the middle because the engine or the target dies.
 
-The caller has part of its answer. It is told by an `event: error` that names
-the outcome, and the chunked end is withheld, so that no client library takes
-the part for the whole; the rest is never made up by another target.
+The caller has received part of its response. It gets an `event: error` that
+names the outcome, and the final chunk of the chunked encoding is withheld, so
+that no client library takes the part for the whole. No other target generates
+the rest.
 """
 
 import threading
@@ -14,7 +15,7 @@
 
 
 def stream_until(cluster, entry, act):
-    """Breaks the stream by `act` once it has begun; returns what came."""
+    """Calls `act` once the stream has started; returns what was received."""
     replies = []
 
     def call():
--- a/testsuite/cases/demo/run.py
+++ b/testsuite/cases/demo/run.py
@@ -1,4 +1,4 @@
-"""`make demo` as a case: what a newcomer sees first has to work."""
+"""Runs `make demo`, so that the first program a new user runs keeps working."""
 
 import argparse
 import os
--- a/testsuite/cases/engine_restart/run.py
+++ b/testsuite/cases/engine_restart/run.py
@@ -1,8 +1,8 @@
-"""An engine dies and comes back empty while requests go on.
+"""An engine dies and restarts without weights while calls continue.
 
-No caller gets an answer that isn't of the declared version.
-The target's gate must shut without waiting for the next look at the engine,
-stay shut while the engine is away or empty, and open once it has loaded again.
+No caller gets a response that is not of the declared version. The target's gate
+must shut without waiting for the next poll of the engine, stay shut while the
+engine is down or has no weights, and open once it has loaded them again.
 """
 
 import datetime
@@ -17,7 +17,7 @@
 
 
 def gate_shut_at(cluster, name):
-    """When the target logged that its gate shut; None if it has not."""
+    """Time at which the target logged that its gate shut, or None."""
     with open(cluster.path(name + ".log")) as log:
         for line in log:
             if "event=gate_shut" in line:
--- a/testsuite/cases/frozen_target/run.py
+++ b/testsuite/cases/frozen_target/run.py
@@ -1,10 +1,9 @@
-"""A target stops in the middle of its work, and wakes later.
+"""A target process is frozen while calls are under way, and resumes later.
 
-Callers' confirmations are on their way when the process is paused: connections
-stay open, nothing answers, not even the question whether an attempt started.
-The entry tells `unknown` then. When the process wakes it finds the late
-attempts in its sockets: none may run whose caller was told that it was not run,
-and none twice.
+Connections stay open but nothing responds, not even the query whether an
+attempt started, so that the entry reports `unknown`. When the process resumes,
+it reads the late attempts from its sockets. It must run none whose caller was
+told that it was not run, and none twice.
 """
 
 import threading
@@ -25,7 +24,7 @@
     cluster.start_hosts(work_ms=100)
     harness.declare_service(cluster)
     harness.wait_open(cluster, 1)
-    told = {}
+    reported = {}
 
     def freeze():
         time.sleep(0.15)
@@ -37,7 +36,7 @@
         time.sleep(0.05 * number)
         key = "fee-%d" % number
         reply = harness.confirm(entry, key)
-        told[key] = reply.outcome
+        reported[key] = reply.outcome
         if reply.outcome == "refused":
             assert reply.headers.get("retry-after"), reply.headers
 
@@ -45,21 +44,22 @@
     freezer.start()
     harness.in_parallel(CALLS, confirm)
     freezer.join()
-    # What woke runs now: long enough for all that is left in its sockets.
+    # The target runs again. Then wait until it has read all requests that are
+    # left in its sockets.
     harness.wait_for("the target to be used again", lambda: harness.confirm(
         entry, "after-waking").outcome == "completed")
     time.sleep(1)
     runs = harness.service_runs(target)
-    harness.check_truth(told, runs)
-    assert "unknown" in told.values(), told
-    # A repeated call learns the recorded outcome and never runs it again.
-    for key, outcome in told.items():
+    harness.check_truth(reported, runs)
+    assert "unknown" in reported.values(), reported
+    # A repeated call gets the recorded outcome and does not run again.
+    for key, outcome in reported.items():
         if outcome != "unknown":
             continue
         again = harness.confirm(entry, key)
         assert again.outcome == "unknown", (key, again.outcome)
     assert harness.service_runs(target) == runs
-    print(told)
+    print(reported)
 
 
 harness.run_case(body)
--- a/testsuite/cases/graceful_stop/run.py
+++ b/testsuite/cases/graceful_stop/run.py
@@ -1,9 +1,9 @@
-"""A target and an entry are stopped and started again under load.
+"""A target and an entry are stopped and restarted under load.
 
-Callers keep the list of entries for its time to live and connect to any of
-them, some over connections that stay open. The stopping process says so, its
-peers leave it out, it serves those who still come to it, and ends when the last
-answer is with its caller: no call fails, and none is cut.
+Callers cache the list of entries for its time to live and connect to any of
+them, some over persistent connections. The stopping process announces that it
+stops, its peers stop using it, it serves calls that still arrive, and exits
+when the last response has been sent. No call fails or is truncated.
 """
 
 import http.client
@@ -18,7 +18,7 @@
 
 
 class Caller(threading.Thread):
-    """Calls in a loop, as the product's callers do."""
+    """Calls in a loop, with a cached list of entries, as real callers do."""
 
     def __init__(self, number, cluster, stop):
         super().__init__()
@@ -64,7 +64,8 @@
             self.wrong.append((answer.status, data[-300:]))
         self.done += 1
         keep = answer.getheader("connection", "") != "close"
-        # Some callers keep their connection, some dial anew for each call.
+        # Half of the callers keep their connection, the others connect for each
+        # call.
         if not keep or self.number % 2 == 0:
             self.connection.close()
             self.connection = None
--- a/testsuite/cases/kill_target/run.py
+++ b/testsuite/cases/kill_target/run.py
@@ -1,10 +1,10 @@
-"""Targets are killed and started again under load.
+"""Targets are killed and restarted under load.
 
-Callers' confirmations run at most once and their outcomes are true, whatever
-the moment of the kill: before the attempt came, while it ran, or after its
-answer was lost. Drafts, which may be repeated, are all completed by the other
-targets. A target that was started again refuses what was meant for its former
-self.
+Confirmations run at most once, and their reported outcomes are true, whether
+the target is killed before the attempt arrives, while it runs, or after its
+response was lost. Drafts, which may be retried, are all completed by the other
+targets. A restarted target refuses attempts that were meant for the process
+before it.
 """
 
 import threading
@@ -26,7 +26,7 @@
     cluster.start_hosts(work_ms=100)
     harness.declare_service(cluster)
     harness.wait_open(cluster, 3)
-    told = {}
+    reported = {}
     drafts = []
 
     def kill_some():
@@ -41,7 +41,7 @@
     def call(number):
         for step in range(CALLS):
             key = "fee-%d-%d" % (number, step)
-            told[key] = harness.confirm(entry, key).outcome
+            reported[key] = harness.confirm(entry, key).outcome
             drafts.append(harness.call(
                 entry["callers"], "GET", "/services/fee-ledger/fees/7", None,
                 {"x-organisation": "acme"}).outcome)
@@ -50,10 +50,10 @@
     killer.start()
     harness.in_parallel(12, call)
     killer.join()
-    harness.check_truth(told, harness.service_runs(*cluster.targets))
+    harness.check_truth(reported, harness.service_runs(*cluster.targets))
     assert set(drafts) == {"completed"}, {each: drafts.count(each)
                                           for each in set(drafts)}
-    outcomes = list(told.values())
+    outcomes = list(reported.values())
     assert outcomes.count("completed") > len(outcomes) // 2
     print({each: outcomes.count(each) for each in sorted(set(outcomes))})
 
--- a/testsuite/cases/paused_target/run.py
+++ b/testsuite/cases/paused_target/run.py
@@ -1,7 +1,7 @@
-"""A target process pauses for a few seconds with streams under way.
+"""A target process is paused for a few seconds while streams are under way.
 
-The callers have most of their time left, and the engine goes on all the while:
-each gets its whole answer once the process wakes.
+The callers' deadlines are far off, and the engine continues meanwhile: each
+caller gets its complete response once the process resumes.
 """
 
 import threading
--- a/testsuite/cases/platform_graceful_stop/run.py
+++ b/testsuite/cases/platform_graceful_stop/run.py
@@ -1,7 +1,7 @@
 """An entry is stopped in the middle of a stream.
 
-The caller gets its whole answer, the entry tells that it isn't ready and that
-callers should use the other one, and it ends by itself.
+The caller gets its complete response, the entry reports that it is not ready
+and directs callers to the other entry, and then it exits.
 """
 
 import threading
--- a/testsuite/cases/platform_path/run.py
+++ b/testsuite/cases/platform_path/run.py
@@ -1,8 +1,8 @@
-"""The whole path on the users' platform.
+"""End-to-end test on the users' platform.
 
-Two entries, three replicas of a model and a plain service. A replica that comes
-without weights gets them; a new version reaches all while streams go on, and no
-caller sees a broken or mixed answer.
+Two entries, three replicas of a model and a plain service. A replica that
+starts without weights gets them. A new version reaches all replicas while
+streams are under way, and no caller gets a truncated or mixed response.
 """
 
 import harness
--- a/testsuite/cases/platform_revoked_key/run.py
+++ b/testsuite/cases/platform_revoked_key/run.py
@@ -1,8 +1,9 @@
-"""A key is taken away while an entry stands still.
+"""An API key is removed while an entry is frozen.
 
-The entry is frozen, the key goes, and the entry wakes after more than the bound.
-No call with that key that is sent after the bound runs, whatever the entry still
-believes when it wakes; a key that stays is served again.
+The entry resumes after longer than the bound on removed keys. A call with the
+removed key that is sent after the bound must not run, although the entry's
+configuration still contains the key when it resumes. Calls with a key that was
+kept are served again.
 """
 
 import time
--- a/testsuite/cases/platform_silent_replica/run.py
+++ b/testsuite/cases/platform_silent_replica/run.py
@@ -1,7 +1,7 @@
-"""Replicas fall silent for a while with answers under way.
+"""Replicas are silent for a while during responses.
 
-The caller gets the whole answer though no other replica has room: a replica's
-silence alone never ends an answer.
+The caller gets the complete response although no other replica has a free slot:
+the silence of a replica alone never ends a response.
 """
 
 import threading
@@ -10,14 +10,14 @@
 import harness
 import platform_fleet
 
-# Longer than an entry waits before it looks for another replica, and well
-# below the time of the callers.
+# In seconds: longer than an entry waits before it tries another replica, and
+# well below the callers' deadline.
 PAUSES = (1.1, 2.5)
 EVENTS = 40
 
 
 def start(call):
-    """Runs `call` in a thread; its reply is put into the list returned."""
+    """Runs `call` in a thread; returns it and a list that gets the reply."""
     replies = []
     caller = threading.Thread(target=lambda: replies.append(call()))
     caller.start()
--- a/testsuite/cases/platform_soak/run.py
+++ b/testsuite/cases/platform_soak/run.py
@@ -1,10 +1,10 @@
-"""A short run of the soak: series of faults that overlap, from outside.
+"""Short soak run with overlapping series of faults.
 
-Callers go on calling while processes are killed, stopped and frozen, links cut,
-silenced and slowed, and the store fails in its ways. Whatever they see is a
-whole answer of one replica or a true refusal, no payment runs twice, no removed
-key runs after its bound, and afterwards all works again. Then the same for each
-seed that broke a promise once.
+Callers continue while processes are killed, stopped and frozen, links are cut,
+silenced and slowed, and the store fails in its ways. Each caller gets a
+complete response of one replica or a truthful refusal, no payment runs twice,
+no removed key is accepted after its bound, and the system recovers. Then
+repeats each seed that once broke a promise.
 """
 
 import sys
@@ -12,8 +12,8 @@
 import harness
 from soak import run_soak
 
-# With a lease on keys of thrice the bound this seed shows calls of a removed
-# key, and with payments that are sent again it shows payments that ran twice.
+# This seed detects two faults: with a lease on keys of three times the bound,
+# calls with a removed key run, and with retried payments, payments run twice.
 SEED = 7104
 SECONDS = 20
 
--- a/testsuite/cases/platform_spoilt_chunks/run.py
+++ b/testsuite/cases/platform_spoilt_chunks/run.py
@@ -1,7 +1,8 @@
-"""The origin sends spoilt chunks of a new version, and the history is dropped.
+"""The origin sends corrupt chunks of a new version, and the store drops its
+history of changes.
 
-No engine ever loads a spoilt chunk: each is fetched again. Entries and targets
-that lose the store's history read the tables whole and miss nothing.
+No engine loads a corrupt chunk: each is fetched again. Entries and targets that
+can't continue from the dropped history read the tables whole and miss nothing.
 """
 
 import harness
--- a/testsuite/cases/platform_stop_kept_connection/run.py
+++ b/testsuite/cases/platform_stop_kept_connection/run.py
@@ -1,9 +1,10 @@
-"""A caller keeps its connection while the entry stops.
+"""A caller keeps its connection open while the entry stops.
 
-Its answer would be cut when the entry ends: calls come there for as long as
-callers may hold the entry's address. After that its idle connection is closed,
-so that it goes elsewhere, a request that crosses this is told that nothing ran,
-and an answer under way is whole.
+Its call would be cut off if the entry exited at once, since calls arrive for as
+long as callers may cache the entry's address. After that time the entry closes
+the idle connection, so that the caller connects to another entry. A request
+that crosses the close is refused as not run, and a response under way is
+completed.
 """
 
 import socket
@@ -13,12 +14,13 @@
 import harness
 import platform_fleet
 
-# Callers hold an address for three times the second that it is told for.
+# Seconds for which callers may use an address: three times the time to live of
+# 1 s with which the entry announces it.
 ADDRESSES_HOLD = 3.0
 
 
 class KeptConnection:
-    """A connection that stays open after an answer."""
+    """A connection that stays open after a response."""
 
     def __init__(self, entry):
         host, port = entry["callers"].rsplit(":", 1)
@@ -35,7 +37,7 @@
         self.socket.sendall(b"\r\n\r\nfee")
 
     def read(self):
-        """What has come when nothing more comes; empty at the end."""
+        """Returns the next bytes; empty if the connection was closed."""
         return self.socket.recv(65536)
 
     def pay(self, number):
--- a/testsuite/cases/platform_store_down/run.py
+++ b/testsuite/cases/platform_store_down/run.py
@@ -1,8 +1,9 @@
-"""The platform's store is away for longer than the lease on keys.
+"""The platform's store is down for longer than the lease on keys.
 
-Calls are served as long as the lease holds. After that they are refused as not
-run, with the time to come back: the entry can't know whether a key was taken
-away, and doesn't call it wrong either. Once the store is back, calls are served.
+Calls are served as long as the lease is valid. After that they are refused as
+not run, with a Retry-After header: the entry can't know whether a key was
+removed, and does not report it as invalid either. Once the store is back, calls
+are served again.
 """
 
 import harness
--- a/testsuite/cases/platform_stream_spliced/run.py
+++ b/testsuite/cases/platform_stream_spliced/run.py
@@ -1,7 +1,7 @@
 """A replica is killed in the middle of a stream.
 
-The caller sees one stream, with each event once and in order: the entry goes on
-at another replica after the last whole event.
+The caller gets one stream that contains each event once and in order: the entry
+resumes at another replica after the last complete event.
 """
 
 import threading
--- a/testsuite/cases/rollout_redeclared/run.py
+++ b/testsuite/cases/rollout_redeclared/run.py
@@ -1,9 +1,9 @@
-"""A version is declared anew, with other bytes, in mid-transfer and mid-load.
+"""A version is redeclared with other bytes during its transfer and its load.
 
-No gate may open for the bytes that were taken back, and none may be mixed in.
-First the name gets another digest while chunks of the old one come in; then
-again while the engine has been ordered to load. What was fetched of the old
-identity is dropped, which also breaks off an engine that reads it.
+First the version gets another digest while chunks of the old one are fetched,
+then again while the engine has been ordered to load. No gate may open for the
+withdrawn bytes, and none may be mixed in. Chunks of the old digest are
+dropped, which also aborts an engine that is reading them.
 """
 
 import harness
--- a/testsuite/cases/rollout_waves/run.py
+++ b/testsuite/cases/rollout_waves/run.py
@@ -1,9 +1,10 @@
-"""A new version, a pause, a bad load and a rollback under steady requests.
+"""A rollout, a pause, a failed load and a rollback under steady load.
 
-Callers get a whole answer to every request, of one declared version by name.
-Eight hosts serve; at most two may be shut by the rollout at once. First v2 is
-paused and resumed, then v3 fails to load, which must stop the rollout and name
-host and reason; then v2 is declared again, which must cost the origin nothing.
+Each request gets a complete response of one declared version, which the
+response names. Eight hosts serve, and the rollout may shut at most two at once.
+First v2 is paused and resumed. Then v3 fails to load, which must stop the
+rollout and report host and reason. Then v2 is declared again, which must not
+fetch anything from the origin.
 """
 
 import json
@@ -38,7 +39,7 @@
 
 
 def shut_spans(cluster):
-    """When the rollout shut and opened each gate, by the targets' own logs."""
+    """Times at which the rollout shut (1) and opened (-1) gates, from logs."""
     events = []
     for target in cluster.targets:
         shut = False
@@ -55,7 +56,10 @@
 
 
 def most_shut(cluster, skip):
-    """Openings count before closings of the same instant."""
+    """Largest number of gates that were shut at once.
+
+    At the same instant, openings count before closings.
+    """
     shut = most = 0
     for _, change in shut_spans(cluster)[skip:]:
         shut += change
--- a/testsuite/cases/same_request_id/run.py
+++ b/testsuite/cases/same_request_id/run.py
@@ -1,9 +1,9 @@
-"""A caller sends its request again under the same X-Request-Id.
+"""A caller reuses an X-Request-Id.
 
-Ids are the callers' own: a client library repeats them when it retries, and two
-callers may pick the same one. The first answer has been given, or the first
-call was refused; the second call is a call of its own and must be answered like
-any other. A target that took it for a doubled message would leave it unanswered.
+Callers choose these ids: a client library repeats the id in a retry, and two
+callers may choose the same one. The first call was answered or refused. The
+second is a separate call and must be answered. A target that took it for a
+duplicate of the first message would never respond to it.
 """
 
 import harness
--- a/testsuite/cases/service_calls/run.py
+++ b/testsuite/cases/service_calls/run.py
@@ -1,8 +1,8 @@
-"""Calls of a plain service pass through as they are.
+"""Calls of a plain service pass through unchanged.
 
 Method, query, headers and body reach the service; its status, headers and body
-come back. A 4xx or 5xx of the service is its answer, so the outcome is
-`completed`. Fields of our own processes are kept from it and from the caller.
+are returned. A 4xx or 5xx of the service is its response, so the outcome is
+`completed`. Internal header fields reach neither the service nor the caller.
 """
 
 import harness
--- a/testsuite/cases/settings_page/run.py
+++ b/testsuite/cases/settings_page/run.py
@@ -1,4 +1,4 @@
-"""The operators' page of settings says what the programs say."""
+"""The operators' page of settings matches the programs' --describe-settings."""
 
 import argparse
 import sys
--- a/testsuite/cases/silent_connection/run.py
+++ b/testsuite/cases/silent_connection/run.py
@@ -1,10 +1,10 @@
-"""Connections between entry and target go silent for good, new ones work.
+"""Connections between entry and target go silent for good; new ones work.
 
-A caller's fee confirmation goes into a connection that carries nothing any
-more, and no error ever comes. The entry finds it by missing progress, asks over
-a new connection what became of the attempt, and tells the truth: refused if it
-never started, unknown if it did. A connection that stood idle when it was
-dropped costs the next caller nothing but a moment.
+A confirmation is sent on a connection that carries no more data and reports no
+error. The entry detects this by missing progress, queries the state of the
+attempt on a new connection, and reports the truth: refused if the attempt never
+started, unknown if it did. A connection that was idle when it went silent
+delays the next caller only briefly.
 """
 
 import threading
@@ -14,23 +14,25 @@
 
 IN_FLIGHT = 8
 AFTER = 6
-# Far above what a probe costs, far below what waiting for silence costs.
+# Deadline in ms: far above the duration of a probe, and far below the time-out
+# of a silent connection.
 SHORT_MS = 1500
 
 
 def flights(cluster):
-    """Calls of this round that have begun at the service."""
+    """Keys of the calls of this round that have started at the service."""
     return {key for key in harness.service_runs(*cluster.targets)
             if key.startswith("flight-")}
 
 
 def call_while_silenced(cluster, relay, entry):
-    """Calls are running at the service when the connection is dropped.
+    """The connection goes silent while calls run at the service.
 
-    One that runs then can't be answered any more. One that hasn't begun, on a
-    busy machine, may go to the target over a new connection and complete.
+    The response of a call that runs at that moment is lost. A call that has not
+    started by then, on a busy machine, may reach the target over a new
+    connection and complete.
     """
-    told = {}
+    reported = {}
     begun = set()
 
     def silence():
@@ -46,15 +48,15 @@
     assert begun
     for number, reply in enumerate(replies):
         key = "flight-%d" % number
-        told[key] = reply.outcome
+        reported[key] = reply.outcome
         allowed = {"unknown"} if key in begun else {
             "unknown", "refused", "completed"}
         assert reply.outcome in allowed, (key, reply.outcome, begun)
-    return told
+    return reported
 
 
 def call_into_silence(cluster, relay, entry):
-    """The connection was in use just now: the attempt is lost in it."""
+    """The connection was used recently, so that the attempt is lost on it."""
     cluster.faults(relay, silent=True)
     reply = harness.confirm(entry, "lost-0")
     assert reply.outcome in ("refused", "completed"), reply.outcome
@@ -67,8 +69,8 @@
 
 
 def call_after_idleness(cluster, relay, entry):
-    """The connection of the entry's other thread stood idle when dropped."""
-    told = {}
+    """The connection of the entry's other thread was idle when silenced."""
+    reported = {}
     time.sleep(1)
     cluster.faults(relay, silent=True)
     time.sleep(3)
@@ -76,8 +78,8 @@
         key = "after-%d" % number
         reply = harness.confirm(entry, key, timeout_ms=SHORT_MS)
         assert reply.outcome == "completed", (key, reply.outcome, reply.body)
-        told[key] = reply.outcome
-    return told
+        reported[key] = reply.outcome
+    return reported
 
 
 def body(cluster):
@@ -92,14 +94,14 @@
     harness.wait_open(cluster, 1)
     for number in range(4):
         assert harness.confirm(entry, "warm-%d" % number).outcome == "completed"
-    told = call_after_idleness(cluster, relay, entry)
-    told.update(call_into_silence(cluster, relay, entry))
-    told.update(call_while_silenced(cluster, relay, entry))
-    # The target that lost attempts is left alone for a moment.
+    reported = call_after_idleness(cluster, relay, entry)
+    reported.update(call_into_silence(cluster, relay, entry))
+    reported.update(call_while_silenced(cluster, relay, entry))
+    # The entry avoids a target that lost attempts for a short time.
     harness.wait_for("the target to be used again", lambda: harness.confirm(
         entry, "at-last").outcome == "completed")
-    harness.check_truth(told, harness.service_runs(target))
-    print(told)
+    harness.check_truth(reported, harness.service_runs(target))
+    print(reported)
 
 
 harness.run_case(body)
--- a/testsuite/cases/soak_judges/run.py
+++ b/testsuite/cases/soak_judges/run.py
@@ -1,5 +1,5 @@
-"""The soak's judges, each with histories that break its rule and ones that just
-don't."""
+"""Tests the checks of the soak with histories that break a rule and histories
+that just do not."""
 
 import harness
 from soak.callers import Outcome
@@ -21,19 +21,20 @@
 
 
 def check_lost():
-    # The entry left a replica that was at work, or had sent all.
+    # The entry disconnected from a replica that was running the call or had
+    # sent the complete response.
     assert lost(stream(), ["caller_left"])
     assert lost(stream(), ["whole"])
     assert lost(stream(status=None), ["caller_left"])
     assert lost(stream(), ["caller_left", "caller_left"])
-    # It was whole, or nobody had it.
+    # The response was complete, or no replica ran the call.
     assert not lost(stream(whole=True), ["whole"])
     assert not lost(stream(whole=True, status=503), ["caller_left"])
     assert not lost(stream(status=None), [])
-    # The replica ended it, or died.
+    # The replica broke off the response, or died.
     assert not lost(stream(), ["broken_off"])
     assert not lost(stream(), [None])
-    # The time of the caller was over.
+    # The caller's deadline had passed, or had not.
     assert not lost(stream(took=5.9), ["caller_left"])
     assert lost(stream(took=5.0), ["caller_left"])
 
--- a/testsuite/cases/stale_order/run.py
+++ b/testsuite/cases/stale_order/run.py
@@ -1,11 +1,11 @@
-"""A frozen vltarget wakes after a newer one has ordered its engine.
-
-No caller gets text of a version that its answer doesn't name.
-vltarget A freezes with its gate open for v1. A second process B of the same
-host, on other ports, orders the same engine, which ignores fencing numbers, to
-load v2. A wakes and serves on: its first answer names v2, so its gate shuts
-and it asks the engine. Then B dies and v3 is declared: A finds B's fencing
-number, gives no order any more and serves no more.
+"""A frozen vltarget resumes after another process has ordered its engine.
+
+No caller may get text of a version that its response does not name. Process A
+is frozen with its gate open for v1. A second process B of the same host, on
+other ports, orders the same engine, which ignores fencing numbers, to load v2.
+A resumes and serves: its first response names v2, so its gate shuts and it
+polls the engine. Then B dies and v3 is declared: A finds B's fencing number,
+sends no further order and stops serving.
 """
 
 import copy
@@ -70,7 +70,7 @@
         cluster.processes["target-0"].wake()
         harness.wait_for("A found out what its engine serves",
                          lambda: len(cluster.live(v2)) == 2, TIMEOUT)
-        # With B alive, A may find v3 loaded by B before it needs a number.
+        # If B stayed alive, it might load v3 before A needs a fencing number.
         cluster.processes["second-process"].kill()
         declare_pool(cluster, "v3")
         harness.wait_for("A was deposed",
--- a/testsuite/cases/table_down/run.py
+++ b/testsuite/cases/table_down/run.py
@@ -1,8 +1,8 @@
 """The platform's table is down for a while.
 
-Nobody can claim a key then. A confirmation is refused at once, as not run, with
-the time to come back; drafts go on. Once the table is back the same call runs,
-once.
+No entry can claim an idempotency key then. A confirmation is refused at once as
+not run, with a Retry-After header; drafts continue. Once the table is back the
+same call runs, once.
 """
 
 import harness
--- a/testsuite/cases/trace_after_death/run.py
+++ b/testsuite/cases/trace_after_death/run.py
@@ -1,8 +1,8 @@
-"""A support engineer asks what became of a request whose entry has died.
+"""Traces a request whose entry has died.
 
-The request is answered; its entry is killed a few seconds later and its memory
-with it. Another entry must still tell the outcome, from the segment that the
-dead one had written to the object store, within 200 ms.
+The request is answered; its entry is killed a few seconds later and loses its
+memory. Another entry must report the outcome within 200 ms, from the segment
+that the killed entry had written to the object store.
 """
 
 import time
--- a/testsuite/cases/weights_burst/run.py
+++ b/testsuite/cases/weights_burst/run.py
@@ -1,10 +1,10 @@
-"""128 MiB reach 24 hosts while hosts die and freeze and chunks come corrupt.
+"""128 MiB reach 24 hosts while hosts die or freeze and chunks are corrupted.
 
-An operator sees the version live on every host that survived.
-All fetch at once; in mid-transfer 3 target processes are killed and 2 frozen,
-and of the ranges drawn from the origin 1 in 100 has a wrong byte. The frozen
-ones wake once the others are live. No engine may hold another byte than was
-declared: each says the digest of what it read.
+All hosts fetch at once. During the transfer 3 target processes are killed and 2
+frozen, and 1 in 100 of the ranges fetched from the origin has a wrong byte. The
+frozen processes resume once the others are live. The version must become live
+on every host that survived, and no engine may load a byte other than those
+declared: each reports the digest of the weights that it read.
 """
 
 import harness
--- a/testsuite/fleet.py
+++ b/testsuite/fleet.py
@@ -63,8 +63,10 @@
 
 
 class Watchers:
-    """Measures when a revision is in force, by polling the status of the entries,
-    which contains the reports of the targets."""
+    """Measures when a revision is in force everywhere.
+
+    Polls the status of the entries, which contains the reports of the targets.
+    """
 
     def __init__(self, cluster):
         self.cluster = cluster
@@ -115,7 +117,7 @@
 
 
 def wire_bytes(cluster):
-    """Bytes sent and received on each connection of each process, as `ss` reports."""
+    """Bytes sent and received by process and connection, from `ss`."""
     text = subprocess.run(["ss", "-tinpH"], capture_output=True,
                           text=True).stdout
     names = {process.child.pid: name
--- a/testsuite/harness.py
+++ b/testsuite/harness.py
@@ -29,10 +29,10 @@
 def free_ports(count):
     """Returns `count` ports that are free now and were not returned before."""
     sockets = []
-    source = random.SystemRandom()
+    rng = random.SystemRandom()
     while len(sockets) < count:
         each = socket.socket()
-        port = source.choice(PORTS)
+        port = rng.choice(PORTS)
         try:
             if port in _given:
                 raise OSError("given to another program of this cluster")
@@ -59,13 +59,13 @@
             "data_offsets": [offset, offset + length]}
         offset += length
     header = json.dumps(tensors).encode()
-    source = random.Random(seed)
+    rng = random.Random(seed)
     with open(path, "wb") as file:
         file.write(struct.pack("<Q", len(header)))
         file.write(header)
         for tensor in tensors.values():
             begin, end = tensor["data_offsets"]
-            file.write(source.randbytes(end - begin))
+            file.write(rng.randbytes(end - begin))
 
 
 class Reply:
@@ -321,7 +321,7 @@
         return done
 
     def apply(self, resources, entry=0):
-        """Declares the models of all versions in `resources`, then `resources`."""
+        """Declares `resources`, preceded by the models of the versions."""
         resources = resources if isinstance(resources, list) else [resources]
         models = {resource["spec"]["model"] for resource in resources
                   if resource["kind"] == "version"}
@@ -399,7 +399,7 @@
 
 
 def in_parallel(count, function):
-    """Calls function(0) ... function(count - 1) in threads; returns the results."""
+    """Runs function(0) ... function(count - 1) in threads; returns results."""
     with concurrent.futures.ThreadPoolExecutor(count) as pool:
         return list(pool.map(function, range(count)))
 
@@ -428,11 +428,11 @@
     return total
 
 
-def check_truth(told, runs):
+def check_truth(reported, runs):
     """Checks each reported outcome, by key, against how often the call ran."""
     allowed = {"completed": (1,), "failed": (1,), "refused": (0,),
                "unknown": (0, 1)}
-    for key, outcome in told.items():
+    for key, outcome in reported.items():
         ran = runs.get(key, 0)
         assert ran in allowed[outcome], "%s: told %s, ran %d times" % (
             key, outcome, ran)
--- a/testsuite/platform_fleet.py
+++ b/testsuite/platform_fleet.py
@@ -41,7 +41,7 @@
     def listen_for(self, name, address):
         """Address on which the replica `name` listens.
 
-        Callers connect to `address`, which differs if a relay is in between.
+        Its clients connect to `address`, which differs behind a relay.
         """
         return address
 
--- a/testsuite/run_fuzz.py
+++ b/testsuite/run_fuzz.py
@@ -18,12 +18,12 @@
     parser.add_argument("--bin", required=True)
     parser.add_argument("--seconds", type=float, default=60)
     options = parser.parse_args()
-    source = random.SystemRandom()
+    rng = random.SystemRandom()
     tests = sorted(glob.glob(os.path.join(options.bin, "src", "*_test")))
     deadline = time.monotonic() + options.seconds
     rounds = 0
     while time.monotonic() < deadline:
-        seed = source.randrange(1, 1 << 62)
+        seed = rng.randrange(1, 1 << 62)
         for test in tests:
             environment = dict(os.environ, RC_PARAMS="seed=%d" % seed)
             done = subprocess.run([test], env=environment,
--- a/testsuite/soak/callers.py
+++ b/testsuite/soak/callers.py
@@ -33,7 +33,7 @@
 
 
 class Callers:
-    """Threads that call continuously, half of them on persistent connections."""
+    """Threads that call continuously, half on persistent connections."""
 
     def __init__(self, deployment, seed, count):
         self.deployment = deployment
@@ -50,7 +50,7 @@
             thread.start()
 
     def probe_guest(self):
-        """Calls each entry with the guest's key, in addition to the usual calls."""
+        """Calls each entry with the guest's key, beside the usual calls."""
         for entry in self.deployment.entries:
             for _ in range(PROBES):
                 self.probes += 1
@@ -74,27 +74,27 @@
             thread.join()
 
     def run(self, seed, number):
-        source = random.Random("%d/%d" % (seed, number))
+        rng = random.Random("%d/%d" % (seed, number))
         keeps = number % 2 == 0
         connections = {}
         count = 0
         while not self.stopped.is_set():
             count += 1
-            entry = source.choice(self.deployment.entries)
+            entry = rng.choice(self.deployment.entries)
             outcome = Outcome("c%d-%d" % (number, count),
-                              source.choice(("draft", "pay")), entry["name"],
-                              source.random() < 0.3, time.monotonic(),
-                              source.randrange(1, MOST_EVENTS))
+                              rng.choice(("draft", "pay")), entry["name"],
+                              rng.random() < 0.3, time.monotonic(),
+                              rng.randrange(1, MOST_EVENTS))
             connection = connections.pop(entry["name"], None)
             connection = self.call(entry, outcome, connection)
             if connection and keeps:
                 connections[entry["name"]] = connection
             with self.lock:
                 self.outcomes.append(outcome)
-            time.sleep(source.choice(PAUSES))
+            time.sleep(rng.choice(PAUSES))
 
     def call(self, entry, outcome, connection):
-        """Makes one call; returns the connection if it can be reused, else None."""
+        """Makes one call; returns the connection if it is reusable."""
         host, port = entry["callers"].rsplit(":", 1)
         connection = connection or http.client.HTTPConnection(
             host, int(port), timeout=CALL_TIMEOUT)
--- a/testsuite/soak/deployment.py
+++ b/testsuite/soak/deployment.py
@@ -11,8 +11,8 @@
 KEY_BOUND = 5.0
 
 
-# Numbers of entries, engines, replicas of the plain service, callers and slots of
-# an engine; time between two events of a stream in ms.
+# Numbers of entries, engines, replicas of the plain service, callers and slots
+# of an engine; time between two events of a stream in ms.
 Size = collections.namedtuple("Size", "entries engines plain callers slots event")
 SMALL = Size(3, 4, 2, 6, 8, 8)
 # More callers than an engine has slots, so that calls have to wait.
@@ -23,8 +23,8 @@
     """Entries and replicas in two data centres.
 
     Each entry and each target process connects to the store through a relay of
-    its own, and callers connect to each replica through one. `relays` maps the
-    name of such a process to the command address of its relay.
+    its own, and each replica is reached through one. `relays` maps the name of
+    such a process to the command address of its relay.
     """
 
     # In seconds; short, as a write into a store that hangs delays the faults
@@ -94,7 +94,7 @@
 
     @staticmethod
     def spread(count):
-        """Data centres of `count` processes: the first half in a, the rest in b."""
+        """Data centres of `count` processes: half in a, the rest in b."""
         return ["a" if number < (count + 1) // 2 else "b"
                 for number in range(count)]
 
--- a/testsuite/soak/fault_plan.py
+++ b/testsuite/soak/fault_plan.py
@@ -5,8 +5,8 @@
 
 Fault = collections.namedtuple("Fault", "at kind victim lasts")
 
-# Weights of the kinds of faults in the random choice. Faults of the store affect
-# every process; each other fault affects one.
+# Weights of the kinds of faults in the random choice. Faults of the store
+# affect every process; each other fault affects one.
 KINDS = {
     "kill_entry": 3, "kill_target": 2, "kill_replica": 2, "stop_entry": 3,
     "stop_target": 1, "freeze_entry": 3, "freeze_target": 2,
@@ -29,17 +29,17 @@
     They start within the first three quarters of the run, so that the rest
     remains for recovery. `planned`: only the kinds of PLANNED.
     """
-    source = random.Random(seed)
+    rng = random.Random(seed)
     weights = PLANNED if planned else KINDS
     kinds = list(weights)
     faults = []
     at = 0.5
     while at < seconds * 0.75:
-        kind = source.choices(kinds, list(weights.values()))[0]
+        kind = rng.choices(kinds, list(weights.values()))[0]
         longest = {"freeze": LONGEST_FREEZE, "pause": LONGEST_PAUSE}.get(
             kind.split("_")[0], LONGEST_OUTAGE)
-        faults.append(Fault(round(at, 2), kind, source.randrange(100),
-                            round(source.uniform(0.1, longest), 2)))
+        faults.append(Fault(round(at, 2), kind, rng.randrange(100),
+                            round(rng.uniform(0.1, longest), 2)))
         # Produces bursts: several faults in quick succession, then a pause.
-        at += source.choice((0.02, 0.1, 0.3, 0.3, 1.0, 2.0))
+        at += rng.choice((0.02, 0.1, 0.3, 0.3, 1.0, 2.0))
     return faults
--- a/testsuite/soak/injector.py
+++ b/testsuite/soak/injector.py
@@ -1,4 +1,4 @@
-"""Injects the faults of a plan into a deployment, from outside its processes."""
+"""Injects a plan's faults into a deployment, from outside its processes."""
 
 import heapq
 import http.client
@@ -219,7 +219,7 @@
     # The operator.
 
     def write(self, action, *arguments):
-        """Writes into the store; schedules a retry if it is not acknowledged."""
+        """Writes into the store; schedules a retry if not acknowledged."""
         try:
             action()
             return True
--- a/testsuite/soak/judge_lost.py
+++ b/testsuite/soak/judge_lost.py
@@ -46,7 +46,7 @@
 
 
 def broken_off(ends):
-    """Whether a replica ended the response, so that no entry could complete it."""
+    """Whether a replica broke the response off: no entry could save it."""
     return any(how in (None, "broken_off") for how in ends)
 
 
--- a/testsuite/soak/promises.py
+++ b/testsuite/soak/promises.py
@@ -9,9 +9,9 @@
 from soak.callers import DEADLINE_MS
 from soak.deployment import KEY_BOUND
 
-# Longest time of a call in seconds. An entry that is frozen reads a call when it
-# resumes, at most 6.5 s after the call was sent, and the caller's deadline of 6 s
-# starts then.
+# Longest time of a call in seconds. An entry that is frozen reads a call when
+# it resumes, at most 6.5 s after the call was sent, and the caller's deadline
+# of 6 s starts then.
 LATEST = 13.5
 OWN_REFUSALS = (502, 503, 504)
 
--- a/testsuite/soak/run_soak.py
+++ b/testsuite/soak/run_soak.py
@@ -23,8 +23,8 @@
 from soak.deployment import FULL, SMALL, Deployment, Size  # noqa: E402
 from soak.injector import Injector  # noqa: E402
 
-# Upper limits of the options. The number of a host is one byte of its IP address,
-# and one machine runs a few hundred processes.
+# Upper limits of the options. The number of a host is one byte of its IP
+# address, and one machine runs a few hundred processes.
 MOST = {"entries": 60, "engines": 60, "plain": 20, "callers": 400, "slots": 64,
         "event": 1000}
 SEEDS = os.path.join(os.path.dirname(os.path.abspath(__file__)), "seeds.txt")
@@ -60,7 +60,7 @@
 
 
 def play_alone(bin_folder, run):
-    """Executes a run in a folder of its own; returns whether no promise broke."""
+    """Executes a run in its own folder; returns whether no promise broke."""
     work = tempfile.mkdtemp(prefix="verbenalead-soak-")
     cluster = harness.Cluster(bin_folder, work)
     try:
--- a/testsuite/standins/common/faults.cc
+++ b/testsuite/standins/common/faults.cc
@@ -13,7 +13,7 @@
   return json::parse(text).get_object();
 }
 
-/// Takes the answer and loses it.
+/// Discards the response, so that the client gets none.
 class LosingWriter : public wire::ResponseWriter {
  public:
   Awaitable<bool> Send(wire::Response) override { co_return true; }
--- a/testsuite/standins/common/faults.h
+++ b/testsuite/standins/common/faults.h
@@ -9,23 +9,27 @@
 
 namespace verbenalead::standins {
 
-/// The faults that a stand-in shows, set by `POST /faults` with a JSON object:
+/// The faults that a stand-in simulates. `POST /faults` replaces them by those
+/// of a JSON object:
 ///
 ///     {"down": true}         every request is answered 503
 ///     {"hang": true}         no request is answered
-///     {"delay_ms": 500}      each answer comes that late
+///     {"delay_ms": 500}      each request is delayed by 500 ms
 ///     {"lose_answers": 3}    the next three requests take effect, but their
 ///                            connection breaks before the answer
 ///
-/// Further members are the stand-in's own. May be used from several threads.
+/// Further members are specific to the stand-in. Thread-safe.
 class Faults {
  public:
+  /// Value of the member `name`; false, 0 or empty if it is absent or of
+  /// another type.
   bool Flag(const std::string& name) const;
   int64_t Number(const std::string& name) const;
   std::string Text(const std::string& name) const;
-  /// Takes one off the counter `name`; false if it stands at 0.
+  /// Decrements the counter `name`. Returns false if it is absent or 0 already.
   bool Spend(const std::string& name);
-  /// False if `json` is no object.
+  /// Replaces all faults. Returns false, and changes nothing, if `json` is not
+  /// a JSON object.
   bool Set(const std::string& json);
 
  private:
@@ -33,7 +37,7 @@
   std::string m_json = "{}";
 };
 
-/// `handler` behind the faults that all stand-ins have in common.
+/// Wraps `handler` with `POST /faults` and the faults listed above.
 wire::Handler WithFaults(std::shared_ptr<Faults> faults, wire::Handler handler);
 
 }  // namespace verbenalead::standins
--- a/testsuite/standins/common/run_standin.h
+++ b/testsuite/standins/common/run_standin.h
@@ -11,14 +11,15 @@
 
 namespace verbenalead::standins {
 
-/// The settings that every stand-in has: where it listens and how it logs.
+/// Settings common to all stand-ins: the address to listen on and the log
+/// level.
 SettingsSchema StandinSettings();
 
-/// Makes the stand-in's handler from its settings and faults.
+/// Creates the handler of a stand-in from its settings and faults.
 using MakeHandler =
     std::function<wire::Handler(const Settings&, std::shared_ptr<Faults>)>;
 
-/// Runs a stand-in until SIGTERM or SIGINT. Returns its exit code.
+/// Runs a stand-in until SIGTERM or SIGINT and returns its exit code.
 int RunStandin(int argc,
                char** argv,
                const std::string& name,
--- a/testsuite/standins/common/weights_pattern.h
+++ b/testsuite/standins/common/weights_pattern.h
@@ -10,7 +10,8 @@
 constexpr uint32_t kPatternChunks = 12;
 constexpr size_t kPatternChunkBytes = 4096;
 
-/// The bytes of one chunk of the weights that all stand-ins agree on.
+/// Generates the bytes of one chunk of the test weights. The origin and the
+/// replicas both use it, so that a replica can detect a wrong chunk.
 inline std::string PatternChunk(uint64_t version, uint32_t chunk) {
   std::mt19937_64 random(version * 1000 + chunk);
   std::string bytes(kPatternChunkBytes, '\0');
--- a/testsuite/standins/engine/engine_handler.cc
+++ b/testsuite/standins/engine/engine_handler.cc
@@ -19,8 +19,9 @@
 
 constexpr uint64_t kDefaultTokens = 16;
 constexpr size_t kWordLength = 6;
-/// How soon an engine notices that a request was cancelled.
-constexpr Duration kLookForCaller = 50ms;
+/// Interval at which a request that is not streamed checks whether its caller
+/// has disconnected.
+constexpr Duration kCallerPollInterval = 50ms;
 
 struct Engine {
   EngineState m_state;
@@ -50,7 +51,7 @@
   return completion;
 }
 
-/// Word number `index` of the answer to `completion`.
+/// Word number `index` of the response to `completion`.
 std::string Word(const Completion& completion, uint64_t index) {
   const std::string seed = ToString(completion.m_digest) + "|" +
                            completion.m_prompt + "|" + std::to_string(index);
@@ -100,7 +101,7 @@
   const TimePoint done =
       Now() + TokenTime(*engine) * static_cast<int64_t>(completion.m_tokens);
   while (Now() < done && !writer.gone())
-    co_await Sleep(std::min<Duration>(done - Now(), kLookForCaller));
+    co_await Sleep(std::min<Duration>(done - Now(), kCallerPollInterval));
   const wire::ResponseHead head = HeadFor(completion, "application/json");
   co_await writer.Send({200, head.m_headers, ChunkJson(completion, text)});
 }
@@ -163,7 +164,7 @@
   return order;
 }
 
-bool TakeFence(Engine& engine, uint64_t fence) {
+bool AcceptFence(Engine& engine, uint64_t fence) {
   std::lock_guard lock(engine.m_state.m_mutex);
   if (fence < engine.m_state.m_fence && !engine.m_faults->Flag("ignore_fence"))
     return false;
@@ -175,7 +176,7 @@
   auto order = CatchFailure([&] { return ReadOrder(body); });
   if (!order)
     co_return wire::Response{400, {}, order.error().m_reason};
-  if (!TakeFence(*engine, order->m_fence))
+  if (!AcceptFence(*engine, order->m_fence))
     co_return wire::Response{409, {}, "stale fencing number"};
   if (engine->m_faults->Flag("fail_load"))
     co_return wire::Response{500, {}, "out of memory"};
@@ -192,7 +193,7 @@
                                json::serialize(ShowModel(engine->m_state)));
 }
 
-wire::Response Show(Engine& engine, const std::string& path) {
+wire::Response RespondToQuery(Engine& engine, const std::string& path) {
   std::lock_guard lock(engine.m_state.m_mutex);
   const EngineState& state = engine.m_state;
   if (path == "/v1/models") {
@@ -228,7 +229,7 @@
     wire::Response response = co_await Load(engine, request.m_body);
     co_await writer.Send(std::move(response));
   } else {
-    co_await writer.Send(Show(*engine, request.m_path));
+    co_await writer.Send(RespondToQuery(*engine, request.m_path));
   }
 }
 
--- a/testsuite/standins/engine/engine_handler.h
+++ b/testsuite/standins/engine/engine_handler.h
@@ -7,15 +7,16 @@
 
 namespace verbenalead::standins {
 
-/// A model engine: POST /v1/completions (streamed or not), GET /v1/models,
-/// POST /v1/load, GET /runs, GET /metrics. Its text is a function of weights
-/// and prompt, so that a test knows the right answer. Faults of its own:
+/// Creates the handler of a simulated model engine: POST /v1/completions
+/// (streamed or not), GET /v1/models, POST /v1/load, GET /runs, GET /metrics.
+/// The generated text is a function of the weights' digest and the prompt, so
+/// that tests can compute the expected response. Specific faults:
 ///
-///     {"crash_on": "TEXT"}     ends the process when a prompt holds TEXT
-///     {"slow": 10}             each token takes so many times as long
-///     {"wrong_digest": true}   answers in the name of other weights
-///     {"fail_load": true}      fails every order and keeps what it serves
-///     {"ignore_fence": true}   takes orders with an old fencing number
+///     {"crash_on": "TEXT"}     ends the process if a prompt contains TEXT
+///     {"slow": 10}             each token takes 10 times as long
+///     {"wrong_digest": true}   reports the digest of other weights
+///     {"fail_load": true}      fails every load and keeps its weights
+///     {"ignore_fence": true}   accepts loads with an old fencing number
 wire::Handler MakeEngineHandler(const Settings& settings,
                                 std::shared_ptr<Faults> faults);
 
--- a/testsuite/standins/engine/engine_state.h
+++ b/testsuite/standins/engine/engine_state.h
@@ -10,7 +10,7 @@
 
 namespace verbenalead::standins {
 
-/// What a stand-in engine serves and has done.
+/// The weights that a stand-in engine serves, and its counters.
 struct EngineState {
   std::mutex m_mutex;
   std::string m_model;
@@ -19,7 +19,7 @@
   uint64_t m_fence = 0;
   uint32_t m_running = 0;
   uint64_t m_tokens = 0;
-  /// Runs by request id, for the oracle of tests.
+  /// Runs by request id, which tests compare with the reported outcomes.
   std::map<std::string, int64_t> m_runs;
 };
 
--- a/testsuite/standins/engine/load_weights.cc
+++ b/testsuite/standins/engine/load_weights.cc
@@ -14,8 +14,8 @@
 constexpr size_t kLengthBytes = 8;
 constexpr uint64_t kMaxHeader = uint64_t{100} << 20;
 
-/// Reads the safetensors header out of the first bytes: an 8-byte
-/// little-endian length, then so many bytes of JSON.
+/// Collects and checks the safetensors header at the start of a file: an 8-byte
+/// little-endian length, followed by that many bytes of JSON.
 class HeaderCheck {
  public:
   void Add(const std::string& piece) {
--- a/testsuite/standins/engine/load_weights.h
+++ b/testsuite/standins/engine/load_weights.h
@@ -9,8 +9,8 @@
 
 namespace verbenalead::standins {
 
-/// Reads weights over HTTP from `url` ("http://IP:port/path"), checks that they
-/// have the safetensors layout, and returns their digest.
+/// Downloads weights over HTTP from `url` ("http://IP:port/path"), checks that
+/// they start with a safetensors header, and returns their digest.
 Awaitable<AsyncResult<Digest>> LoadWeights(wire::Client& client,
                                            std::string url);
 
--- a/testsuite/standins/object_store/main.cc
+++ b/testsuite/standins/object_store/main.cc
@@ -8,7 +8,7 @@
 
 using namespace verbenalead;
 
-/// Objects by "/bucket/key".
+/// Objects, by "/bucket/key".
 struct Store {
   std::mutex m_mutex;
   std::map<std::string, std::string> m_objects;
--- a/testsuite/standins/origin/main.cc
+++ b/testsuite/standins/origin/main.cc
@@ -13,9 +13,10 @@
 
 using namespace verbenalead;
 
-constexpr size_t kPiece = 256 * 1024;
+constexpr size_t kPieceBytes = 256 * 1024;
 
-/// The origin's files and its one link.
+/// The folder that the origin serves, its link, which all transfers share, and
+/// its counters.
 struct Origin {
   explicit Origin(const Settings& settings)
       : m_folder(settings.Text("folder")),
@@ -27,7 +28,7 @@
   std::atomic<uint64_t> m_ranges{0};
 };
 
-std::string ReadPart(std::ifstream& file, uint64_t offset, uint64_t length) {
+std::string ReadRange(std::ifstream& file, uint64_t offset, uint64_t length) {
   std::string bytes(length, '\0');
   file.seekg(static_cast<std::streamoff>(offset));
   file.read(bytes.data(), static_cast<std::streamsize>(length));
@@ -35,24 +36,24 @@
   return bytes;
 }
 
-/// Whether this range is one of the share that is sent corrupt. By count and
-/// not by chance, so that as many are corrupt in each run.
+/// Whether this range is sent corrupt. Decided by count and not at random, so
+/// that every run has the same share of corrupt ranges.
 bool IsCorrupt(Origin& origin, int64_t percent) {
   const auto number = static_cast<int64_t>(++origin.m_ranges);
   return number * percent / 100 != (number - 1) * percent / 100;
 }
 
-Awaitable<void> SendPart(Origin& origin,
-                         std::ifstream file,
-                         bool corrupt,
-                         int status,
-                         uint64_t offset,
-                         uint64_t length,
-                         wire::ResponseWriter& writer) {
+Awaitable<void> SendRange(Origin& origin,
+                          std::ifstream file,
+                          bool corrupt,
+                          int status,
+                          uint64_t offset,
+                          uint64_t length,
+                          wire::ResponseWriter& writer) {
   bool alive = co_await writer.Start({status, {}});
   while (alive && length > 0) {
     std::string piece =
-        ReadPart(file, offset, std::min<uint64_t>(length, kPiece));
+        ReadRange(file, offset, std::min<uint64_t>(length, kPieceBytes));
     if (piece.empty())
       co_return;
     if (std::exchange(corrupt, false))
@@ -101,9 +102,9 @@
   }
   const bool corrupt =
       !range.empty() && IsCorrupt(*origin, faults->Number("corrupt_percent"));
-  co_await SendPart(*origin, std::move(file), corrupt,
-                    range.empty() ? 200 : 206, offset, last - offset + 1,
-                    writer);
+  co_await SendRange(*origin, std::move(file), corrupt,
+                     range.empty() ? 200 : 206, offset, last - offset + 1,
+                     writer);
 }
 
 }  // namespace
--- a/testsuite/standins/platform_origin/main.cc
+++ b/testsuite/standins/platform_origin/main.cc
@@ -25,7 +25,8 @@
          digests + "]}";
 }
 
-/// Faults beside the common ones: `spoil` spoils that many of the next chunks.
+/// Creates the handler. Specific fault: {"spoil": N} corrupts the next N
+/// chunks.
 wire::Handler MakeHandler(std::shared_ptr<standins::Faults> faults) {
   return [faults](const wire::Request& request,
                   wire::ResponseWriter& writer) -> Awaitable<void> {
--- a/testsuite/standins/platform_replica/main.cc
+++ b/testsuite/standins/platform_replica/main.cc
@@ -25,8 +25,9 @@
                "version that it has loaded at its start; 0: none");
 }
 
-/// The handler, which also begins to register the replica with the first
-/// request; whoever waits for it to listen sends one.
+/// Creates the handler, which starts the registration of the replica at the
+/// first request. Tests send a request anyway to wait until the replica
+/// listens.
 wire::Handler MakeHandler(const Settings& settings) {
   auto replica = std::make_shared<standins::Replica>(settings);
   replica->m_version = static_cast<uint64_t>(settings.Integer("version"));
--- a/testsuite/standins/platform_replica/replica.h
+++ b/testsuite/standins/platform_replica/replica.h
@@ -11,8 +11,8 @@
 
 namespace verbenalead::standins {
 
-/// A replica of the users' platform: an engine with staged weights, or a plain
-/// service.
+/// State of a simulated replica of the users' platform: an engine with a
+/// staging area for weights, or a plain service.
 struct Replica {
   explicit Replica(const Settings& settings);
 
@@ -20,17 +20,17 @@
   const std::string m_service;
   const std::string m_model;
   const std::string m_data_center;
-  /// Where callers reach it.
+  /// Address that it registers, at which clients reach it.
   const Endpoint m_self;
   const Endpoint m_store;
   const uint32_t m_slots;
   /// Time between two events of a stream.
   const Duration m_event;
-  /// Time from the start of a plain call to its answer.
+  /// Time from the start of a call of a plain service to its response.
   const Duration m_work;
   const Duration m_load;
   const uint64_t m_started_ms;
-  /// 0: none.
+  /// Version of the loaded weights; 0: none.
   uint64_t m_version = 0;
   std::map<uint32_t, std::string> m_staged;
   uint64_t m_orders = 0;
@@ -38,12 +38,13 @@
   bool m_leaving = false;
   uint32_t m_active = 0;
   uint64_t m_runs = 0;
-  /// Loads of chunks that weren't those of the version.
+  /// Loads in which a staged chunk was missing or not that of the version.
   uint64_t m_bad_loads = 0;
 };
 
-/// What the replica writes of itself into the store.
+/// The row by which the replica registers in the store.
 std::string EncodeRow(const Replica& replica);
+/// The response to GET /report.
 std::string EncodeReport(const Replica& replica);
 
 }  // namespace verbenalead::standins
--- a/testsuite/standins/platform_replica/replica_handler.cc
+++ b/testsuite/standins/platform_replica/replica_handler.cc
@@ -15,17 +15,17 @@
 namespace verbenalead::standins {
 namespace {
 
-constexpr Duration kHeartbeat = 300ms;
+constexpr Duration kHeartbeatInterval = 300ms;
 
 uint64_t Number(const wire::Request& request, const char* name) {
   return std::strtoull(wire::QueryValue(request, name).c_str(), nullptr, 10);
 }
 
-/// Counts one call as running for as long as it lives, and logs that it runs
-/// and how that ended.
-class Running {
+/// Counts one call as active during the lifetime of the object. Logs the start
+/// of the run, and at its end how it ended.
+class RunScope {
  public:
-  Running(Replica& replica, const wire::Request& request)
+  RunScope(Replica& replica, const wire::Request& request)
       : m_replica(replica),
         m_call(wire::Get(request.m_headers, platform::kRequestId)) {
     ++m_replica.m_active;
@@ -37,17 +37,17 @@
         .With("weights", m_replica.m_version)
         .Info();
   }
-  ~Running() {
+  ~RunScope() {
     --m_replica.m_active;
     LogLine("run_ended").With("call", m_call).With("how", m_how).Info();
   }
-  Running(const Running&) = delete;
-  Running& operator=(const Running&) = delete;
+  RunScope(const RunScope&) = delete;
+  RunScope& operator=(const RunScope&) = delete;
 
-  /// All of the answer was sent.
-  void NoteWhole() { m_how = "whole"; }
-  /// This replica ended the answer itself.
-  void NoteBrokenOff() { m_how = "broken_off"; }
+  /// The complete response was sent.
+  void MarkComplete() { m_how = "whole"; }
+  /// The replica itself ended the response early.
+  void MarkBrokenOff() { m_how = "broken_off"; }
 
  private:
   Replica& m_replica;
@@ -101,7 +101,7 @@
 Awaitable<void> Stream(std::shared_ptr<Replica> replica,
                        const wire::Request& request,
                        wire::ResponseWriter& writer) {
-  Running running(*replica, request);
+  RunScope running(*replica, request);
   const std::string usage = wire::Get(request.m_headers, platform::kTokenUsage);
   const uint64_t events =
       std::strtoull(usage.c_str() + usage.find(',') + 1, nullptr, 10);
@@ -115,7 +115,7 @@
   for (uint64_t event = after + 1; event <= events; ++event) {
     co_await Sleep(replica->m_event);
     if (replica->m_loading) {
-      running.NoteBrokenOff();
+      running.MarkBrokenOff();
       co_return;
     }
     const std::string id = std::to_string(event);
@@ -123,7 +123,7 @@
       co_return;
   }
   if (co_await writer.Finish({}))
-    running.NoteWhole();
+    running.MarkComplete();
 }
 
 Awaitable<void> Call(std::shared_ptr<Replica> replica,
@@ -145,13 +145,13 @@
     co_await Stream(replica, request, writer);
     co_return;
   }
-  Running running(*replica, request);
+  RunScope running(*replica, request);
   if (replica->m_work > Duration())
     co_await Sleep(replica->m_work);
   wire::Response response(200, AnswerHeaders(request, *replica),
                           "ran: " + request.m_path);
   if (co_await writer.Send(std::move(response)))
-    running.NoteWhole();
+    running.MarkComplete();
 }
 
 std::string EncodeState(const Replica& replica) {
@@ -206,7 +206,7 @@
                                         replica->m_id, EncodeRow(*replica));
     if (!written)
       LogLine("not_registered").With(written.error()).Debug();
-    co_await Sleep(kHeartbeat);
+    co_await Sleep(kHeartbeatInterval);
   }
 }
 
--- a/testsuite/standins/platform_replica/replica_handler.h
+++ b/testsuite/standins/platform_replica/replica_handler.h
@@ -8,11 +8,12 @@
 
 namespace verbenalead::standins {
 
-/// Answers what a replica of the users' platform answers. `GET /state` tells a
-/// case what has happened.
+/// Creates the handler of a simulated replica of the users' platform. `GET
+/// /state` returns its version and counters, for tests.
 wire::Handler MakeReplicaHandler(std::shared_ptr<Replica> replica);
 
-/// Writes the replica's row into the store, again and again.
+/// Registers the replica: writes its row into the store at every heartbeat
+/// interval. Never returns.
 Awaitable<void> KeepRegistered(std::shared_ptr<Replica> replica);
 
 }  // namespace verbenalead::standins
--- a/testsuite/standins/platform_store/main.cc
+++ b/testsuite/standins/platform_store/main.cc
@@ -12,8 +12,8 @@
 using namespace verbenalead;
 using standins::RowStore;
 
-/// How often a question that is held open looks for changes.
-constexpr Duration kLook = 5ms;
+/// Interval at which a long poll checks for changes.
+constexpr Duration kChangePollInterval = 5ms;
 
 uint64_t Number(const wire::Request& request, const char* name) {
   return std::strtoull(wire::QueryValue(request, name).c_str(), nullptr, 10);
@@ -36,7 +36,8 @@
   return wire::JsonResponse(200, boost::json::serialize(*changes));
 }
 
-/// Faults beside the common ones: `forget` drops the history once.
+/// Handles one request. Specific fault: {"forget": N} drops the history of
+/// changes at each of the next N requests.
 Awaitable<void> Serve(std::shared_ptr<RowStore> store,
                       std::shared_ptr<standins::Faults> faults,
                       const wire::Request& request,
@@ -61,7 +62,7 @@
         Now() + std::chrono::milliseconds(Number(request, "wait_ms"));
     while (!store->HasChanges(table, revision) && Now() < end &&
            !faults->Flag("down"))
-      co_await Sleep(kLook);
+      co_await Sleep(kChangePollInterval);
     response = Changes(*store, table, revision);
     if (faults->Flag("down"))
       response = wire::JsonResponse(503, "{}");
--- a/testsuite/standins/platform_store/row_store.h
+++ b/testsuite/standins/platform_store/row_store.h
@@ -10,22 +10,24 @@
 
 namespace verbenalead::standins {
 
-/// The rows of the stand-in for the platform's store, in memory.
+/// In-memory rows of the stand-in for the platform's store. Each transaction
+/// gets a revision.
 class RowStore {
  public:
-  /// Applies a transaction; false: a precondition doesn't hold.
+  /// Applies a transaction. Returns false, and changes nothing, if a
+  /// precondition does not hold.
   bool Apply(const boost::json::object& transaction);
-  /// All rows of `part` of `table`.
+  /// Returns all rows of `part` of `table`.
   boost::json::object Read(const std::string& table,
                            const std::string& part) const;
-  /// The parts of `table` that hold rows.
+  /// Returns the parts of `table` that contain rows.
   boost::json::object Parts(const std::string& table) const;
-  /// What changed in `table` after `revision`; nothing where the history is
-  /// gone.
+  /// Returns the changes in `table` after `revision`, or nullopt if the history
+  /// since then was dropped.
   std::optional<boost::json::object> Changes(const std::string& table,
                                              uint64_t revision) const;
   bool HasChanges(const std::string& table, uint64_t revision) const;
-  /// From now on, earlier changes are forgotten.
+  /// Drops the history of changes up to now.
   void Forget() { m_forgotten = m_revision; }
 
  private:
--- a/testsuite/standins/relay/connection.h
+++ b/testsuite/standins/relay/connection.h
@@ -10,7 +10,8 @@
 
 namespace verbenalead::standins {
 
-/// One relayed connection: the caller's side and the side of the far end.
+/// One relayed connection: the socket of the client that connected (near) and
+/// the socket to the address that the relay forwards to (far).
 struct Connection : std::enable_shared_from_this<Connection> {
   explicit Connection(boost::asio::ip::tcp::socket near)
       : m_near(std::move(near)), m_far(m_near.get_executor()) {}
@@ -20,14 +21,15 @@
   boost::asio::ip::tcp::socket m_near;
   boost::asio::ip::tcp::socket m_far;
   Duration m_delay{};
-  /// Bytes are taken in and thrown away, and an end of one side is kept from
-  /// the other.
+  /// Discards all bytes, and does not close one side when the other side
+  /// closes.
   bool m_silent = false;
-  /// The same, but only for what the far side sends.
+  /// Discards the bytes that arrive from the far side.
   bool m_far_silent = false;
 };
 
-/// Connects to `forward` and passes on bytes both ways until either side ends.
+/// Connects to `forward` and relays bytes in both directions until either side
+/// closes.
 Awaitable<void> RunConnection(std::shared_ptr<Connection> connection,
                               Endpoint forward);
 
--- a/testsuite/standins/relay/main.cc
+++ b/testsuite/standins/relay/main.cc
@@ -21,7 +21,8 @@
       .Choice("log.level", {"info", "debug", "warn", "error"}, "least level");
 }
 
-/// Takes {"silent": true}, {"far_silent": true}, {"cut": true} and
+/// Handles the commands {"silent": true}, {"far_silent": true}, {"cut": true}
+/// and
 /// {"delay_ms": N}.
 Awaitable<void> Command(standins::Relay& relay,
                         const wire::Request& request,
@@ -40,7 +41,7 @@
 }
 
 int Serve(const Settings& settings) {
-  // One thread, so that commands and connections need no lock.
+  // Commands and connections run on one thread and therefore need no lock.
   IoThreads threads(1);
   standins::Relay relay(settings.Address("forward"));
   http::Server commands(
--- a/testsuite/standins/relay/relay.h
+++ b/testsuite/standins/relay/relay.h
@@ -11,22 +11,22 @@
 
 namespace verbenalead::standins {
 
-/// Forwards TCP connections to one address, and on command behaves like a
-/// device between two hosts that has lost track of connections. Belongs to one
-/// thread.
+/// Forwards TCP connections to one address. On command it behaves like a
+/// firewall or NAT device that lost its connection state: it drops traffic
+/// without closing the connections. Not thread-safe: used from one thread.
 class Relay {
  public:
   explicit Relay(Endpoint forward) : m_forward(std::move(forward)) {}
 
-  /// Takes a connection that was just accepted.
+  /// Starts to relay a connection that was just accepted.
   void Take(boost::asio::ip::tcp::socket socket);
-  /// Connections of now carry nothing any more, and neither end is told.
+  /// Existing connections carry no more data; neither end sees an error.
   void Silence();
-  /// The same for what comes from the far side only.
+  /// Existing connections carry no more data from the far side.
   void SilenceFar();
-  /// Connections of now are closed.
+  /// Closes existing connections.
   void Cut();
-  /// Each piece of connections made from now on comes this late.
+  /// Delays each piece of data of future connections.
   void Delay(Duration delay) { m_delay = delay; }
 
  private:
--- a/testsuite/standins/service/main.cc
+++ b/testsuite/standins/service/main.cc
@@ -12,7 +12,7 @@
 using namespace verbenalead;
 namespace json = boost::json;
 
-/// Counts what ran, for the oracle of tests.
+/// Counts the calls that ran, which tests compare with the reported outcomes.
 struct Service {
   std::mutex m_mutex;
   std::map<std::string, int64_t> m_runs_by_key;
--- a/testsuite/standins/table/table_handler.h
+++ b/testsuite/standins/table/table_handler.h
@@ -5,9 +5,10 @@
 
 namespace verbenalead::standins {
 
-/// A table service in memory that speaks what verbenalead uses of the DynamoDB
-/// JSON protocol: GetItem, Query and TransactWriteItems with the conditions
-/// `attribute_not_exists(pk)` and `rev = :rev`. GET /stats counts calls.
+/// Creates the handler of an in-memory table service. It implements the subset
+/// of the DynamoDB JSON protocol that verbenalead uses: GetItem, Query and
+/// TransactWriteItems with the conditions `attribute_not_exists(pk)` and `rev =
+/// :rev`. GET /stats returns the numbers of reads and writes.
 wire::Handler MakeTableHandler();
 
 }  // namespace verbenalead::standins
