--- a/testsuite/standins/common/faults.cc
+++ b/testsuite/standins/common/faults.cc
@@ -14,7 +14,7 @@
 }
 
 /// Discards the response, so that the client gets none.
-class LosingWriter : public wire::ResponseWriter {
+class DiscardingWriter : public wire::ResponseWriter {
  public:
   Awaitable<bool> Send(wire::Response) override { co_return true; }
   Awaitable<bool> Start(wire::ResponseHead) override { co_return true; }
@@ -41,8 +41,8 @@
   if (const int64_t delay = faults->Number("delay_ms"); delay > 0)
     co_await Sleep(std::chrono::milliseconds(delay));
   if (faults->Spend("lose_answers")) {
-    LosingWriter losing;
-    co_await handler(request, losing);
+    DiscardingWriter discarding;
+    co_await handler(request, discarding);
     co_return;
   }
   co_await handler(request, writer);
--- a/testsuite/standins/engine/engine_handler.h
+++ b/testsuite/standins/engine/engine_handler.h
@@ -14,7 +14,7 @@
 ///
 ///     {"crash_on": "TEXT"}     ends the process if a prompt contains TEXT
 ///     {"slow": 10}             each token takes 10 times as long
-///     {"wrong_digest": true}   reports the digest of other weights
+///     {"wrong_digest": true}   responds as if other weights were loaded
 ///     {"fail_load": true}      fails every load and keeps its weights
 ///     {"ignore_fence": true}   accepts loads with an old fencing number
 wire::Handler MakeEngineHandler(const Settings& settings,
--- a/testsuite/standins/platform_origin/main.cc
+++ b/testsuite/standins/platform_origin/main.cc
@@ -25,8 +25,8 @@
          digests + "]}";
 }
 
-/// Creates the handler. Specific fault: {"spoil": N} corrupts the next N
-/// chunks.
+/// Creates the handler. {"spoil": N} is its specific fault: it corrupts the
+/// next N chunks.
 wire::Handler MakeHandler(std::shared_ptr<standins::Faults> faults) {
   return [faults](const wire::Request& request,
                   wire::ResponseWriter& writer) -> Awaitable<void> {
--- a/testsuite/standins/platform_replica/replica_handler.h
+++ b/testsuite/standins/platform_replica/replica_handler.h
@@ -8,8 +8,8 @@
 
 namespace verbenalead::standins {
 
-/// Creates the handler of a simulated replica of the users' platform. `GET
-/// /state` returns its version and counters, for tests.
+/// Creates the handler of a simulated replica of the users' platform.
+/// `GET /state` returns its version and counters, for tests.
 wire::Handler MakeReplicaHandler(std::shared_ptr<Replica> replica);
 
 /// Registers the replica: writes its row into the store at every heartbeat
--- a/testsuite/standins/relay/main.cc
+++ b/testsuite/standins/relay/main.cc
@@ -21,9 +21,8 @@
       .Choice("log.level", {"info", "debug", "warn", "error"}, "least level");
 }
 
-/// Handles the commands {"silent": true}, {"far_silent": true}, {"cut": true}
-/// and
-/// {"delay_ms": N}.
+/// Handles the commands {"silent": true}, {"far_silent": true},
+/// {"cut": true} and {"delay_ms": N}.
 Awaitable<void> Command(standins::Relay& relay,
                         const wire::Request& request,
                         wire::ResponseWriter& writer) {
