--- a/testsuite/soak/callers.py
+++ b/testsuite/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers of a deployment, and what each of their calls came to."""
+"""Callers of a soak deployment, and a record of the outcome of each call."""
 
 import dataclasses
 import http.client
@@ -25,7 +25,7 @@
     sent: float
     events: int = 0
     took: float = 0.0
-    # None: the connection broke before an answer.
+    # None: the connection failed before response headers arrived.
     status: int | None = None
     headers: dict = dataclasses.field(default_factory=dict)
     body: bytes = b""
@@ -33,7 +33,7 @@
 
 
 class Callers:
-    """Threads that call without a pause, some on kept connections."""
+    """Threads that call continuously, half on persistent connections."""
 
     def __init__(self, deployment, seed, count):
         self.deployment = deployment
@@ -74,27 +74,27 @@
             thread.join()
 
     def run(self, seed, number):
-        source = random.Random("%d/%d" % (seed, number))
+        rng = random.Random("%d/%d" % (seed, number))
         keeps = number % 2 == 0
         connections = {}
         count = 0
         while not self.stopped.is_set():
             count += 1
-            entry = source.choice(self.deployment.entries)
+            entry = rng.choice(self.deployment.entries)
             outcome = Outcome("c%d-%d" % (number, count),
-                              source.choice(("draft", "pay")), entry["name"],
-                              source.random() < 0.3, time.monotonic(),
-                              source.randrange(1, MOST_EVENTS))
+                              rng.choice(("draft", "pay")), entry["name"],
+                              rng.random() < 0.3, time.monotonic(),
+                              rng.randrange(1, MOST_EVENTS))
             connection = connections.pop(entry["name"], None)
             connection = self.call(entry, outcome, connection)
             if connection and keeps:
                 connections[entry["name"]] = connection
             with self.lock:
                 self.outcomes.append(outcome)
-            time.sleep(source.choice(PAUSES))
+            time.sleep(rng.choice(PAUSES))
 
     def call(self, entry, outcome, connection):
-        """Makes one call; returns the connection if it can be used again."""
+        """Makes one call; returns the connection if it is reusable."""
         host, port = entry["callers"].rsplit(":", 1)
         connection = connection or http.client.HTTPConnection(
             host, int(port), timeout=CALL_TIMEOUT)
