--- a/src/libverbenalead/daemon/answer_check.cc
+++ b/src/libverbenalead/daemon/answer_checksum.cc
@@ -1,4 +1,4 @@
-#include "daemon/answer_check.h"
+#include "daemon/answer_checksum.h"
 
 #include "base/digest.h"
 #include "peer/header_names.h"
--- a/src/libverbenalead/daemon/answer_check.h
+++ b/src/libverbenalead/daemon/answer_checksum.h
@@ -1,5 +1,5 @@
-#ifndef VERBENALEAD_DAEMON_ANSWER_CHECK_H_
-#define VERBENALEAD_DAEMON_ANSWER_CHECK_H_
+#ifndef VERBENALEAD_DAEMON_ANSWER_CHECKSUM_H_
+#define VERBENALEAD_DAEMON_ANSWER_CHECKSUM_H_
 
 #include <cstdint>
 #include <string>
@@ -31,4 +31,4 @@
 
 }  // namespace verbenalead::daemon
 
-#endif  // VERBENALEAD_DAEMON_ANSWER_CHECK_H_
+#endif  // VERBENALEAD_DAEMON_ANSWER_CHECKSUM_H_
--- a/src/libverbenalead/daemon/attempt_runner.cc
+++ b/src/libverbenalead/daemon/attempt_runner.cc
@@ -6,10 +6,10 @@
 #include <memory>
 
 #include "base/log.h"
-#include "daemon/answer_check.h"
-#include "daemon/passed_headers.h"
+#include "daemon/answer_checksum.h"
+#include "daemon/forwarded_headers.h"
 #include "peer/header_names.h"
-#include "wire/cancel_when_gone.h"
+#include "wire/cancel_on_disconnect.h"
 
 namespace verbenalead::daemon {
 namespace {
--- a/src/libverbenalead/daemon/attempt_runner.h
+++ b/src/libverbenalead/daemon/attempt_runner.h
@@ -6,8 +6,8 @@
 #include <string>
 
 #include "decide/attempt_judge.h"
-#include "decide/place.h"
 #include "decide/retry.h"
+#include "decide/target_selection.h"
 #include "model/call.h"
 #include "wire/client.h"
 #include "wire/response_writer.h"
--- a/src/libverbenalead/daemon/attempt_server.cc
+++ b/src/libverbenalead/daemon/attempt_server.cc
@@ -5,11 +5,11 @@
 #include <memory>
 
 #include "base/catch_failure.h"
-#include "daemon/answer_check.h"
-#include "daemon/passed_headers.h"
+#include "daemon/answer_checksum.h"
+#include "daemon/forwarded_headers.h"
 #include "decide/attempt_gate.h"
 #include "peer/header_names.h"
-#include "wire/cancel_when_gone.h"
+#include "wire/cancel_on_disconnect.h"
 
 namespace verbenalead::daemon {
 namespace {
--- a/src/libverbenalead/daemon/attempt_server.h
+++ b/src/libverbenalead/daemon/attempt_server.h
@@ -5,7 +5,7 @@
 #include <string>
 
 #include "backends/engine.h"
-#include "daemon/gate_keeper.h"
+#include "daemon/guarded_gate.h"
 #include "daemon/journal.h"
 #include "wire/response_writer.h"
 
--- a/src/libverbenalead/daemon/claim_keeper.cc
+++ b/src/libverbenalead/daemon/claim_store.cc
@@ -1,4 +1,4 @@
-#include "daemon/claim_keeper.h"
+#include "daemon/claim_store.h"
 
 #include <algorithm>
 #include <boost/asio/any_io_executor.hpp>
--- a/src/libverbenalead/daemon/claim_keeper.h
+++ b/src/libverbenalead/daemon/claim_store.h
@@ -1,5 +1,5 @@
-#ifndef VERBENALEAD_DAEMON_CLAIM_KEEPER_H_
-#define VERBENALEAD_DAEMON_CLAIM_KEEPER_H_
+#ifndef VERBENALEAD_DAEMON_CLAIM_STORE_H_
+#define VERBENALEAD_DAEMON_CLAIM_STORE_H_
 
 #include <map>
 #include <memory>
@@ -66,4 +66,4 @@
 
 }  // namespace verbenalead::daemon
 
-#endif  // VERBENALEAD_DAEMON_CLAIM_KEEPER_H_
+#endif  // VERBENALEAD_DAEMON_CLAIM_STORE_H_
--- a/src/libverbenalead/daemon/config_follower.h
+++ b/src/libverbenalead/daemon/config_follower.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "daemon/config_keeper.h"
+#include "daemon/config_store.h"
 #include "daemon/host_directory.h"
 #include "wire/client.h"
 
--- a/src/libverbenalead/daemon/config_messages.h
+++ b/src/libverbenalead/daemon/config_messages.h
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "base/endpoint.h"
-#include "daemon/config_keeper.h"
+#include "daemon/config_store.h"
 #include "wire/client.h"
 
 namespace verbenalead::daemon {
--- a/src/libverbenalead/daemon/config_keeper.h
+++ b/src/libverbenalead/daemon/config_store.h
@@ -1,5 +1,5 @@
-#ifndef VERBENALEAD_DAEMON_CONFIG_KEEPER_H_
-#define VERBENALEAD_DAEMON_CONFIG_KEEPER_H_
+#ifndef VERBENALEAD_DAEMON_CONFIG_STORE_H_
+#define VERBENALEAD_DAEMON_CONFIG_STORE_H_
 
 #include <cstdint>
 #include <deque>
@@ -98,4 +98,4 @@
 
 }  // namespace verbenalead::daemon
 
-#endif  // VERBENALEAD_DAEMON_CONFIG_KEEPER_H_
+#endif  // VERBENALEAD_DAEMON_CONFIG_STORE_H_
--- a/src/libverbenalead/daemon/config_keeper_test.cc
+++ b/src/libverbenalead/daemon/config_store_test.cc
@@ -1,4 +1,4 @@
-#include "daemon/config_keeper.h"
+#include "daemon/config_store.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 #include <rapidcheck.h>
--- a/src/libverbenalead/daemon/crash_note_exchange.cc
+++ b/src/libverbenalead/daemon/crash_record_exchange.cc
@@ -1,4 +1,4 @@
-#include "daemon/crash_note_exchange.h"
+#include "daemon/crash_record_exchange.h"
 
 #include <algorithm>
 #include <boost/asio/post.hpp>
--- a/src/libverbenalead/daemon/crash_note_exchange.h
+++ b/src/libverbenalead/daemon/crash_record_exchange.h
@@ -1,11 +1,11 @@
-#ifndef VERBENALEAD_DAEMON_CRASH_NOTE_EXCHANGE_H_
-#define VERBENALEAD_DAEMON_CRASH_NOTE_EXCHANGE_H_
+#ifndef VERBENALEAD_DAEMON_CRASH_RECORD_EXCHANGE_H_
+#define VERBENALEAD_DAEMON_CRASH_RECORD_EXCHANGE_H_
 
 #include <string>
 #include <vector>
 
 #include "daemon/host_directory.h"
-#include "daemon/quarantine_keeper.h"
+#include "daemon/locked_quarantine.h"
 #include "wire/client.h"
 #include "wire/response_writer.h"
 
@@ -37,4 +37,4 @@
 
 }  // namespace verbenalead::daemon
 
-#endif  // VERBENALEAD_DAEMON_CRASH_NOTE_EXCHANGE_H_
+#endif  // VERBENALEAD_DAEMON_CRASH_RECORD_EXCHANGE_H_
--- a/src/libverbenalead/daemon/entry_access.h
+++ b/src/libverbenalead/daemon/entry_access.h
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "base/settings.h"
-#include "http/tls_keeper.h"
+#include "http/reloadable_tls_context.h"
 
 namespace verbenalead::daemon {
 
--- a/src/libverbenalead/daemon/entry_peer_api.h
+++ b/src/libverbenalead/daemon/entry_peer_api.h
@@ -3,7 +3,7 @@
 
 #include <functional>
 
-#include "daemon/config_keeper.h"
+#include "daemon/config_store.h"
 #include "daemon/journal.h"
 #include "wire/response_writer.h"
 
--- a/src/libverbenalead/daemon/fence_minter.cc
+++ b/src/libverbenalead/daemon/fencing_token_minter.cc
@@ -1,4 +1,4 @@
-#include "daemon/fence_minter.h"
+#include "daemon/fencing_token_minter.h"
 
 #include "base/new_id.h"
 
--- a/src/libverbenalead/daemon/fence_minter.h
+++ b/src/libverbenalead/daemon/fencing_token_minter.h
@@ -1,5 +1,5 @@
-#ifndef VERBENALEAD_DAEMON_FENCE_MINTER_H_
-#define VERBENALEAD_DAEMON_FENCE_MINTER_H_
+#ifndef VERBENALEAD_DAEMON_FENCING_TOKEN_MINTER_H_
+#define VERBENALEAD_DAEMON_FENCING_TOKEN_MINTER_H_
 
 #include <cstdint>
 #include <string>
@@ -33,4 +33,4 @@
 
 }  // namespace verbenalead::daemon
 
-#endif  // VERBENALEAD_DAEMON_FENCE_MINTER_H_
+#endif  // VERBENALEAD_DAEMON_FENCING_TOKEN_MINTER_H_
--- a/src/libverbenalead/daemon/passed_headers.cc
+++ b/src/libverbenalead/daemon/forwarded_headers.cc
@@ -1,4 +1,4 @@
-#include "daemon/passed_headers.h"
+#include "daemon/forwarded_headers.h"
 
 #include <set>
 #include <string>
--- a/src/libverbenalead/daemon/passed_headers.h
+++ b/src/libverbenalead/daemon/forwarded_headers.h
@@ -1,5 +1,5 @@
-#ifndef VERBENALEAD_DAEMON_PASSED_HEADERS_H_
-#define VERBENALEAD_DAEMON_PASSED_HEADERS_H_
+#ifndef VERBENALEAD_DAEMON_FORWARDED_HEADERS_H_
+#define VERBENALEAD_DAEMON_FORWARDED_HEADERS_H_
 
 #include "wire/headers.h"
 
@@ -16,4 +16,4 @@
 
 }  // namespace verbenalead::daemon
 
-#endif  // VERBENALEAD_DAEMON_PASSED_HEADERS_H_
+#endif  // VERBENALEAD_DAEMON_FORWARDED_HEADERS_H_
--- a/src/libverbenalead/daemon/gate_keeper.h
+++ b/src/libverbenalead/daemon/guarded_gate.h
@@ -1,5 +1,5 @@
-#ifndef VERBENALEAD_DAEMON_GATE_KEEPER_H_
-#define VERBENALEAD_DAEMON_GATE_KEEPER_H_
+#ifndef VERBENALEAD_DAEMON_GUARDED_GATE_H_
+#define VERBENALEAD_DAEMON_GUARDED_GATE_H_
 
 #include <mutex>
 
@@ -35,4 +35,4 @@
 
 }  // namespace verbenalead::daemon
 
-#endif  // VERBENALEAD_DAEMON_GATE_KEEPER_H_
+#endif  // VERBENALEAD_DAEMON_GUARDED_GATE_H_
--- a/src/libverbenalead/daemon/permit_table.cc
+++ b/src/libverbenalead/daemon/load_permit_table.cc
@@ -1,4 +1,4 @@
-#include "daemon/permit_table.h"
+#include "daemon/load_permit_table.h"
 
 #include "base/catch_failure.h"
 
--- a/src/libverbenalead/daemon/permit_table.h
+++ b/src/libverbenalead/daemon/load_permit_table.h
@@ -1,10 +1,10 @@
-#ifndef VERBENALEAD_DAEMON_PERMIT_TABLE_H_
-#define VERBENALEAD_DAEMON_PERMIT_TABLE_H_
+#ifndef VERBENALEAD_DAEMON_LOAD_PERMIT_TABLE_H_
+#define VERBENALEAD_DAEMON_LOAD_PERMIT_TABLE_H_
 
 #include <string>
 
 #include "backends/table.h"
-#include "decide/permit_board.h"
+#include "decide/load_permits.h"
 #include "decide/rollout.h"
 
 namespace verbenalead::daemon {
@@ -29,4 +29,4 @@
 
 }  // namespace verbenalead::daemon
 
-#endif  // VERBENALEAD_DAEMON_PERMIT_TABLE_H_
+#endif  // VERBENALEAD_DAEMON_LOAD_PERMIT_TABLE_H_
--- a/src/libverbenalead/daemon/quarantine_keeper.h
+++ b/src/libverbenalead/daemon/locked_quarantine.h
@@ -1,5 +1,5 @@
-#ifndef VERBENALEAD_DAEMON_QUARANTINE_KEEPER_H_
-#define VERBENALEAD_DAEMON_QUARANTINE_KEEPER_H_
+#ifndef VERBENALEAD_DAEMON_LOCKED_QUARANTINE_H_
+#define VERBENALEAD_DAEMON_LOCKED_QUARANTINE_H_
 
 #include <functional>
 #include <mutex>
@@ -55,4 +55,4 @@
 
 }  // namespace verbenalead::daemon
 
-#endif  // VERBENALEAD_DAEMON_QUARANTINE_KEEPER_H_
+#endif  // VERBENALEAD_DAEMON_LOCKED_QUARANTINE_H_
--- a/src/libverbenalead/daemon/counting_runner.cc
+++ b/src/libverbenalead/daemon/metered_runner.cc
@@ -1,4 +1,4 @@
-#include "daemon/counting_runner.h"
+#include "daemon/metered_runner.h"
 
 #include <string>
 
--- a/src/libverbenalead/daemon/counting_runner.h
+++ b/src/libverbenalead/daemon/metered_runner.h
@@ -1,5 +1,5 @@
-#ifndef VERBENALEAD_DAEMON_COUNTING_RUNNER_H_
-#define VERBENALEAD_DAEMON_COUNTING_RUNNER_H_
+#ifndef VERBENALEAD_DAEMON_METERED_RUNNER_H_
+#define VERBENALEAD_DAEMON_METERED_RUNNER_H_
 
 #include <atomic>
 
@@ -29,4 +29,4 @@
 
 }  // namespace verbenalead::daemon
 
-#endif  // VERBENALEAD_DAEMON_COUNTING_RUNNER_H_
+#endif  // VERBENALEAD_DAEMON_METERED_RUNNER_H_
--- a/src/libverbenalead/daemon/pool_router.h
+++ b/src/libverbenalead/daemon/pool_router.h
@@ -10,9 +10,9 @@
 #include <vector>
 
 #include "base/awaitable.h"
-#include "decide/admit.h"
-#include "decide/place.h"
+#include "decide/admission.h"
 #include "decide/retry.h"
+#include "decide/target_selection.h"
 
 namespace verbenalead::daemon {
 
--- a/src/libverbenalead/daemon/request_runner.h
+++ b/src/libverbenalead/daemon/request_runner.h
@@ -6,10 +6,10 @@
 #include <string>
 
 #include "daemon/attempt_runner.h"
-#include "daemon/claim_keeper.h"
+#include "daemon/claim_store.h"
 #include "daemon/journal.h"
+#include "daemon/locked_quarantine.h"
 #include "daemon/pool_routers.h"
-#include "daemon/quarantine_keeper.h"
 #include "front/call_runner.h"
 #include "front/problem.h"
 
--- a/src/libverbenalead/daemon/revision_client.h
+++ b/src/libverbenalead/daemon/revision_client.h
@@ -1,7 +1,7 @@
 #ifndef VERBENALEAD_DAEMON_REVISION_CLIENT_H_
 #define VERBENALEAD_DAEMON_REVISION_CLIENT_H_
 
-#include "daemon/config_keeper.h"
+#include "daemon/config_store.h"
 #include "wire/client.h"
 #include "wire/response_writer.h"
 
--- a/src/libverbenalead/daemon/target_daemon.cc
+++ b/src/libverbenalead/daemon/target_daemon.cc
@@ -18,7 +18,7 @@
 #include "daemon/readiness.h"
 #include "daemon/revision_client.h"
 #include "daemon/target_peer_api.h"
-#include "daemon/version_keeper.h"
+#include "daemon/version_controller.h"
 #include "http/client.h"
 #include "http/server.h"
 #include "peer/client.h"
--- a/src/libverbenalead/daemon/target_directory.h
+++ b/src/libverbenalead/daemon/target_directory.h
@@ -8,7 +8,7 @@
 #include "daemon/config_follower.h"
 #include "daemon/host_directory.h"
 #include "daemon/pool_routers.h"
-#include "decide/members.h"
+#include "decide/target_watch.h"
 #include "model/target_report.h"
 #include "wire/client.h"
 
--- a/src/libverbenalead/daemon/trace_gatherer.cc
+++ b/src/libverbenalead/daemon/trace_collector.cc
@@ -1,4 +1,4 @@
-#include "daemon/trace_gatherer.h"
+#include "daemon/trace_collector.h"
 
 #include <algorithm>
 #include <boost/asio/redirect_error.hpp>
--- a/src/libverbenalead/daemon/trace_gatherer.h
+++ b/src/libverbenalead/daemon/trace_collector.h
@@ -1,5 +1,5 @@
-#ifndef VERBENALEAD_DAEMON_TRACE_GATHERER_H_
-#define VERBENALEAD_DAEMON_TRACE_GATHERER_H_
+#ifndef VERBENALEAD_DAEMON_TRACE_COLLECTOR_H_
+#define VERBENALEAD_DAEMON_TRACE_COLLECTOR_H_
 
 #include <string>
 #include <vector>
@@ -32,4 +32,4 @@
 
 }  // namespace verbenalead::daemon
 
-#endif  // VERBENALEAD_DAEMON_TRACE_GATHERER_H_
+#endif  // VERBENALEAD_DAEMON_TRACE_COLLECTOR_H_
--- a/src/libverbenalead/daemon/version_keeper.cc
+++ b/src/libverbenalead/daemon/version_controller.cc
@@ -1,4 +1,4 @@
-#include "daemon/version_keeper.h"
+#include "daemon/version_controller.h"
 
 #include <boost/asio/this_coro.hpp>
 
--- a/src/libverbenalead/daemon/version_keeper.h
+++ b/src/libverbenalead/daemon/version_controller.h
@@ -1,15 +1,15 @@
-#ifndef VERBENALEAD_DAEMON_VERSION_KEEPER_H_
-#define VERBENALEAD_DAEMON_VERSION_KEEPER_H_
+#ifndef VERBENALEAD_DAEMON_VERSION_CONTROLLER_H_
+#define VERBENALEAD_DAEMON_VERSION_CONTROLLER_H_
 
 #include <map>
 #include <string>
 
 #include "backends/engine.h"
 #include "backends/table.h"
-#include "daemon/config_keeper.h"
-#include "daemon/fence_minter.h"
-#include "daemon/gate_keeper.h"
-#include "daemon/permit_table.h"
+#include "daemon/config_store.h"
+#include "daemon/fencing_token_minter.h"
+#include "daemon/guarded_gate.h"
+#include "daemon/load_permit_table.h"
 #include "daemon/version_progress.h"
 #include "daemon/weights_fetcher.h"
 #include "decide/rollout.h"
@@ -94,4 +94,4 @@
 
 }  // namespace verbenalead::daemon
 
-#endif  // VERBENALEAD_DAEMON_VERSION_KEEPER_H_
+#endif  // VERBENALEAD_DAEMON_VERSION_CONTROLLER_H_
--- a/src/libverbenalead/decide/admit.cc
+++ b/src/libverbenalead/decide/admission.cc
@@ -1,4 +1,4 @@
-#include "decide/admit.h"
+#include "decide/admission.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/libverbenalead/decide/admit.h
+++ b/src/libverbenalead/decide/admission.h
@@ -1,5 +1,5 @@
-#ifndef VERBENALEAD_DECIDE_ADMIT_H_
-#define VERBENALEAD_DECIDE_ADMIT_H_
+#ifndef VERBENALEAD_DECIDE_ADMISSION_H_
+#define VERBENALEAD_DECIDE_ADMISSION_H_
 
 #include <cstdint>
 #include <map>
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "base/time.h"
-#include "decide/admit_action.h"
+#include "decide/admission_action.h"
 #include "decide/organisation_queue.h"
 #include "decide/service_time.h"
 #include "model/call.h"
@@ -105,4 +105,4 @@
 
 }  // namespace verbenalead::decide
 
-#endif  // VERBENALEAD_DECIDE_ADMIT_H_
+#endif  // VERBENALEAD_DECIDE_ADMISSION_H_
--- a/src/libverbenalead/decide/admit_action.h
+++ b/src/libverbenalead/decide/admission_action.h
@@ -1,5 +1,5 @@
-#ifndef VERBENALEAD_DECIDE_ADMIT_ACTION_H_
-#define VERBENALEAD_DECIDE_ADMIT_ACTION_H_
+#ifndef VERBENALEAD_DECIDE_ADMISSION_ACTION_H_
+#define VERBENALEAD_DECIDE_ADMISSION_ACTION_H_
 
 #include <cstdint>
 #include <string>
@@ -23,4 +23,4 @@
 
 }  // namespace verbenalead::decide
 
-#endif  // VERBENALEAD_DECIDE_ADMIT_ACTION_H_
+#endif  // VERBENALEAD_DECIDE_ADMISSION_ACTION_H_
--- a/src/libverbenalead/decide/change_source.h
+++ b/src/libverbenalead/decide/announcement_tracker.h
@@ -1,5 +1,5 @@
-#ifndef VERBENALEAD_DECIDE_CHANGE_SOURCE_H_
-#define VERBENALEAD_DECIDE_CHANGE_SOURCE_H_
+#ifndef VERBENALEAD_DECIDE_ANNOUNCEMENT_TRACKER_H_
+#define VERBENALEAD_DECIDE_ANNOUNCEMENT_TRACKER_H_
 
 #include <cstdint>
 
@@ -63,4 +63,4 @@
 
 }  // namespace verbenalead::decide
 
-#endif  // VERBENALEAD_DECIDE_CHANGE_SOURCE_H_
+#endif  // VERBENALEAD_DECIDE_ANNOUNCEMENT_TRACKER_H_
--- a/src/libverbenalead/decide/change_source_test.cc
+++ b/src/libverbenalead/decide/announcement_tracker_test.cc
@@ -1,4 +1,4 @@
-#include "decide/change_source.h"
+#include "decide/announcement_tracker.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/src/libverbenalead/decide/burst_pace.h
+++ b/src/libverbenalead/decide/burst_pacer.h
@@ -1,5 +1,5 @@
-#ifndef VERBENALEAD_DECIDE_BURST_PACE_H_
-#define VERBENALEAD_DECIDE_BURST_PACE_H_
+#ifndef VERBENALEAD_DECIDE_BURST_PACER_H_
+#define VERBENALEAD_DECIDE_BURST_PACER_H_
 
 #include <algorithm>
 #include <cstdint>
@@ -33,4 +33,4 @@
 
 }  // namespace verbenalead::decide
 
-#endif  // VERBENALEAD_DECIDE_BURST_PACE_H_
+#endif  // VERBENALEAD_DECIDE_BURST_PACER_H_
--- a/src/libverbenalead/decide/burst_pace_test.cc
+++ b/src/libverbenalead/decide/burst_pacer_test.cc
@@ -1,4 +1,4 @@
-#include "decide/burst_pace.h"
+#include "decide/burst_pacer.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/src/libverbenalead/decide/claim_batch.h
+++ b/src/libverbenalead/decide/claim_batch.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "decide/claim_action.h"
-#include "decide/claim_work.h"
+#include "decide/claim_operation.h"
 
 namespace verbenalead::decide {
 
--- a/src/libverbenalead/decide/claim_work.h
+++ b/src/libverbenalead/decide/claim_operation.h
@@ -1,5 +1,5 @@
-#ifndef VERBENALEAD_DECIDE_CLAIM_WORK_H_
-#define VERBENALEAD_DECIDE_CLAIM_WORK_H_
+#ifndef VERBENALEAD_DECIDE_CLAIM_OPERATION_H_
+#define VERBENALEAD_DECIDE_CLAIM_OPERATION_H_
 
 #include <cstdint>
 #include <string>
@@ -59,4 +59,4 @@
 
 }  // namespace verbenalead::decide
 
-#endif  // VERBENALEAD_DECIDE_CLAIM_WORK_H_
+#endif  // VERBENALEAD_DECIDE_CLAIM_OPERATION_H_
--- a/src/libverbenalead/decide/weights_watch.h
+++ b/src/libverbenalead/decide/declared_versions.h
@@ -1,5 +1,5 @@
-#ifndef VERBENALEAD_DECIDE_WEIGHTS_WATCH_H_
-#define VERBENALEAD_DECIDE_WEIGHTS_WATCH_H_
+#ifndef VERBENALEAD_DECIDE_DECLARED_VERSIONS_H_
+#define VERBENALEAD_DECIDE_DECLARED_VERSIONS_H_
 
 #include <algorithm>
 #include <cstdint>
@@ -50,4 +50,4 @@
 
 }  // namespace verbenalead::decide
 
-#endif  // VERBENALEAD_DECIDE_WEIGHTS_WATCH_H_
+#endif  // VERBENALEAD_DECIDE_DECLARED_VERSIONS_H_
--- a/src/libverbenalead/decide/digest_readers.h
+++ b/src/libverbenalead/decide/digest_read_order.h
@@ -1,5 +1,5 @@
-#ifndef VERBENALEAD_DECIDE_DIGEST_READERS_H_
-#define VERBENALEAD_DECIDE_DIGEST_READERS_H_
+#ifndef VERBENALEAD_DECIDE_DIGEST_READ_ORDER_H_
+#define VERBENALEAD_DECIDE_DIGEST_READ_ORDER_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -32,4 +32,4 @@
 
 }  // namespace verbenalead::decide
 
-#endif  // VERBENALEAD_DECIDE_DIGEST_READERS_H_
+#endif  // VERBENALEAD_DECIDE_DIGEST_READ_ORDER_H_
--- a/src/libverbenalead/decide/digest_readers_test.cc
+++ b/src/libverbenalead/decide/digest_read_order_test.cc
@@ -1,4 +1,4 @@
-#include "decide/digest_readers.h"
+#include "decide/digest_read_order.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/src/libverbenalead/decide/fake_fleet.h
+++ b/src/libverbenalead/decide/fake_fleet.h
@@ -10,9 +10,9 @@
 #include <vector>
 
 #include "decide/fake_replica.h"
-#include "decide/late_calls.h"
-#include "decide/place_queue.h"
+#include "decide/late_call_shedding.h"
 #include "decide/replica_pool.h"
+#include "decide/slot_queue.h"
 
 namespace verbenalead::decide {
 
--- a/src/libverbenalead/decide/fake_pool.h
+++ b/src/libverbenalead/decide/fake_pool.h
@@ -13,9 +13,9 @@
 #include <string>
 #include <vector>
 
-#include "decide/admit.h"
-#include "decide/place.h"
+#include "decide/admission.h"
 #include "decide/retry.h"
+#include "decide/target_selection.h"
 #include "model/call_builder.h"
 
 /// Simulation of entries that route calls to fake targets in virtual time, for
--- a/src/libverbenalead/decide/late_calls.h
+++ b/src/libverbenalead/decide/late_call_shedding.h
@@ -1,5 +1,5 @@
-#ifndef VERBENALEAD_DECIDE_LATE_CALLS_H_
-#define VERBENALEAD_DECIDE_LATE_CALLS_H_
+#ifndef VERBENALEAD_DECIDE_LATE_CALL_SHEDDING_H_
+#define VERBENALEAD_DECIDE_LATE_CALL_SHEDDING_H_
 
 #include <optional>
 
@@ -38,4 +38,4 @@
 
 }  // namespace verbenalead::decide
 
-#endif  // VERBENALEAD_DECIDE_LATE_CALLS_H_
+#endif  // VERBENALEAD_DECIDE_LATE_CALL_SHEDDING_H_
--- a/src/libverbenalead/decide/permit_board.cc
+++ b/src/libverbenalead/decide/load_permits.cc
@@ -1,4 +1,4 @@
-#include "decide/permit_board.h"
+#include "decide/load_permits.h"
 
 #include <boost/json.hpp>
 
--- a/src/libverbenalead/decide/permit_board.h
+++ b/src/libverbenalead/decide/load_permits.h
@@ -1,5 +1,5 @@
-#ifndef VERBENALEAD_DECIDE_PERMIT_BOARD_H_
-#define VERBENALEAD_DECIDE_PERMIT_BOARD_H_
+#ifndef VERBENALEAD_DECIDE_LOAD_PERMITS_H_
+#define VERBENALEAD_DECIDE_LOAD_PERMITS_H_
 
 #include <cstdint>
 #include <map>
@@ -29,4 +29,4 @@
 
 }  // namespace verbenalead::decide
 
-#endif  // VERBENALEAD_DECIDE_PERMIT_BOARD_H_
+#endif  // VERBENALEAD_DECIDE_LOAD_PERMITS_H_
--- a/src/libverbenalead/decide/draw_report.h
+++ b/src/libverbenalead/decide/origin_fetch_report.h
@@ -1,5 +1,5 @@
-#ifndef VERBENALEAD_DECIDE_DRAW_REPORT_H_
-#define VERBENALEAD_DECIDE_DRAW_REPORT_H_
+#ifndef VERBENALEAD_DECIDE_ORIGIN_FETCH_REPORT_H_
+#define VERBENALEAD_DECIDE_ORIGIN_FETCH_REPORT_H_
 
 #include <algorithm>
 #include <cstdint>
@@ -31,4 +31,4 @@
 
 }  // namespace verbenalead::decide
 
-#endif  // VERBENALEAD_DECIDE_DRAW_REPORT_H_
+#endif  // VERBENALEAD_DECIDE_ORIGIN_FETCH_REPORT_H_
--- a/src/libverbenalead/decide/transfer_draws.cc
+++ b/src/libverbenalead/decide/origin_fetches.cc
@@ -1,10 +1,10 @@
-#include "decide/transfer_draws.h"
+#include "decide/origin_fetches.h"
 
 #include <algorithm>
 #include <optional>
 
 #include "decide/transfer.h"
-#include "decide/transfer_book.h"
+#include "decide/transfer_schedule.h"
 
 namespace verbenalead::decide {
 namespace {
--- a/src/libverbenalead/decide/transfer_draws.h
+++ b/src/libverbenalead/decide/origin_fetches.h
@@ -1,5 +1,5 @@
-#ifndef VERBENALEAD_DECIDE_TRANSFER_DRAWS_H_
-#define VERBENALEAD_DECIDE_TRANSFER_DRAWS_H_
+#ifndef VERBENALEAD_DECIDE_ORIGIN_FETCHES_H_
+#define VERBENALEAD_DECIDE_ORIGIN_FETCHES_H_
 
 #include <random>
 
@@ -48,4 +48,4 @@
 
 }  // namespace verbenalead::decide
 
-#endif  // VERBENALEAD_DECIDE_TRANSFER_DRAWS_H_
+#endif  // VERBENALEAD_DECIDE_ORIGIN_FETCHES_H_
--- a/src/libverbenalead/decide/permit_watch.h
+++ b/src/libverbenalead/decide/permit_tracker.h
@@ -1,11 +1,11 @@
-#ifndef VERBENALEAD_DECIDE_PERMIT_WATCH_H_
-#define VERBENALEAD_DECIDE_PERMIT_WATCH_H_
+#ifndef VERBENALEAD_DECIDE_PERMIT_TRACKER_H_
+#define VERBENALEAD_DECIDE_PERMIT_TRACKER_H_
 
 #include <map>
 #include <string>
 
 #include "base/time.h"
-#include "decide/permit_board.h"
+#include "decide/load_permits.h"
 #include "decide/rollout_plan.h"
 
 namespace verbenalead::decide {
@@ -65,4 +65,4 @@
 
 }  // namespace verbenalead::decide
 
-#endif  // VERBENALEAD_DECIDE_PERMIT_WATCH_H_
+#endif  // VERBENALEAD_DECIDE_PERMIT_TRACKER_H_
--- a/src/libverbenalead/decide/place_bench.cc
+++ b/src/libverbenalead/decide/place_bench.cc
@@ -3,7 +3,7 @@
 ///     bench=decide decision=place targets=200 by=load us=...
 #include <cstdio>
 
-#include "decide/place.h"
+#include "decide/target_selection.h"
 #include "model/call_builder.h"
 
 namespace verbenalead::decide {
--- a/src/libverbenalead/decide/reading_turn_test.cc
+++ b/src/libverbenalead/decide/reader_failover_test.cc
@@ -1,4 +1,4 @@
-#include "decide/reading_turn.h"
+#include "decide/reader_failover.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/src/libverbenalead/decide/report_news_test.cc
+++ b/src/libverbenalead/decide/report_change_test.cc
@@ -1,4 +1,4 @@
-#include "decide/report_news.h"
+#include "decide/report_change.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/src/libverbenalead/decide/rollout.h
+++ b/src/libverbenalead/decide/rollout.h
@@ -6,7 +6,7 @@
 #include <string>
 
 #include "decide/gate.h"
-#include "decide/permit_watch.h"
+#include "decide/permit_tracker.h"
 #include "decide/rollout_action.h"
 #include "decide/rollout_plan.h"
 #include "decide/rollout_stage.h"
--- a/src/libverbenalead/decide/rollout_action.h
+++ b/src/libverbenalead/decide/rollout_action.h
@@ -5,7 +5,7 @@
 #include <string>
 
 #include "base/digest.h"
-#include "decide/permit_board.h"
+#include "decide/load_permits.h"
 
 namespace verbenalead::decide {
 
--- a/src/libverbenalead/decide/route_table_test.cc
+++ b/src/libverbenalead/decide/route_table_test.cc
@@ -2,7 +2,7 @@
 
 #include <cppunit/extensions/HelperMacros.h>
 
-#include "decide/weights_watch.h"
+#include "decide/declared_versions.h"
 
 namespace verbenalead::decide {
 namespace {
--- a/src/libverbenalead/decide/handout_pace.h
+++ b/src/libverbenalead/decide/row_transfer_limit.h
@@ -1,5 +1,5 @@
-#ifndef VERBENALEAD_DECIDE_HANDOUT_PACE_H_
-#define VERBENALEAD_DECIDE_HANDOUT_PACE_H_
+#ifndef VERBENALEAD_DECIDE_ROW_TRANSFER_LIMIT_H_
+#define VERBENALEAD_DECIDE_ROW_TRANSFER_LIMIT_H_
 
 #include <algorithm>
 #include <chrono>
@@ -56,4 +56,4 @@
 
 }  // namespace verbenalead::decide
 
-#endif  // VERBENALEAD_DECIDE_HANDOUT_PACE_H_
+#endif  // VERBENALEAD_DECIDE_ROW_TRANSFER_LIMIT_H_
--- a/src/libverbenalead/decide/handout_pace_test.cc
+++ b/src/libverbenalead/decide/row_transfer_limit_test.cc
@@ -1,4 +1,4 @@
-#include "decide/handout_pace.h"
+#include "decide/row_transfer_limit.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/src/libverbenalead/decide/place_queue.h
+++ b/src/libverbenalead/decide/slot_queue.h
@@ -1,5 +1,5 @@
-#ifndef VERBENALEAD_DECIDE_PLACE_QUEUE_H_
-#define VERBENALEAD_DECIDE_PLACE_QUEUE_H_
+#ifndef VERBENALEAD_DECIDE_SLOT_QUEUE_H_
+#define VERBENALEAD_DECIDE_SLOT_QUEUE_H_
 
 #include <cstdint>
 #include <vector>
@@ -100,4 +100,4 @@
 
 }  // namespace verbenalead::decide
 
-#endif  // VERBENALEAD_DECIDE_PLACE_QUEUE_H_
+#endif  // VERBENALEAD_DECIDE_SLOT_QUEUE_H_
--- a/src/libverbenalead/decide/place.cc
+++ b/src/libverbenalead/decide/target_selection.cc
@@ -1,4 +1,4 @@
-#include "decide/place.h"
+#include "decide/target_selection.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/libverbenalead/decide/place.h
+++ b/src/libverbenalead/decide/target_selection.h
@@ -1,5 +1,5 @@
-#ifndef VERBENALEAD_DECIDE_PLACE_H_
-#define VERBENALEAD_DECIDE_PLACE_H_
+#ifndef VERBENALEAD_DECIDE_TARGET_SELECTION_H_
+#define VERBENALEAD_DECIDE_TARGET_SELECTION_H_
 
 #include <cstdint>
 #include <optional>
@@ -145,4 +145,4 @@
 
 }  // namespace verbenalead::decide
 
-#endif  // VERBENALEAD_DECIDE_PLACE_H_
+#endif  // VERBENALEAD_DECIDE_TARGET_SELECTION_H_
--- a/src/libverbenalead/decide/members.h
+++ b/src/libverbenalead/decide/target_watch.h
@@ -1,5 +1,5 @@
-#ifndef VERBENALEAD_DECIDE_MEMBERS_H_
-#define VERBENALEAD_DECIDE_MEMBERS_H_
+#ifndef VERBENALEAD_DECIDE_TARGET_WATCH_H_
+#define VERBENALEAD_DECIDE_TARGET_WATCH_H_
 
 #include <map>
 #include <set>
@@ -61,4 +61,4 @@
 
 }  // namespace verbenalead::decide
 
-#endif  // VERBENALEAD_DECIDE_MEMBERS_H_
+#endif  // VERBENALEAD_DECIDE_TARGET_WATCH_H_
--- a/src/libverbenalead/decide/members_test.cc
+++ b/src/libverbenalead/decide/target_watch_test.cc
@@ -1,4 +1,4 @@
-#include "decide/members.h"
+#include "decide/target_watch.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/src/libverbenalead/decide/transfer.cc
+++ b/src/libverbenalead/decide/transfer.cc
@@ -4,9 +4,9 @@
 #include <bit>
 #include <optional>
 
-#include "decide/transfer_book.h"
-#include "decide/transfer_draws.h"
+#include "decide/origin_fetches.h"
 #include "decide/transfer_plan.h"
+#include "decide/transfer_schedule.h"
 
 namespace verbenalead::decide {
 namespace {
--- a/src/libverbenalead/decide/transfer.h
+++ b/src/libverbenalead/decide/transfer.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "decide/draw_report.h"
+#include "decide/origin_fetch_report.h"
 #include "decide/transfer_state.h"
 
 namespace verbenalead::decide {
--- a/src/libverbenalead/decide/transfer_book.h
+++ b/src/libverbenalead/decide/transfer_schedule.h
@@ -1,5 +1,5 @@
-#ifndef VERBENALEAD_DECIDE_TRANSFER_BOOK_H_
-#define VERBENALEAD_DECIDE_TRANSFER_BOOK_H_
+#ifndef VERBENALEAD_DECIDE_TRANSFER_SCHEDULE_H_
+#define VERBENALEAD_DECIDE_TRANSFER_SCHEDULE_H_
 
 #include <cstddef>
 #include <optional>
@@ -49,4 +49,4 @@
 
 }  // namespace verbenalead::decide
 
-#endif  // VERBENALEAD_DECIDE_TRANSFER_BOOK_H_
+#endif  // VERBENALEAD_DECIDE_TRANSFER_SCHEDULE_H_
--- a/src/libverbenalead/decide/upload_turns.cc
+++ b/src/libverbenalead/decide/upload_slots.cc
@@ -1,4 +1,4 @@
-#include "decide/upload_turns.h"
+#include "decide/upload_slots.h"
 
 #include <algorithm>
 
--- a/src/libverbenalead/decide/upload_turns.h
+++ b/src/libverbenalead/decide/upload_slots.h
@@ -1,5 +1,5 @@
-#ifndef VERBENALEAD_DECIDE_UPLOAD_TURNS_H_
-#define VERBENALEAD_DECIDE_UPLOAD_TURNS_H_
+#ifndef VERBENALEAD_DECIDE_UPLOAD_SLOTS_H_
+#define VERBENALEAD_DECIDE_UPLOAD_SLOTS_H_
 
 #include <cstdint>
 #include <map>
@@ -49,4 +49,4 @@
 
 }  // namespace verbenalead::decide
 
-#endif  // VERBENALEAD_DECIDE_UPLOAD_TURNS_H_
+#endif  // VERBENALEAD_DECIDE_UPLOAD_SLOTS_H_
--- a/src/libverbenalead/decide/patience_share.h
+++ b/src/libverbenalead/decide/wait_share.h
@@ -1,5 +1,5 @@
-#ifndef VERBENALEAD_DECIDE_PATIENCE_SHARE_H_
-#define VERBENALEAD_DECIDE_PATIENCE_SHARE_H_
+#ifndef VERBENALEAD_DECIDE_WAIT_SHARE_H_
+#define VERBENALEAD_DECIDE_WAIT_SHARE_H_
 
 #include <algorithm>
 
@@ -42,4 +42,4 @@
 
 }  // namespace verbenalead::decide
 
-#endif  // VERBENALEAD_DECIDE_PATIENCE_SHARE_H_
+#endif  // VERBENALEAD_DECIDE_WAIT_SHARE_H_
--- a/src/libverbenalead/decide/patience_share_test.cc
+++ b/src/libverbenalead/decide/wait_share_test.cc
@@ -1,4 +1,4 @@
-#include "decide/patience_share.h"
+#include "decide/wait_share.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/src/libverbenalead/entry/call_run.cc
+++ b/src/libverbenalead/entry/call_run.cc
@@ -5,7 +5,7 @@
 
 #include "base/log.h"
 #include "decide/hedge.h"
-#include "entry/send_again.h"
+#include "entry/retry_attempt.h"
 
 namespace verbenalead::entry {
 namespace {
--- a/src/libverbenalead/entry/call_run_stream.cc
+++ b/src/libverbenalead/entry/call_run_stream.cc
@@ -1,7 +1,7 @@
 #include <algorithm>
 
 #include "entry/call_run.h"
-#include "entry/send_again.h"
+#include "entry/retry_attempt.h"
 
 // The members of CallRun that handle streamed answers (server-sent events).
 
--- a/src/libverbenalead/entry/call_server.h
+++ b/src/libverbenalead/entry/call_server.h
@@ -5,7 +5,7 @@
 #include <string>
 
 #include "entry/entry_state.h"
-#include "entry/place_waiter.h"
+#include "entry/slot_allocator.h"
 #include "wire/client.h"
 #include "wire/response_writer.h"
 
--- a/src/libverbenalead/entry/call_services.h
+++ b/src/libverbenalead/entry/call_services.h
@@ -2,7 +2,7 @@
 #define VERBENALEAD_ENTRY_CALL_SERVICES_H_
 
 #include "entry/entry_state.h"
-#include "entry/place_waiter.h"
+#include "entry/slot_allocator.h"
 #include "wire/client.h"
 
 namespace verbenalead::entry {
--- a/src/libverbenalead/entry/caller_addresses.cc
+++ b/src/libverbenalead/entry/caller_addresses.cc
@@ -2,7 +2,7 @@
 
 #include <utility>
 
-#include "entry/entry_news.h"
+#include "entry/peer_updates.h"
 
 namespace verbenalead::entry {
 namespace {
--- a/src/libverbenalead/entry/caller_addresses_test.cc
+++ b/src/libverbenalead/entry/caller_addresses_test.cc
@@ -6,7 +6,7 @@
 #include <map>
 
 #include "base/boot_clock.h"
-#include "entry/entry_news.h"
+#include "entry/peer_updates.h"
 
 namespace verbenalead::entry {
 namespace {
--- a/src/libverbenalead/entry/registration.cc
+++ b/src/libverbenalead/entry/entry_registration.cc
@@ -1,4 +1,4 @@
-#include "entry/registration.h"
+#include "entry/entry_registration.h"
 
 #include "base/catch_failure.h"
 #include "base/log.h"
--- a/src/libverbenalead/entry/registration.h
+++ b/src/libverbenalead/entry/entry_registration.h
@@ -1,5 +1,5 @@
-#ifndef VERBENALEAD_ENTRY_REGISTRATION_H_
-#define VERBENALEAD_ENTRY_REGISTRATION_H_
+#ifndef VERBENALEAD_ENTRY_ENTRY_REGISTRATION_H_
+#define VERBENALEAD_ENTRY_ENTRY_REGISTRATION_H_
 
 #include <functional>
 #include <string>
@@ -50,4 +50,4 @@
 
 }  // namespace verbenalead::entry
 
-#endif  // VERBENALEAD_ENTRY_REGISTRATION_H_
+#endif  // VERBENALEAD_ENTRY_ENTRY_REGISTRATION_H_
--- a/src/libverbenalead/entry/peer_entry.h
+++ b/src/libverbenalead/entry/peer_entry.h
@@ -2,7 +2,7 @@
 #define VERBENALEAD_ENTRY_PEER_ENTRY_H_
 
 #include "base/time.h"
-#include "links/entry_news.h"
+#include "links/entry_update.h"
 
 namespace verbenalead::entry {
 
--- a/src/libverbenalead/entry/entry_news.h
+++ b/src/libverbenalead/entry/peer_updates.h
@@ -1,9 +1,9 @@
-#ifndef VERBENALEAD_ENTRY_ENTRY_NEWS_H_
-#define VERBENALEAD_ENTRY_ENTRY_NEWS_H_
+#ifndef VERBENALEAD_ENTRY_PEER_UPDATES_H_
+#define VERBENALEAD_ENTRY_PEER_UPDATES_H_
 
 #include "entry/entry_state.h"
-#include "links/entry_news.h"
-#include "links/replica_news.h"
+#include "links/entry_update.h"
+#include "links/replica_update.h"
 
 namespace verbenalead::entry {
 
@@ -96,4 +96,4 @@
 
 }  // namespace verbenalead::entry
 
-#endif  // VERBENALEAD_ENTRY_ENTRY_NEWS_H_
+#endif  // VERBENALEAD_ENTRY_PEER_UPDATES_H_
--- a/src/libverbenalead/entry/entry_news_test.cc
+++ b/src/libverbenalead/entry/peer_updates_test.cc
@@ -1,4 +1,4 @@
-#include "entry/entry_news.h"
+#include "entry/peer_updates.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/src/libverbenalead/entry/send_again.cc
+++ b/src/libverbenalead/entry/retry_attempt.cc
@@ -1,4 +1,4 @@
-#include "entry/send_again.h"
+#include "entry/retry_attempt.h"
 
 #include <algorithm>
 
--- a/src/libverbenalead/entry/send_again.h
+++ b/src/libverbenalead/entry/retry_attempt.h
@@ -1,5 +1,5 @@
-#ifndef VERBENALEAD_ENTRY_SEND_AGAIN_H_
-#define VERBENALEAD_ENTRY_SEND_AGAIN_H_
+#ifndef VERBENALEAD_ENTRY_RETRY_ATTEMPT_H_
+#define VERBENALEAD_ENTRY_RETRY_ATTEMPT_H_
 
 #include <functional>
 #include <string>
@@ -25,4 +25,4 @@
 
 }  // namespace verbenalead::entry
 
-#endif  // VERBENALEAD_ENTRY_SEND_AGAIN_H_
+#endif  // VERBENALEAD_ENTRY_RETRY_ATTEMPT_H_
--- a/src/libverbenalead/entry/row_intake.h
+++ b/src/libverbenalead/entry/row_applier.h
@@ -1,5 +1,5 @@
-#ifndef VERBENALEAD_ENTRY_ROW_INTAKE_H_
-#define VERBENALEAD_ENTRY_ROW_INTAKE_H_
+#ifndef VERBENALEAD_ENTRY_ROW_APPLIER_H_
+#define VERBENALEAD_ENTRY_ROW_APPLIER_H_
 
 #include <functional>
 #include <map>
@@ -75,4 +75,4 @@
 
 }  // namespace verbenalead::entry
 
-#endif  // VERBENALEAD_ENTRY_ROW_INTAKE_H_
+#endif  // VERBENALEAD_ENTRY_ROW_APPLIER_H_
--- a/src/libverbenalead/entry/row_intake_test.cc
+++ b/src/libverbenalead/entry/row_applier_test.cc
@@ -1,4 +1,4 @@
-#include "entry/row_intake.h"
+#include "entry/row_applier.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/src/libverbenalead/entry/row_sources.cc
+++ b/src/libverbenalead/entry/row_synchroniser.cc
@@ -1,10 +1,10 @@
-#include "entry/row_sources.h"
+#include "entry/row_synchroniser.h"
 
 #include "base/boot_clock.h"
 #include "base/deflate.h"
 #include "base/log.h"
 #include "base/spawn.h"
-#include "entry/entry_news.h"
+#include "entry/peer_updates.h"
 #include "links/relayed_rows.h"
 #include "platform/config_services.h"
 #include "platform/names.h"
--- a/src/libverbenalead/entry/row_sources.h
+++ b/src/libverbenalead/entry/row_synchroniser.h
@@ -1,17 +1,17 @@
-#ifndef VERBENALEAD_ENTRY_ROW_SOURCES_H_
-#define VERBENALEAD_ENTRY_ROW_SOURCES_H_
+#ifndef VERBENALEAD_ENTRY_ROW_SYNCHRONISER_H_
+#define VERBENALEAD_ENTRY_ROW_SYNCHRONISER_H_
 
 #include <functional>
 #include <map>
 #include <memory>
 #include <string>
 
-#include "decide/burst_pace.h"
+#include "decide/burst_pacer.h"
 #include "decide/cold_start.h"
-#include "decide/handout_pace.h"
-#include "decide/reading_turn.h"
+#include "decide/reader_failover.h"
+#include "decide/row_transfer_limit.h"
 #include "entry/entry_state.h"
-#include "entry/row_intake.h"
+#include "entry/row_applier.h"
 #include "links/table_follower.h"
 #include "platform/store.h"
 #include "wire/client.h"
@@ -117,4 +117,4 @@
 
 }  // namespace verbenalead::entry
 
-#endif  // VERBENALEAD_ENTRY_ROW_SOURCES_H_
+#endif  // VERBENALEAD_ENTRY_ROW_SYNCHRONISER_H_
--- a/src/libverbenalead/entry/place_waiter.cc
+++ b/src/libverbenalead/entry/slot_allocator.cc
@@ -1,4 +1,4 @@
-#include "entry/place_waiter.h"
+#include "entry/slot_allocator.h"
 
 #include <boost/asio/redirect_error.hpp>
 #include <boost/asio/steady_timer.hpp>
--- a/src/libverbenalead/entry/place_waiter.h
+++ b/src/libverbenalead/entry/slot_allocator.h
@@ -1,5 +1,5 @@
-#ifndef VERBENALEAD_ENTRY_PLACE_WAITER_H_
-#define VERBENALEAD_ENTRY_PLACE_WAITER_H_
+#ifndef VERBENALEAD_ENTRY_SLOT_ALLOCATOR_H_
+#define VERBENALEAD_ENTRY_SLOT_ALLOCATOR_H_
 
 #include <functional>
 #include <map>
@@ -10,7 +10,7 @@
 
 #include "base/awaitable.h"
 #include "entry/entry_state.h"
-#include "entry/place_asker.h"
+#include "entry/slot_requester.h"
 
 namespace verbenalead::entry {
 
@@ -89,4 +89,4 @@
 
 }  // namespace verbenalead::entry
 
-#endif  // VERBENALEAD_ENTRY_PLACE_WAITER_H_
+#endif  // VERBENALEAD_ENTRY_SLOT_ALLOCATOR_H_
--- a/src/libverbenalead/entry/place_waiter_test.cc
+++ b/src/libverbenalead/entry/slot_allocator_test.cc
@@ -1,4 +1,4 @@
-#include "entry/place_waiter.h"
+#include "entry/slot_allocator.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/src/libverbenalead/entry/place_asker.cc
+++ b/src/libverbenalead/entry/slot_requester.cc
@@ -1,4 +1,4 @@
-#include "entry/place_asker.h"
+#include "entry/slot_requester.h"
 
 #include <boost/asio/redirect_error.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -6,7 +6,7 @@
 #include <boost/asio/use_awaitable.hpp>
 
 #include "base/log.h"
-#include "entry/entry_news.h"
+#include "entry/peer_updates.h"
 
 namespace verbenalead::entry {
 namespace {
--- a/src/libverbenalead/entry/place_asker.h
+++ b/src/libverbenalead/entry/slot_requester.h
@@ -1,5 +1,5 @@
-#ifndef VERBENALEAD_ENTRY_PLACE_ASKER_H_
-#define VERBENALEAD_ENTRY_PLACE_ASKER_H_
+#ifndef VERBENALEAD_ENTRY_SLOT_REQUESTER_H_
+#define VERBENALEAD_ENTRY_SLOT_REQUESTER_H_
 
 #include <functional>
 #include <map>
@@ -10,7 +10,7 @@
 
 #include "base/awaitable.h"
 #include "entry/entry_state.h"
-#include "links/datagrams.h"
+#include "links/datagram_socket.h"
 
 namespace verbenalead::entry {
 
@@ -76,4 +76,4 @@
 
 }  // namespace verbenalead::entry
 
-#endif  // VERBENALEAD_ENTRY_PLACE_ASKER_H_
+#endif  // VERBENALEAD_ENTRY_SLOT_REQUESTER_H_
--- a/src/libverbenalead/entry/start_progress.h
+++ b/src/libverbenalead/entry/startup_progress.h
@@ -1,5 +1,5 @@
-#ifndef VERBENALEAD_ENTRY_START_PROGRESS_H_
-#define VERBENALEAD_ENTRY_START_PROGRESS_H_
+#ifndef VERBENALEAD_ENTRY_STARTUP_PROGRESS_H_
+#define VERBENALEAD_ENTRY_STARTUP_PROGRESS_H_
 
 #include <set>
 #include <string>
@@ -28,4 +28,4 @@
 
 }  // namespace verbenalead::entry
 
-#endif  // VERBENALEAD_ENTRY_START_PROGRESS_H_
+#endif  // VERBENALEAD_ENTRY_STARTUP_PROGRESS_H_
--- a/src/libverbenalead/entry/start_progress_test.cc
+++ b/src/libverbenalead/entry/startup_progress_test.cc
@@ -1,4 +1,4 @@
-#include "entry/start_progress.h"
+#include "entry/startup_progress.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/src/libverbenalead/entry/summary.cc
+++ b/src/libverbenalead/entry/summary.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 
 #include "base/log.h"
-#include "entry/entry_news.h"
+#include "entry/peer_updates.h"
 
 namespace verbenalead::entry {
 namespace {
--- a/src/libverbenalead/entry/summary_sender.cc
+++ b/src/libverbenalead/entry/summary_sender.cc
@@ -2,7 +2,7 @@
 
 #include "base/boot_clock.h"
 #include "base/log.h"
-#include "entry/entry_news.h"
+#include "entry/peer_updates.h"
 #include "entry/summary.h"
 
 namespace verbenalead::entry {
--- a/src/libverbenalead/entry/summary_sender.h
+++ b/src/libverbenalead/entry/summary_sender.h
@@ -3,7 +3,7 @@
 
 #include "entry/entry_state.h"
 #include "links/data_center_summary.h"
-#include "links/datagrams.h"
+#include "links/datagram_socket.h"
 
 namespace verbenalead::entry {
 
--- a/src/libverbenalead/entry/summary_test.cc
+++ b/src/libverbenalead/entry/summary_test.cc
@@ -6,7 +6,7 @@
 
 #include "base/boot_clock.h"
 #include "entry/caller_addresses.h"
-#include "entry/entry_news.h"
+#include "entry/peer_updates.h"
 #include "links/message.h"
 
 namespace verbenalead::entry {
--- a/src/libverbenalead/entry/news_sender.cc
+++ b/src/libverbenalead/entry/update_sender.cc
@@ -1,6 +1,6 @@
-#include "entry/news_sender.h"
+#include "entry/update_sender.h"
 
-#include "entry/entry_news.h"
+#include "entry/peer_updates.h"
 
 namespace verbenalead::entry {
 namespace {
--- a/src/libverbenalead/entry/news_sender.h
+++ b/src/libverbenalead/entry/update_sender.h
@@ -1,11 +1,11 @@
-#ifndef VERBENALEAD_ENTRY_NEWS_SENDER_H_
-#define VERBENALEAD_ENTRY_NEWS_SENDER_H_
+#ifndef VERBENALEAD_ENTRY_UPDATE_SENDER_H_
+#define VERBENALEAD_ENTRY_UPDATE_SENDER_H_
 
 #include <map>
 #include <string>
 
 #include "entry/entry_state.h"
-#include "links/datagrams.h"
+#include "links/datagram_socket.h"
 
 namespace verbenalead::entry {
 
@@ -69,4 +69,4 @@
 
 }  // namespace verbenalead::entry
 
-#endif  // VERBENALEAD_ENTRY_NEWS_SENDER_H_
+#endif  // VERBENALEAD_ENTRY_UPDATE_SENDER_H_
--- a/src/libverbenalead/front/accepted_change.h
+++ b/src/libverbenalead/front/committed_change.h
@@ -1,5 +1,5 @@
-#ifndef VERBENALEAD_FRONT_ACCEPTED_CHANGE_H_
-#define VERBENALEAD_FRONT_ACCEPTED_CHANGE_H_
+#ifndef VERBENALEAD_FRONT_COMMITTED_CHANGE_H_
+#define VERBENALEAD_FRONT_COMMITTED_CHANGE_H_
 
 #include <cstddef>
 
@@ -24,4 +24,4 @@
 
 }  // namespace verbenalead::front
 
-#endif  // VERBENALEAD_FRONT_ACCEPTED_CHANGE_H_
+#endif  // VERBENALEAD_FRONT_COMMITTED_CHANGE_H_
--- a/src/libverbenalead/front/operators_context.h
+++ b/src/libverbenalead/front/operators_context.h
@@ -11,7 +11,7 @@
 #include "base/failure.h"
 #include "base/time.h"
 #include "decide/config.h"
-#include "front/accepted_change.h"
+#include "front/committed_change.h"
 #include "model/change.h"
 #include "model/resource_write.h"
 #include "model/target_report.h"
--- a/src/libverbenalead/http/caller_watch.cc
+++ b/src/libverbenalead/http/disconnect_monitor.cc
@@ -1,4 +1,4 @@
-#include "http/caller_watch.h"
+#include "http/disconnect_monitor.h"
 
 #include <netinet/tcp.h>
 #include <sys/socket.h>
--- a/src/libverbenalead/http/caller_watch.h
+++ b/src/libverbenalead/http/disconnect_monitor.h
@@ -1,5 +1,5 @@
-#ifndef VERBENALEAD_HTTP_CALLER_WATCH_H_
-#define VERBENALEAD_HTTP_CALLER_WATCH_H_
+#ifndef VERBENALEAD_HTTP_DISCONNECT_MONITOR_H_
+#define VERBENALEAD_HTTP_DISCONNECT_MONITOR_H_
 
 #include <boost/asio/ip/tcp.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -37,4 +37,4 @@
 
 }  // namespace verbenalead::http
 
-#endif  // VERBENALEAD_HTTP_CALLER_WATCH_H_
+#endif  // VERBENALEAD_HTTP_DISCONNECT_MONITOR_H_
--- a/src/libverbenalead/http/tls_keeper.cc
+++ b/src/libverbenalead/http/reloadable_tls_context.cc
@@ -1,4 +1,4 @@
-#include "http/tls_keeper.h"
+#include "http/reloadable_tls_context.h"
 
 #include <boost/asio/ssl/context.hpp>
 
--- a/src/libverbenalead/http/tls_keeper.h
+++ b/src/libverbenalead/http/reloadable_tls_context.h
@@ -1,5 +1,5 @@
-#ifndef VERBENALEAD_HTTP_TLS_KEEPER_H_
-#define VERBENALEAD_HTTP_TLS_KEEPER_H_
+#ifndef VERBENALEAD_HTTP_RELOADABLE_TLS_CONTEXT_H_
+#define VERBENALEAD_HTTP_RELOADABLE_TLS_CONTEXT_H_
 
 #include <memory>
 #include <mutex>
@@ -36,4 +36,4 @@
 
 }  // namespace verbenalead::http
 
-#endif  // VERBENALEAD_HTTP_TLS_KEEPER_H_
+#endif  // VERBENALEAD_HTTP_RELOADABLE_TLS_CONTEXT_H_
--- a/src/libverbenalead/http/server.cc
+++ b/src/libverbenalead/http/server.cc
@@ -7,7 +7,7 @@
 
 #include "base/log.h"
 #include "base/spawn.h"
-#include "http/caller_watch.h"
+#include "http/disconnect_monitor.h"
 #include "http/http1_writer.h"
 #include "http/server_state.h"
 
--- a/src/libverbenalead/http/server.h
+++ b/src/libverbenalead/http/server.h
@@ -3,8 +3,8 @@
 
 #include <memory>
 
+#include "http/reloadable_tls_context.h"
 #include "http/server_limits.h"
-#include "http/tls_keeper.h"
 #include "wire/listener.h"
 #include "wire/response_writer.h"
 
--- a/src/libverbenalead/http/kept_connections.cc
+++ b/src/libverbenalead/http/server_connections.cc
@@ -1,4 +1,4 @@
-#include "http/kept_connections.h"
+#include "http/server_connections.h"
 
 #include <boost/asio/post.hpp>
 
--- a/src/libverbenalead/http/kept_connections.h
+++ b/src/libverbenalead/http/server_connections.h
@@ -1,5 +1,5 @@
-#ifndef VERBENALEAD_HTTP_KEPT_CONNECTIONS_H_
-#define VERBENALEAD_HTTP_KEPT_CONNECTIONS_H_
+#ifndef VERBENALEAD_HTTP_SERVER_CONNECTIONS_H_
+#define VERBENALEAD_HTTP_SERVER_CONNECTIONS_H_
 
 #include <boost/asio/ip/tcp.hpp>
 #include <memory>
@@ -52,4 +52,4 @@
 
 }  // namespace verbenalead::http
 
-#endif  // VERBENALEAD_HTTP_KEPT_CONNECTIONS_H_
+#endif  // VERBENALEAD_HTTP_SERVER_CONNECTIONS_H_
--- a/src/libverbenalead/http/server_state.h
+++ b/src/libverbenalead/http/server_state.h
@@ -6,9 +6,9 @@
 #include <mutex>
 #include <utility>
 
-#include "http/kept_connections.h"
+#include "http/reloadable_tls_context.h"
+#include "http/server_connections.h"
 #include "http/server_limits.h"
-#include "http/tls_keeper.h"
 #include "wire/response_writer.h"
 
 namespace verbenalead::http {
--- a/src/libverbenalead/links/call_news.h
+++ b/src/libverbenalead/links/call_update.h
@@ -1,5 +1,5 @@
-#ifndef VERBENALEAD_LINKS_CALL_NEWS_H_
-#define VERBENALEAD_LINKS_CALL_NEWS_H_
+#ifndef VERBENALEAD_LINKS_CALL_UPDATE_H_
+#define VERBENALEAD_LINKS_CALL_UPDATE_H_
 
 #include <string>
 
@@ -21,4 +21,4 @@
 
 }  // namespace verbenalead::links
 
-#endif  // VERBENALEAD_LINKS_CALL_NEWS_H_
+#endif  // VERBENALEAD_LINKS_CALL_UPDATE_H_
--- a/src/libverbenalead/links/chunk_news.h
+++ b/src/libverbenalead/links/chunk_update.h
@@ -1,5 +1,5 @@
-#ifndef VERBENALEAD_LINKS_CHUNK_NEWS_H_
-#define VERBENALEAD_LINKS_CHUNK_NEWS_H_
+#ifndef VERBENALEAD_LINKS_CHUNK_UPDATE_H_
+#define VERBENALEAD_LINKS_CHUNK_UPDATE_H_
 
 #include <cstdint>
 #include <string>
@@ -21,4 +21,4 @@
 
 }  // namespace verbenalead::links
 
-#endif  // VERBENALEAD_LINKS_CHUNK_NEWS_H_
+#endif  // VERBENALEAD_LINKS_CHUNK_UPDATE_H_
--- a/src/libverbenalead/links/datagrams.cc
+++ b/src/libverbenalead/links/datagram_socket.cc
@@ -1,4 +1,4 @@
-#include "links/datagrams.h"
+#include "links/datagram_socket.h"
 
 #include <boost/asio/ip/udp.hpp>
 #include <boost/asio/redirect_error.hpp>
--- a/src/libverbenalead/links/datagrams.h
+++ b/src/libverbenalead/links/datagram_socket.h
@@ -1,5 +1,5 @@
-#ifndef VERBENALEAD_LINKS_DATAGRAMS_H_
-#define VERBENALEAD_LINKS_DATAGRAMS_H_
+#ifndef VERBENALEAD_LINKS_DATAGRAM_SOCKET_H_
+#define VERBENALEAD_LINKS_DATAGRAM_SOCKET_H_
 
 #include <boost/asio/any_io_executor.hpp>
 #include <functional>
@@ -35,4 +35,4 @@
 
 }  // namespace verbenalead::links
 
-#endif  // VERBENALEAD_LINKS_DATAGRAMS_H_
+#endif  // VERBENALEAD_LINKS_DATAGRAM_SOCKET_H_
--- a/src/libverbenalead/links/entry_news.h
+++ b/src/libverbenalead/links/entry_update.h
@@ -1,5 +1,5 @@
-#ifndef VERBENALEAD_LINKS_ENTRY_NEWS_H_
-#define VERBENALEAD_LINKS_ENTRY_NEWS_H_
+#ifndef VERBENALEAD_LINKS_ENTRY_UPDATE_H_
+#define VERBENALEAD_LINKS_ENTRY_UPDATE_H_
 
 #include <optional>
 #include <vector>
@@ -34,4 +34,4 @@
 
 }  // namespace verbenalead::links
 
-#endif  // VERBENALEAD_LINKS_ENTRY_NEWS_H_
+#endif  // VERBENALEAD_LINKS_ENTRY_UPDATE_H_
--- a/src/libverbenalead/links/message.h
+++ b/src/libverbenalead/links/message.h
@@ -6,16 +6,16 @@
 #include <variant>
 
 #include "base/failure.h"
-#include "links/call_news.h"
-#include "links/chunk_news.h"
+#include "links/call_update.h"
+#include "links/chunk_update.h"
 #include "links/data_center_summary.h"
-#include "links/draw_news.h"
-#include "links/entry_news.h"
-#include "links/follow_request.h"
-#include "links/place_answer.h"
-#include "links/place_request.h"
-#include "links/place_withdrawal.h"
-#include "links/replica_news.h"
+#include "links/entry_update.h"
+#include "links/origin_fetch_update.h"
+#include "links/replica_update.h"
+#include "links/slot_answer.h"
+#include "links/slot_request_message.h"
+#include "links/slot_withdrawal.h"
+#include "links/subscription_request.h"
 
 namespace verbenalead::links {
 
--- a/src/libverbenalead/links/draw_news.h
+++ b/src/libverbenalead/links/origin_fetch_update.h
@@ -1,10 +1,10 @@
-#ifndef VERBENALEAD_LINKS_DRAW_NEWS_H_
-#define VERBENALEAD_LINKS_DRAW_NEWS_H_
+#ifndef VERBENALEAD_LINKS_ORIGIN_FETCH_UPDATE_H_
+#define VERBENALEAD_LINKS_ORIGIN_FETCH_UPDATE_H_
 
 #include <cstdint>
 #include <string>
 
-#include "decide/draw_report.h"
+#include "decide/origin_fetch_report.h"
 
 namespace verbenalead::links {
 
@@ -22,4 +22,4 @@
 
 }  // namespace verbenalead::links
 
-#endif  // VERBENALEAD_LINKS_DRAW_NEWS_H_
+#endif  // VERBENALEAD_LINKS_ORIGIN_FETCH_UPDATE_H_
--- a/src/libverbenalead/links/follow_pace.h
+++ b/src/libverbenalead/links/poll_schedule.h
@@ -1,5 +1,5 @@
-#ifndef VERBENALEAD_LINKS_FOLLOW_PACE_H_
-#define VERBENALEAD_LINKS_FOLLOW_PACE_H_
+#ifndef VERBENALEAD_LINKS_POLL_SCHEDULE_H_
+#define VERBENALEAD_LINKS_POLL_SCHEDULE_H_
 
 #include "base/time.h"
 
@@ -25,4 +25,4 @@
 
 }  // namespace verbenalead::links
 
-#endif  // VERBENALEAD_LINKS_FOLLOW_PACE_H_
+#endif  // VERBENALEAD_LINKS_POLL_SCHEDULE_H_
--- a/src/libverbenalead/links/replica_news.h
+++ b/src/libverbenalead/links/replica_update.h
@@ -1,5 +1,5 @@
-#ifndef VERBENALEAD_LINKS_REPLICA_NEWS_H_
-#define VERBENALEAD_LINKS_REPLICA_NEWS_H_
+#ifndef VERBENALEAD_LINKS_REPLICA_UPDATE_H_
+#define VERBENALEAD_LINKS_REPLICA_UPDATE_H_
 
 #include <cstdint>
 #include <string>
@@ -30,4 +30,4 @@
 
 }  // namespace verbenalead::links
 
-#endif  // VERBENALEAD_LINKS_REPLICA_NEWS_H_
+#endif  // VERBENALEAD_LINKS_REPLICA_UPDATE_H_
--- a/src/libverbenalead/links/place_answer.h
+++ b/src/libverbenalead/links/slot_answer.h
@@ -1,9 +1,9 @@
-#ifndef VERBENALEAD_LINKS_PLACE_ANSWER_H_
-#define VERBENALEAD_LINKS_PLACE_ANSWER_H_
+#ifndef VERBENALEAD_LINKS_SLOT_ANSWER_H_
+#define VERBENALEAD_LINKS_SLOT_ANSWER_H_
 
 #include <cstdint>
 
-#include "links/replica_news.h"
+#include "links/replica_update.h"
 
 namespace verbenalead::links {
 
@@ -22,4 +22,4 @@
 
 }  // namespace verbenalead::links
 
-#endif  // VERBENALEAD_LINKS_PLACE_ANSWER_H_
+#endif  // VERBENALEAD_LINKS_SLOT_ANSWER_H_
--- a/src/libverbenalead/links/place_request.h
+++ b/src/libverbenalead/links/slot_request_message.h
@@ -1,5 +1,5 @@
-#ifndef VERBENALEAD_LINKS_PLACE_REQUEST_H_
-#define VERBENALEAD_LINKS_PLACE_REQUEST_H_
+#ifndef VERBENALEAD_LINKS_SLOT_REQUEST_MESSAGE_H_
+#define VERBENALEAD_LINKS_SLOT_REQUEST_MESSAGE_H_
 
 #include <cstdint>
 #include <string>
@@ -34,4 +34,4 @@
 
 }  // namespace verbenalead::links
 
-#endif  // VERBENALEAD_LINKS_PLACE_REQUEST_H_
+#endif  // VERBENALEAD_LINKS_SLOT_REQUEST_MESSAGE_H_
--- a/src/libverbenalead/links/place_withdrawal.h
+++ b/src/libverbenalead/links/slot_withdrawal.h
@@ -1,5 +1,5 @@
-#ifndef VERBENALEAD_LINKS_PLACE_WITHDRAWAL_H_
-#define VERBENALEAD_LINKS_PLACE_WITHDRAWAL_H_
+#ifndef VERBENALEAD_LINKS_SLOT_WITHDRAWAL_H_
+#define VERBENALEAD_LINKS_SLOT_WITHDRAWAL_H_
 
 #include <cstdint>
 #include <string>
@@ -18,4 +18,4 @@
 
 }  // namespace verbenalead::links
 
-#endif  // VERBENALEAD_LINKS_PLACE_WITHDRAWAL_H_
+#endif  // VERBENALEAD_LINKS_SLOT_WITHDRAWAL_H_
--- a/src/libverbenalead/links/follow_request.h
+++ b/src/libverbenalead/links/subscription_request.h
@@ -1,5 +1,5 @@
-#ifndef VERBENALEAD_LINKS_FOLLOW_REQUEST_H_
-#define VERBENALEAD_LINKS_FOLLOW_REQUEST_H_
+#ifndef VERBENALEAD_LINKS_SUBSCRIPTION_REQUEST_H_
+#define VERBENALEAD_LINKS_SUBSCRIPTION_REQUEST_H_
 
 namespace verbenalead::links {
 
@@ -29,4 +29,4 @@
 
 }  // namespace verbenalead::links
 
-#endif  // VERBENALEAD_LINKS_FOLLOW_REQUEST_H_
+#endif  // VERBENALEAD_LINKS_SUBSCRIPTION_REQUEST_H_
--- a/src/libverbenalead/links/table_follower.h
+++ b/src/libverbenalead/links/table_follower.h
@@ -9,7 +9,7 @@
 
 #include "base/awaitable.h"
 #include "base/time.h"
-#include "links/follow_pace.h"
+#include "links/poll_schedule.h"
 #include "platform/store.h"
 
 namespace verbenalead::links {
--- a/src/libverbenalead/platform/answer_facts.h
+++ b/src/libverbenalead/platform/answer_metadata.h
@@ -1,5 +1,5 @@
-#ifndef VERBENALEAD_PLATFORM_ANSWER_FACTS_H_
-#define VERBENALEAD_PLATFORM_ANSWER_FACTS_H_
+#ifndef VERBENALEAD_PLATFORM_ANSWER_METADATA_H_
+#define VERBENALEAD_PLATFORM_ANSWER_METADATA_H_
 
 #include <cstdint>
 #include <optional>
@@ -25,4 +25,4 @@
 
 }  // namespace verbenalead::platform
 
-#endif  // VERBENALEAD_PLATFORM_ANSWER_FACTS_H_
+#endif  // VERBENALEAD_PLATFORM_ANSWER_METADATA_H_
--- a/src/libverbenalead/platform/call_headers.h
+++ b/src/libverbenalead/platform/call_headers.h
@@ -2,7 +2,7 @@
 #define VERBENALEAD_PLATFORM_CALL_HEADERS_H_
 
 #include "model/inbound_call.h"
-#include "platform/answer_facts.h"
+#include "platform/answer_metadata.h"
 #include "platform/forwarded_call.h"
 #include "wire/request.h"
 #include "wire/response.h"
--- a/src/libverbenalead/target/chunk_fetcher.h
+++ b/src/libverbenalead/target/chunk_fetcher.h
@@ -7,10 +7,10 @@
 #include <vector>
 
 #include "decide/transfer_limits.h"
-#include "links/chunk_news.h"
-#include "links/draw_news.h"
+#include "links/chunk_update.h"
+#include "links/origin_fetch_update.h"
 #include "platform/origin_client.h"
-#include "target/digest_learner.h"
+#include "target/digest_reader.h"
 #include "target/target_state.h"
 #include "wire/client.h"
 
--- a/src/libverbenalead/target/chunk_server.h
+++ b/src/libverbenalead/target/chunk_server.h
@@ -9,7 +9,7 @@
 #include "base/pacer.h"
 #include "platform/engine_client.h"
 #include "target/target_state.h"
-#include "target/upload_gate.h"
+#include "target/upload_admission.h"
 #include "wire/response_writer.h"
 
 namespace verbenalead::target {
--- a/src/libverbenalead/target/digest_learner.cc
+++ b/src/libverbenalead/target/digest_reader.cc
@@ -1,9 +1,9 @@
-#include "target/digest_learner.h"
+#include "target/digest_reader.h"
 
 #include <algorithm>
 
 #include "base/log.h"
-#include "decide/digest_readers.h"
+#include "decide/digest_read_order.h"
 #include "target/chunk_paths.h"
 #include "target/transfer_members.h"
 
--- a/src/libverbenalead/target/digest_learner.h
+++ b/src/libverbenalead/target/digest_reader.h
@@ -1,5 +1,5 @@
-#ifndef VERBENALEAD_TARGET_DIGEST_LEARNER_H_
-#define VERBENALEAD_TARGET_DIGEST_LEARNER_H_
+#ifndef VERBENALEAD_TARGET_DIGEST_READER_H_
+#define VERBENALEAD_TARGET_DIGEST_READER_H_
 
 #include <map>
 #include <optional>
@@ -53,4 +53,4 @@
 
 }  // namespace verbenalead::target
 
-#endif  // VERBENALEAD_TARGET_DIGEST_LEARNER_H_
+#endif  // VERBENALEAD_TARGET_DIGEST_READER_H_
--- a/src/libverbenalead/target/engine_keeper.cc
+++ b/src/libverbenalead/target/engine_controller.cc
@@ -1,4 +1,4 @@
-#include "target/engine_keeper.h"
+#include "target/engine_controller.h"
 
 #include <boost/asio/this_coro.hpp>
 #include <cmath>
--- a/src/libverbenalead/target/engine_keeper.h
+++ b/src/libverbenalead/target/engine_controller.h
@@ -1,11 +1,11 @@
-#ifndef VERBENALEAD_TARGET_ENGINE_KEEPER_H_
-#define VERBENALEAD_TARGET_ENGINE_KEEPER_H_
+#ifndef VERBENALEAD_TARGET_ENGINE_CONTROLLER_H_
+#define VERBENALEAD_TARGET_ENGINE_CONTROLLER_H_
 
 #include <functional>
 #include <optional>
 
 #include "decide/load_plan.h"
-#include "links/replica_news.h"
+#include "links/replica_update.h"
 #include "platform/engine_client.h"
 #include "target/chunk_fetcher.h"
 #include "target/chunk_stager.h"
@@ -90,4 +90,4 @@
 
 }  // namespace verbenalead::target
 
-#endif  // VERBENALEAD_TARGET_ENGINE_KEEPER_H_
+#endif  // VERBENALEAD_TARGET_ENGINE_CONTROLLER_H_
--- a/src/libverbenalead/target/entry_follower.h
+++ b/src/libverbenalead/target/entry_subscription.h
@@ -1,8 +1,8 @@
-#ifndef VERBENALEAD_TARGET_ENTRY_FOLLOWER_H_
-#define VERBENALEAD_TARGET_ENTRY_FOLLOWER_H_
+#ifndef VERBENALEAD_TARGET_ENTRY_SUBSCRIPTION_H_
+#define VERBENALEAD_TARGET_ENTRY_SUBSCRIPTION_H_
 
 #include "base/time.h"
-#include "links/replica_news.h"
+#include "links/replica_update.h"
 
 namespace verbenalead::target {
 
@@ -22,4 +22,4 @@
 
 }  // namespace verbenalead::target
 
-#endif  // VERBENALEAD_TARGET_ENTRY_FOLLOWER_H_
+#endif  // VERBENALEAD_TARGET_ENTRY_SUBSCRIPTION_H_
--- a/src/libverbenalead/target/platform_target.cc
+++ b/src/libverbenalead/target/platform_target.cc
@@ -11,13 +11,13 @@
 #include "base/spawn.h"
 #include "http/client.h"
 #include "http/server.h"
-#include "links/datagrams.h"
+#include "links/datagram_socket.h"
 #include "links/process_servers.h"
 #include "platform/store.h"
 #include "target/chunk_server.h"
-#include "target/engine_keeper.h"
-#include "target/place_granter.h"
+#include "target/engine_controller.h"
 #include "target/row_source.h"
+#include "target/slot_granter.h"
 #include "target/transfer_members.h"
 
 namespace verbenalead::target {
--- a/src/libverbenalead/target/row_source.h
+++ b/src/libverbenalead/target/row_source.h
@@ -3,9 +3,9 @@
 
 #include <vector>
 
-#include "decide/change_source.h"
-#include "links/follow_request.h"
+#include "decide/announcement_tracker.h"
 #include "links/relayed_rows.h"
+#include "links/subscription_request.h"
 #include "links/table_follower.h"
 #include "platform/store.h"
 #include "target/target_state.h"
--- a/src/libverbenalead/target/place_granter.cc
+++ b/src/libverbenalead/target/slot_granter.cc
@@ -1,4 +1,4 @@
-#include "target/place_granter.h"
+#include "target/slot_granter.h"
 
 namespace verbenalead::target {
 namespace {
--- a/src/libverbenalead/target/place_granter.h
+++ b/src/libverbenalead/target/slot_granter.h
@@ -1,12 +1,12 @@
-#ifndef VERBENALEAD_TARGET_PLACE_GRANTER_H_
-#define VERBENALEAD_TARGET_PLACE_GRANTER_H_
+#ifndef VERBENALEAD_TARGET_SLOT_GRANTER_H_
+#define VERBENALEAD_TARGET_SLOT_GRANTER_H_
 
 #include <functional>
 #include <map>
 
-#include "decide/place_queue.h"
-#include "links/datagrams.h"
-#include "target/entry_follower.h"
+#include "decide/slot_queue.h"
+#include "links/datagram_socket.h"
+#include "target/entry_subscription.h"
 #include "target/target_state.h"
 
 namespace verbenalead::target {
@@ -68,4 +68,4 @@
 
 }  // namespace verbenalead::target
 
-#endif  // VERBENALEAD_TARGET_PLACE_GRANTER_H_
+#endif  // VERBENALEAD_TARGET_SLOT_GRANTER_H_
--- a/src/libverbenalead/target/upload_gate.cc
+++ b/src/libverbenalead/target/upload_admission.cc
@@ -1,4 +1,4 @@
-#include "target/upload_gate.h"
+#include "target/upload_admission.h"
 
 #include <boost/asio/redirect_error.hpp>
 #include <boost/asio/this_coro.hpp>
--- a/src/libverbenalead/target/upload_gate.h
+++ b/src/libverbenalead/target/upload_admission.h
@@ -1,12 +1,12 @@
-#ifndef VERBENALEAD_TARGET_UPLOAD_GATE_H_
-#define VERBENALEAD_TARGET_UPLOAD_GATE_H_
+#ifndef VERBENALEAD_TARGET_UPLOAD_ADMISSION_H_
+#define VERBENALEAD_TARGET_UPLOAD_ADMISSION_H_
 
 #include <boost/asio/steady_timer.hpp>
 #include <map>
 #include <memory>
 
 #include "base/awaitable.h"
-#include "decide/upload_turns.h"
+#include "decide/upload_slots.h"
 
 namespace verbenalead::target {
 
@@ -40,4 +40,4 @@
 
 }  // namespace verbenalead::target
 
-#endif  // VERBENALEAD_TARGET_UPLOAD_GATE_H_
+#endif  // VERBENALEAD_TARGET_UPLOAD_ADMISSION_H_
--- a/src/libverbenalead/wire/cancel_when_gone.h
+++ b/src/libverbenalead/wire/cancel_on_disconnect.h
@@ -1,5 +1,5 @@
-#ifndef VERBENALEAD_WIRE_CANCEL_WHEN_GONE_H_
-#define VERBENALEAD_WIRE_CANCEL_WHEN_GONE_H_
+#ifndef VERBENALEAD_WIRE_CANCEL_ON_DISCONNECT_H_
+#define VERBENALEAD_WIRE_CANCEL_ON_DISCONNECT_H_
 
 #include "wire/response_reader.h"
 #include "wire/response_writer.h"
@@ -26,4 +26,4 @@
 
 }  // namespace verbenalead::wire
 
-#endif  // VERBENALEAD_WIRE_CANCEL_WHEN_GONE_H_
+#endif  // VERBENALEAD_WIRE_CANCEL_ON_DISCONNECT_H_
