--- a/src/libverbenalead/backends/engine.cc
+++ b/src/libverbenalead/backends/engine.cc
@@ -47,7 +47,7 @@
                                    {"version", order.m_version},
                                    {"digest", ToString(order.m_digest)},
                                    {"weights_url", order.m_weights_url},
-                                   {"fence", order.m_fence}});
+                                   {"fence", order.m_fencing_token}});
   auto response =
       co_await wire::Fetch(m_client, m_endpoint, std::move(request), deadline);
   if (!response)
@@ -72,7 +72,7 @@
   co_return CatchFailure([&] { return ReadStatus(response->m_body); });
 }
 
-Awaitable<void> Engine::WaitWhileConnected() {
+Awaitable<void> Engine::WaitForDisconnect() {
   boost::system::error_code error;
   const asio::ip::tcp::endpoint remote(
       asio::ip::make_address(m_endpoint.address(), error), m_endpoint.port());
--- a/src/libverbenalead/backends/engine.h
+++ b/src/libverbenalead/backends/engine.h
@@ -17,7 +17,7 @@
   std::string m_weights_url;
   /// Fencing token. An engine that checks it refuses an order with a lower
   /// token than the highest one that it has received.
-  uint64_t m_fence = 0;
+  uint64_t m_fencing_token = 0;
 };
 
 /// The model that an engine reports as loaded. The digest is empty if no model
@@ -47,7 +47,7 @@
   /// process ends, so the end is detected at once. Also returns if the engine
   /// closes the connection while it keeps running, or if the connection can't
   /// be made.
-  Awaitable<void> WaitWhileConnected();
+  Awaitable<void> WaitForDisconnect();
   /// Forwards a caller's request to the engine.
   Awaitable<AsyncResult<std::unique_ptr<wire::ResponseReader>>> Send(
       wire::Request request,
--- a/src/libverbenalead/base/loop_lag.h
+++ b/src/libverbenalead/base/loop_lag.h
@@ -20,16 +20,16 @@
 /// How long the worst lag is retained. It must exceed the time for which a call
 /// may receive no data, so that the log line of a call delayed by the lag still
 /// reports it.
-constexpr Duration kLagRemembered = 5s;
+constexpr Duration kLagRetention = 5s;
 
-/// Returns the worst lag recorded within the last kLagRemembered.
+/// Returns the worst lag recorded within the last kLagRetention.
 inline Duration WorstLag(const LoopLag& lag, TimePoint now) {
-  return now - lag.m_worst_at < kLagRemembered ? lag.m_worst : Duration();
+  return now - lag.m_worst_at < kLagRetention ? lag.m_worst : Duration();
 }
 
 /// Records that a timer fired `late` after it was due. Negative values count
 /// as 0.
-inline void NoteLag(LoopLag& lag, Duration late, TimePoint now) {
+inline void RecordLag(LoopLag& lag, Duration late, TimePoint now) {
   late = std::max(late, Duration());
   if (late >= WorstLag(lag, now))
     lag = {late, now};
--- a/src/libverbenalead/base/loop_lag_test.cc
+++ b/src/libverbenalead/base/loop_lag_test.cc
@@ -15,17 +15,17 @@
   void WorstLagExpires() {
     const TimePoint start{100s};
     LoopLag lag;
-    NoteLag(lag, 300ms, start);
-    NoteLag(lag, 2ms, start + 1s);
+    RecordLag(lag, 300ms, start);
+    RecordLag(lag, 2ms, start + 1s);
     CPPUNIT_ASSERT(WorstLag(lag, start + 1s) == Duration(300ms));
-    CPPUNIT_ASSERT(WorstLag(lag, start + kLagRemembered) == Duration());
-    NoteLag(lag, 2ms, start + kLagRemembered);
-    CPPUNIT_ASSERT(WorstLag(lag, start + kLagRemembered) == Duration(2ms));
+    CPPUNIT_ASSERT(WorstLag(lag, start + kLagRetention) == Duration());
+    RecordLag(lag, 2ms, start + kLagRetention);
+    CPPUNIT_ASSERT(WorstLag(lag, start + kLagRetention) == Duration(2ms));
   }
 
   void EarlyTimerCountsAsNoLag() {
     LoopLag lag;
-    NoteLag(lag, -1ms, TimePoint{100s});
+    RecordLag(lag, -1ms, TimePoint{100s});
     CPPUNIT_ASSERT(WorstLag(lag, TimePoint{100s}) == Duration());
   }
 };
--- a/src/libverbenalead/daemon/answer_checksum.cc
+++ b/src/libverbenalead/daemon/answer_checksum.cc
@@ -5,17 +5,17 @@
 
 namespace verbenalead::daemon {
 
-void AnswerCheck::Add(const std::string& piece) {
+void AnswerChecksum::Add(const std::string& piece) {
   m_hasher.Update(piece);
   m_length += piece.size();
 }
 
-void AnswerCheck::Fill(wire::Headers& trailers) {
+void AnswerChecksum::Fill(wire::Headers& trailers) {
   trailers[peer::kLength] = std::to_string(m_length);
   trailers[peer::kSha256] = ToString(m_hasher.Finish());
 }
 
-bool AnswerCheck::Agrees(const wire::Headers& trailers) {
+bool AnswerChecksum::MatchesTrailers(const wire::Headers& trailers) {
   return wire::Get(trailers, peer::kLength) == std::to_string(m_length) &&
          wire::Get(trailers, peer::kSha256) == ToString(m_hasher.Finish());
 }
--- a/src/libverbenalead/daemon/answer_checksum.h
+++ b/src/libverbenalead/daemon/answer_checksum.h
@@ -13,7 +13,7 @@
 /// streamed. The target sends both in the trailers, and the entry compares them
 /// with what it received. Without this check an answer that lost, duplicated or
 /// reordered bytes between the two could reach a caller as a complete answer.
-class AnswerCheck {
+class AnswerChecksum {
  public:
   void Add(const std::string& piece);
   /// Writes length and digest of the added pieces to `trailers`. To be called
@@ -21,7 +21,7 @@
   void Fill(wire::Headers& trailers);
   /// True if length and digest of the added pieces are those in `trailers`. To
   /// be called once, at the end of the answer.
-  bool Agrees(const wire::Headers& trailers);
+  bool MatchesTrailers(const wire::Headers& trailers);
   uint64_t length() const { return m_length; }
 
  private:
--- a/src/libverbenalead/daemon/attempt_runner.cc
+++ b/src/libverbenalead/daemon/attempt_runner.cc
@@ -28,7 +28,7 @@
                                  const decide::Placement& placement,
                                  uint32_t number,
                                  wire::Request request) {
-  wire::Headers headers = PassedRequestHeaders(request.m_headers);
+  wire::Headers headers = ForwardedRequestHeaders(request.m_headers);
   if (!call.idempotent())
     headers["idempotency-key"] = call.idempotency_key();
   headers[peer::kPath] = request.m_path;
@@ -53,7 +53,8 @@
                                   const model::Call& call,
                                   const decide::Placement& placement,
                                   uint32_t number) {
-  wire::ResponseHead out{head.m_status, PassedResponseHeaders(head.m_headers)};
+  wire::ResponseHead out{head.m_status,
+                         ForwardedResponseHeaders(head.m_headers)};
   out.m_headers[peer::kRequestId] = call.id();
   out.m_headers[peer::kTarget] = placement.m_target;
   out.m_headers[peer::kVersion] = wire::Get(head.m_headers, peer::kVersion);
@@ -90,19 +91,19 @@
   decide::Placement m_placement;
   uint32_t m_number = 0;
   wire::ResponseWriter& m_writer;
-  decide::AttemptEvidence m_evidence;
+  decide::AttemptObservations m_evidence;
   AttemptReport m_report;
   wire::ResponseHead m_forwarded_head;
   bool m_streamed = false;
   bool m_caller_connected = true;
   std::string m_buffered_body;
-  AnswerCheck m_check;
+  AnswerChecksum m_check;
 
   /// Nothing more can be sent to a caller that has disconnected. Marking the
   /// answer as begun prevents a retry.
   void RecordCallerGone() {
     m_caller_connected = false;
-    m_report.m_answer_begun = true;
+    m_report.m_answer_started = true;
     m_report.m_reason = kCallerGone;
   }
 };
@@ -127,7 +128,7 @@
     // Only kUnreachable guarantees that no byte was sent.
     attempt.m_evidence.m_sent =
         opened.error().m_code != FailureCode::kUnreachable;
-    NoteLoss(attempt, opened.error());
+    RecordTransportFailure(attempt, opened.error());
   }
   if (!attempt.m_caller_connected && call.idempotent())
     co_return std::move(attempt.m_report);
@@ -135,32 +136,35 @@
   // make the attempt void: the reply would arrive after the caller has stopped
   // waiting.
   const bool in_time = Now() < call.deadline();
-  if (decide::NeedsVoid(attempt.m_evidence) && (in_time || !call.idempotent()))
+  if (decide::NeedsVoidRequest(attempt.m_evidence) &&
+      (in_time || !call.idempotent()))
     attempt.m_evidence.m_void = co_await MakeVoid(attempt);
   attempt.m_report.m_end = decide::Judge(attempt.m_evidence);
   co_await BreakOff(attempt);
   co_return std::move(attempt.m_report);
 }
 
-void AttemptRunner::NoteLoss(Attempt& attempt, const Failure& failure) {
+void AttemptRunner::RecordTransportFailure(Attempt& attempt,
+                                           const Failure& failure) {
   if (failure.m_code == FailureCode::kCancelled) {
     attempt.RecordCallerGone();
     return;
   }
   attempt.m_report.m_reason = ToString(failure);
-  attempt.m_report.m_broken = true;
+  attempt.m_report.m_target_faulty = true;
 }
 
 Awaitable<void> AttemptRunner::ReadAnswer(wire::ResponseReader& reader,
                                           Attempt& attempt) {
   // A non-idempotent call continues after its caller has disconnected: its
   // outcome is recorded for a later call with the same idempotency key.
-  std::unique_ptr<wire::CancelWhenGone> cancel;
+  std::unique_ptr<wire::CancelOnDisconnect> cancel;
   if (attempt.m_call.idempotent())
-    cancel = std::make_unique<wire::CancelWhenGone>(attempt.m_writer, reader);
+    cancel =
+        std::make_unique<wire::CancelOnDisconnect>(attempt.m_writer, reader);
   auto head = co_await reader.ReadHead(attempt.m_call.deadline());
   if (!head) {
-    NoteLoss(attempt, head.error());
+    RecordTransportFailure(attempt, head.error());
     co_return;
   }
   if (!IsAnswerTo(*head, attempt.m_call, attempt.m_number)) {
@@ -171,7 +175,7 @@
         .With("reason", "response belongs to another attempt")
         .Warn();
     attempt.m_report.m_reason = "answer_mismatch";
-    attempt.m_report.m_broken = true;
+    attempt.m_report.m_target_faulty = true;
     co_return;
   }
   const std::string running = wire::Get(head->m_headers, peer::kRunning);
@@ -184,34 +188,34 @@
     attempt.m_report.m_reason = wire::Get(head->m_headers, peer::kReason);
     co_return;
   }
-  attempt.m_evidence.m_entered = true;
+  attempt.m_evidence.m_was_admitted = true;
   attempt.m_report.m_version = wire::Get(head->m_headers, peer::kVersion);
   attempt.m_forwarded_head = MakeCallerHead(
       *head, attempt.m_call, attempt.m_placement, attempt.m_number);
   attempt.m_streamed =
       wire::Get(head->m_headers, "content-type").starts_with(kEventStream);
-  if (co_await ReadPieces(reader, attempt))
-    JudgeEnd(reader.trailers(), attempt);
+  if (co_await ReadAnswerBody(reader, attempt))
+    EvaluateEnd(reader.trailers(), attempt);
 }
 
-Awaitable<bool> AttemptRunner::ReadPieces(wire::ResponseReader& reader,
-                                          Attempt& attempt) {
+Awaitable<bool> AttemptRunner::ReadAnswerBody(wire::ResponseReader& reader,
+                                              Attempt& attempt) {
   while (true) {
     auto piece = co_await reader.ReadBody(attempt.m_call.deadline());
     if (!piece) {
-      NoteLoss(attempt, piece.error());
+      RecordTransportFailure(attempt, piece.error());
       co_return false;
     }
     if (!piece->has_value())
       co_return true;
     attempt.m_check.Add(**piece);
     if (attempt.m_streamed) {
-      co_await PassOn(std::move(**piece), attempt);
+      co_await ForwardAnswer(std::move(**piece), attempt);
       if (!attempt.m_caller_connected && attempt.m_call.idempotent())
         co_return false;
     } else if (attempt.m_buffered_body.size() + (*piece)->size() >
                kMaxBufferedAnswer) {
-      attempt.m_evidence.m_ended_badly = true;
+      attempt.m_evidence.m_reported_failure = true;
       attempt.m_report.m_reason = "the answer is too long";
       co_return false;
     } else {
@@ -220,31 +224,33 @@
   }
 }
 
-Awaitable<void> AttemptRunner::PassOn(std::string piece, Attempt& attempt) {
+Awaitable<void> AttemptRunner::ForwardAnswer(std::string piece,
+                                             Attempt& attempt) {
   if (!attempt.m_caller_connected)
     co_return;
   bool connected = true;
-  if (!attempt.m_report.m_answer_begun)
+  if (!attempt.m_report.m_answer_started)
     connected = co_await attempt.m_writer.Start(attempt.m_forwarded_head);
-  attempt.m_report.m_answer_begun = true;
+  attempt.m_report.m_answer_started = true;
   if (connected)
     connected = co_await attempt.m_writer.Write(std::move(piece));
   if (!connected)
     attempt.RecordCallerGone();
 }
 
-void AttemptRunner::JudgeEnd(const wire::Headers& trailers, Attempt& attempt) {
+void AttemptRunner::EvaluateEnd(const wire::Headers& trailers,
+                                Attempt& attempt) {
   AttemptReport& report = attempt.m_report;
   if (wire::Get(trailers, peer::kOutcome) != "completed") {
-    attempt.m_evidence.m_ended_badly = true;
+    attempt.m_evidence.m_reported_failure = true;
     report.m_reason = wire::Get(trailers, peer::kReason);
     return;
   }
-  attempt.m_evidence.m_ended_well = true;
-  attempt.m_evidence.m_whole = attempt.m_check.Agrees(trailers);
+  attempt.m_evidence.m_reported_success = true;
+  attempt.m_evidence.m_whole = attempt.m_check.MatchesTrailers(trailers);
   if (!attempt.m_evidence.m_whole) {
     report.m_reason = "the answer's length or digest is wrong";
-    report.m_broken = true;
+    report.m_target_faulty = true;
     return;
   }
   report.m_answer = {attempt.m_forwarded_head.m_status,
@@ -254,7 +260,7 @@
 
 Awaitable<void> AttemptRunner::BreakOff(Attempt& attempt) {
   const AttemptReport& report = attempt.m_report;
-  if (!report.m_answer_begun || !attempt.m_caller_connected ||
+  if (!report.m_answer_started || !attempt.m_caller_connected ||
       report.m_end == AttemptEnd::kCompleted)
     co_return;
   std::string event = MakeErrorEvent(report, attempt.m_call);
--- a/src/libverbenalead/daemon/attempt_runner.h
+++ b/src/libverbenalead/daemon/attempt_runner.h
@@ -16,16 +16,16 @@
 
 /// How one attempt at a target ended.
 struct AttemptReport {
-  decide::AttemptEnd m_end = decide::AttemptEnd::kDoubtful;
+  decide::AttemptEnd m_end = decide::AttemptEnd::kInDoubt;
   std::string m_reason;
   /// The model version that produced the answer, as the target reported it.
   std::string m_version;
   /// A part of the answer has been sent to the caller, so that a retry is not
   /// possible.
-  bool m_answer_begun = false;
+  bool m_answer_started = false;
   /// The connection failed, or the answer timed out or was inconsistent. The
   /// target is to be avoided for a while.
-  bool m_broken = false;
+  bool m_target_faulty = false;
   /// Attempts running at the target, if the response contained the number.
   std::optional<uint32_t> m_running;
   /// The complete answer, if it was not streamed.
@@ -53,8 +53,9 @@
 
   Awaitable<void> ReadAnswer(wire::ResponseReader& reader, Attempt& attempt);
   /// Returns false if the answer ended early.
-  Awaitable<bool> ReadPieces(wire::ResponseReader& reader, Attempt& attempt);
-  Awaitable<void> PassOn(std::string piece, Attempt& attempt);
+  Awaitable<bool> ReadAnswerBody(wire::ResponseReader& reader,
+                                 Attempt& attempt);
+  Awaitable<void> ForwardAnswer(std::string piece, Attempt& attempt);
   /// Writes an error event with the outcome to a stream that is cut short. The
   /// terminator of the chunked encoding is not sent, so that the caller can't
   /// take the stream for complete.
@@ -62,8 +63,8 @@
   /// After an attempt that may or may not have started: requests that the
   /// target make it void, over a working connection.
   Awaitable<decide::VoidReply> MakeVoid(const Attempt& attempt);
-  static void NoteLoss(Attempt& attempt, const Failure& failure);
-  static void JudgeEnd(const wire::Headers& trailers, Attempt& attempt);
+  static void RecordTransportFailure(Attempt& attempt, const Failure& failure);
+  static void EvaluateEnd(const wire::Headers& trailers, Attempt& attempt);
 
   wire::Client& m_peers;
 };
--- a/src/libverbenalead/daemon/attempt_server.cc
+++ b/src/libverbenalead/daemon/attempt_server.cc
@@ -41,7 +41,7 @@
   forwarded.m_method = wire::Get(request.m_headers, peer::kMethod);
   forwarded.m_path = wire::Get(request.m_headers, peer::kPath);
   forwarded.m_body = request.m_body;
-  forwarded.m_headers = PassedRequestHeaders(request.m_headers);
+  forwarded.m_headers = ForwardedRequestHeaders(request.m_headers);
   for (const char* name : {peer::kRequestId, peer::kOrganisation})
     forwarded.m_headers[name] = wire::Get(request.m_headers, name);
   return forwarded;
@@ -79,7 +79,7 @@
 }  // namespace
 
 /// An attempt that the gate admitted, with the engine's version at that time.
-struct AttemptServer::Entered {
+struct AttemptServer::AdmittedAttempt {
   decide::Attempt m_attempt;
   /// The request ID, for the journal.
   std::string m_request;
@@ -106,9 +106,9 @@
   const std::string request_id = wire::Get(request.m_headers, peer::kRequestId);
   const uint64_t incarnation = NumberIn(request.m_headers, peer::kIncarnation);
   const Digest wanted = DigestIn(request.m_headers);
-  Entered admitted;
+  AdmittedAttempt admitted;
   bool over_max_running = false;
-  const decide::EnterResult result = m_gate.With([&](decide::GateState& gate) {
+  const decide::AdmitResult result = m_gate.With([&](decide::GateState& gate) {
     admitted = {attempt,
                 request_id,
                 gate.m_generation,
@@ -121,19 +121,19 @@
                        gate.m_running > MaxRunningOf(request);
     if (over_max_running) {
       decide::VoidAttempt(gate, attempt, Now());
-      return decide::EnterResult::kFull;
+      return decide::AdmitResult::kFull;
     }
-    return decide::EnterOnce(gate, attempt, incarnation, wanted, Now());
+    return decide::AdmitOrVoid(gate, attempt, incarnation, wanted, Now());
   });
-  if (result == decide::EnterResult::kRepeated) {
+  if (result == decide::AdmitResult::kDuplicate) {
     // A duplicate message. The first one is answered on its own stream. This
     // one gets no answer: a refusal would mean "not run" to the entry.
     LogLine("attempt_repeated").With("request", request_id).Warn();
     co_return;
   }
-  if (result != decide::EnterResult::kEntered) {
+  if (result != decide::AdmitResult::kAdmitted) {
     const std::string reason =
-        over_max_running ? peer::kBusier : ToString(result);
+        over_max_running ? peer::kAboveMaxRunning : ToString(result);
     co_await Refuse(admitted, reason, writer);
     co_return;
   }
@@ -150,7 +150,7 @@
   });
 }
 
-Awaitable<void> AttemptServer::Refuse(Entered admitted,
+Awaitable<void> AttemptServer::Refuse(AdmittedAttempt admitted,
                                       std::string reason,
                                       wire::ResponseWriter& writer) {
   m_journal.Record(admitted.m_request,
@@ -167,7 +167,7 @@
   co_await writer.Send(std::move(response));
 }
 
-Awaitable<void> AttemptServer::Forward(Entered admitted,
+Awaitable<void> AttemptServer::Forward(AdmittedAttempt admitted,
                                        wire::Request request,
                                        wire::ResponseWriter& writer) {
   const auto wait =
@@ -181,9 +181,9 @@
   }
   // A non-idempotent call is not cancelled when the entry disconnects: its
   // effect could be left half done.
-  std::unique_ptr<wire::CancelWhenGone> cancel;
+  std::unique_ptr<wire::CancelOnDisconnect> cancel;
   if (opened && admitted.m_idempotent)
-    cancel = std::make_unique<wire::CancelWhenGone>(writer, **opened);
+    cancel = std::make_unique<wire::CancelOnDisconnect>(writer, **opened);
   AsyncResult<wire::ResponseHead> head = wire::ResponseHead();
   if (opened)
     head = co_await (*opened)->ReadHead(deadline);
@@ -202,25 +202,26 @@
     co_await writer.Finish(std::move(trailers));
     co_return;
   }
-  co_await PassOn(admitted, **opened, std::move(*head), writer);
+  co_await ForwardAnswer(admitted, **opened, std::move(*head), writer);
 }
 
-bool AttemptServer::Passes(const Entered& admitted, const Digest& reported) {
+bool AttemptServer::Passes(const AdmittedAttempt& admitted,
+                           const Digest& reported) {
   return m_gate.With([&](decide::GateState& gate) {
     return decide::MayPass(gate, admitted.m_generation, reported);
   });
 }
 
-Awaitable<void> AttemptServer::PassOn(Entered admitted,
-                                      wire::ResponseReader& reader,
-                                      wire::ResponseHead head,
-                                      wire::ResponseWriter& writer) {
+Awaitable<void> AttemptServer::ForwardAnswer(AdmittedAttempt admitted,
+                                             wire::ResponseReader& reader,
+                                             wire::ResponseHead head,
+                                             wire::ResponseWriter& writer) {
   const Digest reported = DigestIn(head.m_headers);
   // An error response of the engine doesn't depend on the weights, so it passes
   // without a version.
   const bool exempt = reported.empty() && head.m_status >= kFirstErrorStatus;
   wire::ResponseHead forwarded{head.m_status,
-                               PassedResponseHeaders(head.m_headers)};
+                               ForwardedResponseHeaders(head.m_headers)};
   SetAttemptHeaders(admitted.m_attempt, forwarded.m_headers);
   forwarded.m_headers[peer::kOutcome] = "ran";
   forwarded.m_headers[peer::kTarget] = m_host;
@@ -228,7 +229,7 @@
   forwarded.m_headers[peer::kDigest] = ToString(reported);
   forwarded.m_headers[peer::kVersion] = ToString(reported);
   bool alive = co_await writer.Start(std::move(forwarded));
-  AnswerCheck check;
+  AnswerChecksum check;
   std::string reason;
   // The answer to a non-idempotent call is read to its end even if the entry
   // has disconnected.
@@ -271,7 +272,7 @@
   const std::string request_id = wire::Get(request.m_headers, peer::kRequestId);
   const uint64_t incarnation = NumberIn(request.m_headers, peer::kIncarnation);
   const bool never_started = m_gate.With([&](decide::GateState& gate) {
-    return decide::AnswerVoid(gate, attempt, incarnation, Now()) ==
+    return decide::HandleVoidRequest(gate, attempt, incarnation, Now()) ==
            decide::VoidReply::kNeverStarted;
   });
   m_journal.Record(request_id, LogLine("void_attempt")
--- a/src/libverbenalead/daemon/attempt_server.h
+++ b/src/libverbenalead/daemon/attempt_server.h
@@ -18,7 +18,7 @@
 class AttemptServer {
  public:
   AttemptServer(std::string host,
-                GateKeeper& gate,
+                GuardedGate& gate,
                 backends::Engine& engine,
                 Journal& journal)
       : m_host(std::move(host)),
@@ -35,24 +35,24 @@
   wire::Response MakeVoid(const wire::Request& request);
 
  private:
-  struct Entered;
+  struct AdmittedAttempt;
 
   Awaitable<void> ServeAttempt(wire::Request request,
                                wire::ResponseWriter& writer);
-  Awaitable<void> Forward(Entered admitted,
+  Awaitable<void> Forward(AdmittedAttempt admitted,
                           wire::Request request,
                           wire::ResponseWriter& writer);
-  Awaitable<void> PassOn(Entered admitted,
-                         wire::ResponseReader& reader,
-                         wire::ResponseHead head,
-                         wire::ResponseWriter& writer);
-  Awaitable<void> Refuse(Entered admitted,
+  Awaitable<void> ForwardAnswer(AdmittedAttempt admitted,
+                                wire::ResponseReader& reader,
+                                wire::ResponseHead head,
+                                wire::ResponseWriter& writer);
+  Awaitable<void> Refuse(AdmittedAttempt admitted,
                          std::string reason,
                          wire::ResponseWriter& writer);
-  bool Passes(const Entered& admitted, const Digest& reported);
+  bool Passes(const AdmittedAttempt& admitted, const Digest& reported);
 
   const std::string m_host;
-  GateKeeper& m_gate;
+  GuardedGate& m_gate;
   backends::Engine& m_engine;
   Journal& m_journal;
   std::atomic<int> m_serving{0};
--- a/src/libverbenalead/daemon/attempt_server_test.cc
+++ b/src/libverbenalead/daemon/attempt_server_test.cc
@@ -46,7 +46,7 @@
  private:
   wire::RecordingWriter Serve(Duration time_left, const std::string& key) {
     m_client.m_body_deadlines.clear();
-    GateKeeper gate(1, 4);
+    GuardedGate gate(1, 4);
     gate.With([](decide::GateState& state) {
       state.m_open = true;
       return 0;
--- a/src/libverbenalead/daemon/claim_store.cc
+++ b/src/libverbenalead/daemon/claim_store.cc
@@ -22,7 +22,7 @@
 
 using decide::ClaimAction;
 using decide::ClaimEnd;
-using decide::ClaimWork;
+using decide::ClaimOperation;
 
 namespace {
 
@@ -40,7 +40,7 @@
 /// Claims need no wait limit: the batch ends each claim by its deadline and
 /// makes sure that a late write of the claim has no effect.
 constexpr Duration kNoLimit = std::chrono::hours(1);
-constexpr size_t kEntriesAtStart = 8;
+constexpr size_t kInitialEntries = 8;
 
 std::string KeyOf(const model::Call& call) {
   return call.organisation() + "/" + call.idempotency_key();
@@ -109,25 +109,25 @@
 }  // namespace
 
 /// A coroutine that waits, on its own thread, for the result of an operation.
-struct ClaimKeeper::Waiter {
+struct ClaimStore::Waiter {
   explicit Waiter(const asio::any_io_executor& executor) : m_event(executor) {}
 
   asio::steady_timer m_event;
   std::optional<ClaimAction> m_end;
 };
 
-ClaimKeeper::ClaimKeeper(backends::Table& table) : m_table(table) {
-  SetEntries(kEntriesAtStart);
+ClaimStore::ClaimStore(backends::Table& table) : m_table(table) {
+  SetEntryCount(kInitialEntries);
 }
 
-ClaimKeeper::~ClaimKeeper() = default;
+ClaimStore::~ClaimStore() = default;
 
-void ClaimKeeper::SetEntries(size_t entries) {
+void ClaimStore::SetEntryCount(size_t entries) {
   std::lock_guard lock(m_mutex);
   m_batch.m_interval = decide::GroupInterval(entries);
 }
 
-Awaitable<ClaimResult> ClaimKeeper::Claim(model::Call call) {
+Awaitable<ClaimResult> ClaimStore::Claim(model::Call call) {
   const uint64_t writer = NewWriter();
   const TimePoint deadline = std::min(call.deadline(), Now() + kClaimTimeout);
   const ClaimAction end = co_await Await(
@@ -135,26 +135,26 @@
   co_return ResultOf(end, writer);
 }
 
-Awaitable<bool> ClaimKeeper::Record(model::Call call,
-                                    uint64_t writer,
-                                    RecordedAnswer answer) {
+Awaitable<bool> ClaimStore::Record(model::Call call,
+                                   uint64_t writer,
+                                   RecordedAnswer answer) {
   const ClaimAction end = co_await Await(
-      decide::MakeEnd(ClaimWork::Kind::kRecord, KeyOf(call), writer,
-                      ToJson(answer), Now() + kEndTimeout),
+      decide::MakeClaimEnd(ClaimOperation::Kind::kRecord, KeyOf(call), writer,
+                           ToJson(answer), Now() + kEndTimeout),
       kEndWaitLimit);
   co_return end.m_end == ClaimEnd::kDone;
 }
 
-Awaitable<bool> ClaimKeeper::Release(model::Call call, uint64_t writer) {
-  const ClaimAction end =
-      co_await Await(decide::MakeEnd(ClaimWork::Kind::kRelease, KeyOf(call),
-                                     writer, call.id(), Now() + kEndTimeout),
-                     kEndWaitLimit);
+Awaitable<bool> ClaimStore::Release(model::Call call, uint64_t writer) {
+  const ClaimAction end = co_await Await(
+      decide::MakeClaimEnd(ClaimOperation::Kind::kRelease, KeyOf(call), writer,
+                           call.id(), Now() + kEndTimeout),
+      kEndWaitLimit);
   co_return end.m_end == ClaimEnd::kDone;
 }
 
-Awaitable<ClaimAction> ClaimKeeper::Await(ClaimWork operation,
-                                          Duration wait_limit) {
+Awaitable<ClaimAction> ClaimStore::Await(ClaimOperation operation,
+                                         Duration wait_limit) {
   const auto executor = co_await asio::this_coro::executor;
   auto waiter = std::make_shared<Waiter>(executor);
   waiter->m_event.expires_after(wait_limit);
@@ -181,8 +181,8 @@
   co_return timed_out;
 }
 
-void ClaimKeeper::Perform(const asio::any_io_executor& executor,
-                          std::vector<ClaimAction> actions) {
+void ClaimStore::Perform(const asio::any_io_executor& executor,
+                         std::vector<ClaimAction> actions) {
   for (ClaimAction& action : actions) {
     switch (action.m_kind) {
       case ClaimAction::Kind::kTransact:
@@ -191,17 +191,17 @@
       case ClaimAction::Kind::kRead:
         Spawn(executor, Read(std::move(action)), "read");
         break;
-      case ClaimAction::Kind::kWake:
-        WakeAt(executor, action.m_at);
+      case ClaimAction::Kind::kScheduleTick:
+        ScheduleTickAt(executor, action.m_at);
         break;
-      case ClaimAction::Kind::kSettle:
+      case ClaimAction::Kind::kReportResult:
         Deliver(std::move(action));
         break;
     }
   }
 }
 
-void ClaimKeeper::Deliver(ClaimAction action) {
+void ClaimStore::Deliver(ClaimAction action) {
   std::lock_guard lock(m_mutex);
   auto found = m_waiters.extract(action.m_id);
   if (found.empty())
@@ -213,29 +213,30 @@
   });
 }
 
-void ClaimKeeper::WakeAt(const asio::any_io_executor& executor, TimePoint at) {
+void ClaimStore::ScheduleTickAt(const asio::any_io_executor& executor,
+                                TimePoint at) {
   {
     std::lock_guard lock(m_mutex);
-    if (m_wake_at <= at)
+    if (m_tick_at <= at)
       return;
-    m_wake_at = at;
+    m_tick_at = at;
   }
   Spawn(executor, Wake(at), "wake");
 }
 
-Awaitable<void> ClaimKeeper::Wake(TimePoint at) {
+Awaitable<void> ClaimStore::Wake(TimePoint at) {
   co_await Sleep(at - Now());
   std::vector<ClaimAction> actions;
   {
     std::lock_guard lock(m_mutex);
-    if (m_wake_at == at)
-      m_wake_at = TimePoint::max();
+    if (m_tick_at == at)
+      m_tick_at = TimePoint::max();
     actions = decide::Tick(m_batch, Now());
   }
   Perform(co_await asio::this_coro::executor, std::move(actions));
 }
 
-Awaitable<void> ClaimKeeper::Transact(ClaimAction action) {
+Awaitable<void> ClaimStore::Transact(ClaimAction action) {
   auto done = co_await m_table.Transact(WritesOf(action.m_puts));
   LogLine line("claim_group");
   line.With("writes", uint64_t{action.m_puts.size()});
@@ -252,7 +253,7 @@
   Perform(co_await asio::this_coro::executor, std::move(actions));
 }
 
-Awaitable<void> ClaimKeeper::Read(ClaimAction action) {
+Awaitable<void> ClaimStore::Read(ClaimAction action) {
   auto item = co_await m_table.Get(kPartition, action.m_key);
   std::vector<ClaimAction> actions;
   {
--- a/src/libverbenalead/daemon/claim_store.h
+++ b/src/libverbenalead/daemon/claim_store.h
@@ -19,14 +19,14 @@
 /// the same key runs at most once. Executes the actions that
 /// decide::ClaimBatchState yields: group commits, reads and timers. May be used
 /// from several threads.
-class ClaimKeeper {
+class ClaimStore {
  public:
-  explicit ClaimKeeper(backends::Table& table);
-  ~ClaimKeeper();
+  explicit ClaimStore(backends::Table& table);
+  ~ClaimStore();
 
   /// Sets the number of entries that share the table's write capacity; it
   /// determines how often this entry may write a group of claims.
-  void SetEntries(size_t entries);
+  void SetEntryCount(size_t entries);
 
   Awaitable<ClaimResult> Claim(model::Call call);
   /// Records the outcome of the call that `writer` claimed. Returns false if
@@ -44,14 +44,15 @@
 
   /// Submits `operation` and waits for its result for up to `wait_limit`;
   /// after that the result is kUnavailable.
-  Awaitable<decide::ClaimAction> Await(decide::ClaimWork operation,
+  Awaitable<decide::ClaimAction> Await(decide::ClaimOperation operation,
                                        Duration wait_limit);
   /// Executes `actions`. The caller must not hold m_mutex.
   void Perform(const boost::asio::any_io_executor& executor,
                std::vector<decide::ClaimAction> actions);
   /// Passes the result of an operation to the coroutine that waits for it.
   void Deliver(decide::ClaimAction action);
-  void WakeAt(const boost::asio::any_io_executor& executor, TimePoint at);
+  void ScheduleTickAt(const boost::asio::any_io_executor& executor,
+                      TimePoint at);
   Awaitable<void> Transact(decide::ClaimAction action);
   Awaitable<void> Read(decide::ClaimAction action);
   Awaitable<void> Wake(TimePoint at);
@@ -61,7 +62,7 @@
   decide::ClaimBatchState m_batch;
   std::map<uint64_t, std::shared_ptr<Waiter>> m_waiters;
   /// Time of the earliest scheduled Wake(); TimePoint::max() if there is none.
-  TimePoint m_wake_at = TimePoint::max();
+  TimePoint m_tick_at = TimePoint::max();
 };
 
 }  // namespace verbenalead::daemon
--- a/src/libverbenalead/daemon/config_capacity_bench.cc
+++ b/src/libverbenalead/daemon/config_capacity_bench.cc
@@ -53,16 +53,18 @@
 
 void MeasureConfig(size_t resources) {
   const size_t before = HeapBytes();
-  daemon::ConfigKeeper keeper(nullptr);
+  daemon::ConfigStore keeper(nullptr);
   uint64_t revision = 0;
   while (revision < resources)
-    keeper.Offer({ChangeOf(++revision, resources)});
+    keeper.ApplyChanges({ChangeOf(++revision, resources)});
   const size_t state = HeapBytes() - before;
-  const double apply =
-      Cost(200, [&](int) { keeper.Offer({ChangeOf(++revision, resources)}); });
-  const std::string message = daemon::ConfigSince(keeper, revision - 1);
-  const double send =
-      Cost(2000, [&](int) { daemon::ConfigSince(keeper, revision - 1); });
+  const double apply = Cost(200, [&](int) {
+    keeper.ApplyChanges({ChangeOf(++revision, resources)});
+  });
+  const std::string message =
+      daemon::SerialiseConfigAfter(keeper, revision - 1);
+  const double send = Cost(
+      2000, [&](int) { daemon::SerialiseConfigAfter(keeper, revision - 1); });
   fmt::print(
       "bench=capacity role=all what=config resources={} state_bytes={} "
       "apply_us={:.1f} message_us={:.1f} message_bytes={} whole_bytes={}\n",
@@ -86,15 +88,15 @@
 void MeasureMembers(size_t entries, size_t targets) {
   const auto hosts = Hosts(entries, targets);
   const size_t before = HeapBytes();
-  decide::MembersState state;
+  decide::TargetWatchState state;
   state.m_self = hosts[0].name();
   state.m_region = hosts[0].region();
   decide::SetHosts(state, hosts);
-  const size_t watched = decide::Watched(state, TimePoint()).size();
+  const size_t watched = decide::TargetsToWatch(state, TimePoint()).size();
   const size_t bytes = HeapBytes() - before;
   const double list = Cost(20, [&](int) { decide::SetHosts(state, hosts); });
   const double choose =
-      Cost(20, [&](int) { decide::Watched(state, TimePoint()); });
+      Cost(20, [&](int) { decide::TargetsToWatch(state, TimePoint()); });
   fmt::print(
       "bench=capacity role=entry what=members entries={} targets={} "
       "watched={} state_bytes={} list_us={:.0f} choose_us={:.0f}\n",
@@ -115,7 +117,7 @@
 
 void MeasurePlacement(size_t targets) {
   const size_t before = HeapBytes();
-  decide::PlaceState state;
+  decide::TargetSelectionState state;
   for (size_t i = 0; i < targets; ++i)
     decide::Report(state, ReportOf(i), TimePoint());
   const size_t bytes = HeapBytes() - before;
--- a/src/libverbenalead/daemon/config_follower.cc
+++ b/src/libverbenalead/daemon/config_follower.cc
@@ -55,18 +55,18 @@
 /// Progress of the pushes of one change. All pushes run on one thread.
 struct PushProgress {
   size_t m_open = 0;
-  size_t m_confirmed = 0;
+  size_t m_permit_confirmed = 0;
 };
 
 Awaitable<void> PushTo(std::shared_ptr<PushProgress> progress,
-                       const ConfigKeeper& config,
+                       const ConfigStore& config,
                        wire::Client& peers,
                        Endpoint endpoint,
                        uint64_t revision) {
   auto pushed = co_await PushConfig(config, peers, std::move(endpoint),
                                     revision, Now() + kReplicateTimeout);
   if (pushed)
-    ++progress->m_confirmed;
+    ++progress->m_permit_confirmed;
   else
     LogLine("config_push_failed").With(pushed.error()).Debug();
   --progress->m_open;
@@ -92,14 +92,14 @@
          static_cast<size_t>(std::count(ranked.begin(), ranked.end(), m_self));
 }
 
-void ConfigFollower::HeardFrom(uint64_t revision) {
-  m_config.Hear(revision);
-  m_heard_at = Now().time_since_epoch().count();
+void ConfigFollower::RecordContact(uint64_t revision) {
+  m_config.RecordObservedRevision(revision);
+  m_last_seen_at = Now().time_since_epoch().count();
 }
 
 bool ConfigFollower::ready() const {
-  const TimePoint last_contact{TimePoint::duration(m_heard_at.load())};
-  if (!m_learned)
+  const TimePoint last_contact{TimePoint::duration(m_last_seen_at.load())};
+  if (!m_initialised)
     return false;
   // Called for each request, so the host list, which needs a lock and a copy,
   // is read only if the outcome depends on it.
@@ -110,11 +110,11 @@
   return m_role == model::HostRole::kEntry && OtherEntries() == 0;
 }
 
-Awaitable<size_t> ConfigFollower::LearnFromPeers() {
+Awaitable<size_t> ConfigFollower::FetchInitialConfig() {
   // Collects the answers separately first: the configuration of a single peer
   // may be old, and a restarted process must not apply an older revision than
   // before its restart.
-  ConfigKeeper learned(nullptr);
+  ConfigStore learned(nullptr);
   size_t answers = 0;
   size_t contacted = 0;
   for (const std::string& entry : Ranked()) {
@@ -136,7 +136,7 @@
           ? kPeersRequired
           : std::min(kPeersRequired, std::max<size_t>(contacted, 1));
   if (answers >= required)
-    m_config.OfferState(*learned.current());
+    m_config.ApplyState(*learned.current());
   co_return answers >= required ? answers : 0;
 }
 
@@ -147,19 +147,19 @@
       co_return true;
     LogLine("table_unavailable").With(read.error()).Warn();
   }
-  co_return co_await LearnFromPeers() > 0;
+  co_return co_await FetchInitialConfig() > 0;
 }
 
 Awaitable<void> ConfigFollower::Run() {
   while (!co_await Learn())
     co_await Sleep(Jittered(kRetryInterval * 3));
-  HeardFrom(0);
-  m_learned = true;
+  RecordContact(0);
+  m_initialised = true;
   LogLine("config_learned")
       .With("revision", m_config.current()->m_revision)
       .Info();
   const auto executor = co_await asio::this_coro::executor;
-  for (size_t slot = 0; slot < decide::kConfigSlots; ++slot)
+  for (size_t slot = 0; slot < decide::kConfigStreams; ++slot)
     SpawnLoop(executor, Listen(slot), "listen");
   if (m_role == model::HostRole::kEntry)
     SpawnLoop(executor, ReadTable(), "read_table");
@@ -181,8 +181,8 @@
     auto fetched = co_await FetchConfig(m_config, m_peers, AddressOf(parent),
                                         kHold, kFetchTimeout);
     if (fetched) {
-      m_fetched_at = Now().time_since_epoch().count();
-      HeardFrom(0);
+      m_last_parent_answer_at = Now().time_since_epoch().count();
+      RecordContact(0);
       continue;
     }
     ++failures;
@@ -199,17 +199,19 @@
   while (true) {
     co_await Sleep(pause);
     const auto ranked = Ranked();
-    const TimePoint fetched_at{TimePoint::duration(m_fetched_at.load())};
+    const TimePoint fetched_at{
+        TimePoint::duration(m_last_parent_answer_at.load())};
     const bool without_parent = Now() - fetched_at > kHold + kParentTimeout;
-    const bool reader = decide::ReadsTable(ranked, m_self);
-    pause = reader ? m_poll : Jittered(decide::OrphanInterval(ranked.size()));
+    const bool reader = decide::IsTableReader(ranked, m_self);
+    pause =
+        reader ? m_poll : Jittered(decide::OrphanReadInterval(ranked.size()));
     if (!reader && !without_parent)
       continue;
     auto read = co_await m_config.CatchUp();
     if (read && reader)
       read = co_await m_config.WriteSnapshot();
     if (read) {
-      HeardFrom(0);
+      RecordContact(0);
       continue;
     }
     LogLine("table_unavailable").With(read.error()).Warn();
@@ -252,10 +254,10 @@
           "push_to");
   }
   const TimePoint deadline = Now() + kReplicateTimeout;
-  while (progress->m_open > 0 && progress->m_confirmed < kHoldersRequired &&
-         Now() < deadline)
+  while (progress->m_open > 0 &&
+         progress->m_permit_confirmed < kHoldersRequired && Now() < deadline)
     co_await Sleep(kReplicatePollInterval);
-  co_return progress->m_confirmed;
+  co_return progress->m_permit_confirmed;
 }
 
 }  // namespace verbenalead::daemon
--- a/src/libverbenalead/daemon/config_follower.h
+++ b/src/libverbenalead/daemon/config_follower.h
@@ -23,7 +23,7 @@
   /// `poll`.
   ConfigFollower(std::string self,
                  model::HostRole role,
-                 ConfigKeeper& config,
+                 ConfigStore& config,
                  HostDirectory& hosts,
                  wire::Client& peers,
                  Duration poll)
@@ -42,7 +42,7 @@
   bool ready() const;
 
   /// Records that a peer which has `revision` in force has answered.
-  void HeardFrom(uint64_t revision);
+  void RecordContact(uint64_t revision);
 
   /// Sends the changes up to `revision` to other entries. Returns how many have
   /// confirmed that they hold it; does not wait for more than two.
@@ -54,22 +54,22 @@
   std::vector<std::string> Ranked() const;
   Endpoint AddressOf(const std::string& entry) const;
   Awaitable<bool> Learn();
-  Awaitable<size_t> LearnFromPeers();
+  Awaitable<size_t> FetchInitialConfig();
   Awaitable<void> Listen(size_t slot);
   Awaitable<void> ReadTable();
   Awaitable<void> CatchUpWhenBehind();
 
   const std::string m_self;
   const model::HostRole m_role;
-  ConfigKeeper& m_config;
+  ConfigStore& m_config;
   HostDirectory& m_hosts;
   wire::Client& m_peers;
   const Duration m_poll;
-  std::atomic<bool> m_learned{false};
+  std::atomic<bool> m_initialised{false};
   /// Time of the last answer from the table or any peer, and of the last answer
   /// from a parent in the configuration tree.
-  std::atomic<TimePoint::rep> m_heard_at{0};
-  std::atomic<TimePoint::rep> m_fetched_at{0};
+  std::atomic<TimePoint::rep> m_last_seen_at{0};
+  std::atomic<TimePoint::rep> m_last_parent_answer_at{0};
 };
 
 }  // namespace verbenalead::daemon
--- a/src/libverbenalead/daemon/config_messages.cc
+++ b/src/libverbenalead/daemon/config_messages.cc
@@ -11,7 +11,7 @@
 
 namespace json = boost::json;
 
-std::string ConfigSince(const ConfigKeeper& keeper, uint64_t revision) {
+std::string SerialiseConfigAfter(const ConfigStore& keeper, uint64_t revision) {
   const auto changes = keeper.ChangesAfter(revision);
   if (!changes) {
     return json::serialize(
@@ -23,12 +23,12 @@
   return json::serialize(json::object{{"changes", std::move(list)}});
 }
 
-Result<void> TakeConfig(ConfigKeeper& keeper, std::string_view text) {
+Result<void> TakeConfig(ConfigStore& keeper, std::string_view text) {
   BOOST_LEAF_AUTO(object, model::ParseObject(text, "configuration"));
   if (object.contains("state")) {
     BOOST_LEAF_AUTO(state_text, model::TextField(object, "state"));
     BOOST_LEAF_AUTO(state, decide::ParseConfigState(state_text));
-    keeper.OfferState(std::move(state));
+    keeper.ApplyState(std::move(state));
     return {};
   }
   const json::value* list = object.if_contains("changes");
@@ -41,11 +41,11 @@
     BOOST_LEAF_AUTO(change, model::ParseChange(std::string(item.get_string())));
     changes.push_back(std::move(change));
   }
-  keeper.Offer(changes);
+  keeper.ApplyChanges(changes);
   return {};
 }
 
-Awaitable<AsyncResult<bool>> FetchConfig(ConfigKeeper& keeper,
+Awaitable<AsyncResult<bool>> FetchConfig(ConfigStore& keeper,
                                          wire::Client& peers,
                                          Endpoint endpoint,
                                          Duration hold,
@@ -71,7 +71,7 @@
   co_return !wire::Get(response->m_headers, peer::kFromTable).empty();
 }
 
-Awaitable<AsyncResult<bool>> PushConfig(const ConfigKeeper& keeper,
+Awaitable<AsyncResult<bool>> PushConfig(const ConfigStore& keeper,
                                         wire::Client& peers,
                                         Endpoint endpoint,
                                         uint64_t revision,
@@ -84,7 +84,7 @@
     wire::Request request;
     request.m_method = "POST";
     request.m_path = "/v1/config";
-    request.m_body = ConfigSince(keeper, held);
+    request.m_body = SerialiseConfigAfter(keeper, held);
     auto response =
         co_await wire::Fetch(peers, endpoint, std::move(request), deadline);
     if (!response)
--- a/src/libverbenalead/daemon/config_messages.h
+++ b/src/libverbenalead/daemon/config_messages.h
@@ -13,10 +13,11 @@
 
 /// Returns, as JSON, the changes that a process with `revision` in force lacks,
 /// or the whole state if `keeper` no longer has all of these changes in memory.
-std::string ConfigSince(const ConfigKeeper& keeper, uint64_t revision);
+std::string SerialiseConfigAfter(const ConfigStore& keeper, uint64_t revision);
 
-/// Parses a message that ConfigSince() wrote and applies it to `keeper`.
-Result<void> TakeConfig(ConfigKeeper& keeper, std::string_view json);
+/// Parses a message that SerialiseConfigAfter() wrote and applies it to
+/// `keeper`.
+Result<void> TakeConfig(ConfigStore& keeper, std::string_view json);
 
 /// Fetches the changes that `keeper` lacks from the process at `endpoint` and
 /// applies them. While there are none, that process may delay its answer by up
@@ -24,7 +25,7 @@
 /// fetched the newest configuration itself, or has lost contact with the table
 /// and its peers. Returns whether the answer is known to match a recent read of
 /// the table; with a `hold` of zero the process reads the table to ensure that.
-Awaitable<AsyncResult<bool>> FetchConfig(ConfigKeeper& keeper,
+Awaitable<AsyncResult<bool>> FetchConfig(ConfigStore& keeper,
                                          wire::Client& peers,
                                          Endpoint endpoint,
                                          Duration hold,
@@ -32,7 +33,7 @@
 
 /// Sends the configuration of `keeper` to the process at `endpoint`. Succeeds
 /// when that process has confirmed that it holds `revision`.
-Awaitable<AsyncResult<bool>> PushConfig(const ConfigKeeper& keeper,
+Awaitable<AsyncResult<bool>> PushConfig(const ConfigStore& keeper,
                                         wire::Client& peers,
                                         Endpoint endpoint,
                                         uint64_t revision,
--- a/src/libverbenalead/daemon/config_store.cc
+++ b/src/libverbenalead/daemon/config_store.cc
@@ -98,7 +98,7 @@
 }  // namespace
 
 /// A coroutine that waits, on its own thread, for a newer revision.
-struct ConfigKeeper::Waiter {
+struct ConfigStore::Waiter {
   explicit Waiter(const boost::asio::any_io_executor& executor,
                   TimePoint deadline)
       : m_event(executor, deadline) {}
@@ -107,22 +107,22 @@
   bool m_woken = false;
 };
 
-ConfigKeeper::ConfigKeeper(backends::Table* table)
-    : ConfigKeeper(table, [](Duration pause) { return Sleep(pause); }) {}
+ConfigStore::ConfigStore(backends::Table* table)
+    : ConfigStore(table, [](Duration pause) { return Sleep(pause); }) {}
 
-ConfigKeeper::ConfigKeeper(backends::Table* table, Pause pause)
+ConfigStore::ConfigStore(backends::Table* table, Pause pause)
     : m_table(table),
       m_pause(std::move(pause)),
       m_state(std::make_shared<decide::ConfigState>()) {}
 
-ConfigKeeper::~ConfigKeeper() = default;
+ConfigStore::~ConfigStore() = default;
 
-ConfigKeeper::State ConfigKeeper::current() const {
+ConfigStore::State ConfigStore::current() const {
   std::lock_guard lock(m_mutex);
   return m_state;
 }
 
-void ConfigKeeper::Offer(const std::vector<model::Change>& changes) {
+void ConfigStore::ApplyChanges(const std::vector<model::Change>& changes) {
   std::lock_guard lock(m_mutex);
   std::shared_ptr<decide::ConfigState> next;
   for (const model::Change& change : changes) {
@@ -138,9 +138,9 @@
         .With("deleted", change.m_deleted)
         .With("operation", change.m_operation)
         .Info();
-    m_recent.push_back(change);
-    if (m_recent.size() > kMaxRecentChanges)
-      m_recent.pop_front();
+    m_recent_changes.push_back(change);
+    if (m_recent_changes.size() > kMaxRecentChanges)
+      m_recent_changes.pop_front();
   }
   if (!next)
     return;
@@ -148,7 +148,7 @@
   WakeAll();
 }
 
-void ConfigKeeper::OfferState(decide::ConfigState state) {
+void ConfigStore::ApplyState(decide::ConfigState state) {
   std::lock_guard lock(m_mutex);
   if (state.m_revision <= m_state->m_revision)
     return;
@@ -157,11 +157,11 @@
       .With("resource", "all")
       .Info();
   m_state = std::make_shared<decide::ConfigState>(std::move(state));
-  m_recent.clear();
+  m_recent_changes.clear();
   WakeAll();
 }
 
-void ConfigKeeper::WakeAll() {
+void ConfigStore::WakeAll() {
   for (const std::shared_ptr<Waiter>& waiter : m_waiters) {
     boost::asio::post(waiter->m_event.get_executor(), [waiter] {
       waiter->m_woken = true;
@@ -171,8 +171,8 @@
   m_waiters.clear();
 }
 
-Awaitable<void> ConfigKeeper::WaitBeyond(uint64_t revision,
-                                         TimePoint deadline) {
+Awaitable<void> ConfigStore::WaitForRevisionAfter(uint64_t revision,
+                                                  TimePoint deadline) {
   const auto executor = co_await boost::asio::this_coro::executor;
   auto waiter = std::make_shared<Waiter>(executor, deadline);
   {
@@ -190,37 +190,38 @@
   std::erase(m_waiters, waiter);
 }
 
-void ConfigKeeper::Hear(uint64_t revision) {
+void ConfigStore::RecordObservedRevision(uint64_t revision) {
   std::lock_guard lock(m_mutex);
   m_heard = std::max(m_heard, revision);
 }
 
-TimePoint ConfigKeeper::read_at() const {
+TimePoint ConfigStore::read_at() const {
   std::lock_guard lock(m_mutex);
   return m_read_at;
 }
 
-uint64_t ConfigKeeper::heard() const {
+uint64_t ConfigStore::heard() const {
   std::lock_guard lock(m_mutex);
   return m_heard;
 }
 
-std::optional<std::vector<model::Change>> ConfigKeeper::ChangesAfter(
+std::optional<std::vector<model::Change>> ConfigStore::ChangesAfter(
     uint64_t revision) const {
   std::lock_guard lock(m_mutex);
   std::vector<model::Change> changes;
   if (revision >= m_state->m_revision)
     return changes;
-  if (m_recent.empty() || m_recent.front().m_revision > revision + 1)
+  if (m_recent_changes.empty() ||
+      m_recent_changes.front().m_revision > revision + 1)
     return std::nullopt;
-  for (const model::Change& change : m_recent) {
+  for (const model::Change& change : m_recent_changes) {
     if (change.m_revision > revision)
       changes.push_back(change);
   }
   return changes;
 }
 
-Awaitable<AsyncResult<bool>> ConfigKeeper::ReadSnapshot() {
+Awaitable<AsyncResult<bool>> ConfigStore::ReadSnapshot() {
   auto item = co_await m_table->Get(kHeadPartition, kSnapshotSort);
   if (!item)
     co_return item.error();
@@ -235,17 +236,17 @@
   }
   {
     std::lock_guard lock(m_mutex);
-    m_snapshot = std::max(m_snapshot, state->m_revision);
+    m_snapshot_revision = std::max(m_snapshot_revision, state->m_revision);
   }
-  OfferState(std::move(*state));
+  ApplyState(std::move(*state));
   co_return true;
 }
 
-Awaitable<AsyncResult<bool>> ConfigKeeper::WriteSnapshot() {
+Awaitable<AsyncResult<bool>> ConfigStore::WriteSnapshot() {
   const State state = current();
   {
     std::lock_guard lock(m_mutex);
-    if (state->m_revision < m_snapshot + kSnapshotEvery)
+    if (state->m_revision < m_snapshot_revision + kSnapshotInterval)
       co_return false;
   }
   const TableItem item{kHeadPartition, kSnapshotSort, state->m_revision,
@@ -255,11 +256,11 @@
   if (!done)
     co_return done.error();
   std::lock_guard lock(m_mutex);
-  m_snapshot = std::max(m_snapshot, state->m_revision);
+  m_snapshot_revision = std::max(m_snapshot_revision, state->m_revision);
   co_return true;
 }
 
-Awaitable<AsyncResult<bool>> ConfigKeeper::CatchUp() {
+Awaitable<AsyncResult<bool>> ConfigStore::CatchUp() {
   // The changes of a year are 400,000 items, too many to read at start. A
   // starting process reads the snapshot and the few changes after it.
   if (current()->m_revision == 0) {
@@ -281,7 +282,7 @@
         co_return change.error();
       changes.push_back(std::move(*change));
     }
-    Offer(changes);
+    ApplyChanges(changes);
     if (items->size() < kPageSize) {
       std::lock_guard lock(m_mutex);
       m_read_at = Now();
@@ -290,8 +291,8 @@
   }
 }
 
-Awaitable<AsyncResult<std::optional<model::Change>>>
-ConfigKeeper::FindOperation(std::string operation) {
+Awaitable<AsyncResult<std::optional<model::Change>>> ConfigStore::FindOperation(
+    std::string operation) {
   auto item = co_await m_table->Get(kOperationPartition, std::move(operation));
   if (!item)
     co_return item.error();
@@ -304,17 +305,18 @@
   co_return std::optional<model::Change>(std::move(*change));
 }
 
-std::string ConfigKeeper::WinnerOf(const decide::ConfigState& state,
-                                   const model::ResourceKey& key) const {
+std::string ConfigStore::DescribeWinner(const decide::ConfigState& state,
+                                        const model::ResourceKey& key) const {
   auto found = state.m_resources.find(key);
   if (found != state.m_resources.end()) {
-    const decide::ResourceInForce& winner = found->second;
+    const decide::ActiveResource& winner = found->second;
     return fmt::format("revision {} by operation {} of operator {}",
                        winner.m_revision, winner.m_operation,
                        winner.m_operator);
   }
   std::lock_guard lock(m_mutex);
-  for (auto change = m_recent.rbegin(); change != m_recent.rend(); ++change) {
+  for (auto change = m_recent_changes.rbegin();
+       change != m_recent_changes.rend(); ++change) {
     if (change->m_key == key)
       return fmt::format(
           "deleted at revision {} by operation {} of operator {}",
@@ -323,17 +325,17 @@
   return "no such resource";
 }
 
-AsyncResult<bool> ConfigKeeper::CheckExpected(
+AsyncResult<bool> ConfigStore::CheckExpected(
     const decide::ConfigState& state,
     const model::ResourceWrite& write) const {
   auto found = state.m_resources.find(write.m_key);
   const uint64_t revision =
       found == state.m_resources.end() ? 0 : found->second.m_revision;
   if (write.m_expected_revision && *write.m_expected_revision != revision) {
-    return Failure{
-        FailureCode::kConflict, "write " + ToString(write.m_key), "",
-        fmt::format("expected revision {}, found {}",
-                    *write.m_expected_revision, WinnerOf(state, write.m_key))};
+    return Failure{FailureCode::kConflict, "write " + ToString(write.m_key), "",
+                   fmt::format("expected revision {}, found {}",
+                               *write.m_expected_revision,
+                               DescribeWinner(state, write.m_key))};
   }
   if (write.m_deleted && revision == 0) {
     return Failure{FailureCode::kNotFound, "delete " + ToString(write.m_key),
@@ -346,7 +348,7 @@
   return true;
 }
 
-Awaitable<AsyncResult<model::Change>> ConfigKeeper::Commit(
+Awaitable<AsyncResult<model::Change>> ConfigStore::Commit(
     model::ResourceWrite write) {
   // Revision and failure of an attempt that may still take effect.
   std::optional<std::pair<uint64_t, Failure>> in_doubt;
@@ -384,7 +386,7 @@
     // another attempt can't commit the write twice while the first is in doubt.
     auto done = co_await m_table->Transact(WritesFor(change));
     if (done && *done == backends::TransactResult::kCommitted) {
-      Offer({change});
+      ApplyChanges({change});
       co_return change;
     }
     if (done)
--- a/src/libverbenalead/daemon/config_store.h
+++ b/src/libverbenalead/daemon/config_store.h
@@ -22,33 +22,33 @@
 /// revision. So all processes see one sequence of revisions, and a write that
 /// names the revision it expects can't overwrite another write. May be used
 /// from several threads.
-class ConfigKeeper {
+class ConfigStore {
  public:
   using State = std::shared_ptr<const decide::ConfigState>;
   using Pause = std::function<Awaitable<void>(Duration)>;
 
   /// `table` may be null in a process that receives changes from peers only.
-  explicit ConfigKeeper(backends::Table* table);
+  explicit ConfigStore(backends::Table* table);
   /// For tests: `pause` replaces the wait between two attempts.
-  ConfigKeeper(backends::Table* table, Pause pause);
-  ~ConfigKeeper();
+  ConfigStore(backends::Table* table, Pause pause);
+  ~ConfigStore();
 
   State current() const;
   /// Applies those of `changes` that follow the revision in force without a
   /// gap; changes that are already in force are skipped.
-  void Offer(const std::vector<model::Change>& changes);
+  void ApplyChanges(const std::vector<model::Change>& changes);
   /// Replaces the state in force by `state` if `state` is newer.
-  void OfferState(decide::ConfigState state);
+  void ApplyState(decide::ConfigState state);
   /// Returns the changes after `revision`, or nullopt if some of them are no
   /// longer in memory.
   std::optional<std::vector<model::Change>> ChangesAfter(
       uint64_t revision) const;
   /// Waits until a revision above `revision` is in force, or until `deadline`.
-  Awaitable<void> WaitBeyond(uint64_t revision, TimePoint deadline);
+  Awaitable<void> WaitForRevisionAfter(uint64_t revision, TimePoint deadline);
 
   /// Records that another process has `revision` in force. While heard() is
   /// above the revision in force here, this process is behind.
-  void Hear(uint64_t revision);
+  void RecordObservedRevision(uint64_t revision);
   uint64_t heard() const;
 
   /// Time at which CatchUp() last reached the end of the log.
@@ -57,11 +57,11 @@
   /// them.
   Awaitable<AsyncResult<bool>> CatchUp();
   /// Writes a snapshot of the state in force to the table if it is
-  /// `kSnapshotEvery` or more revisions past the last snapshot known to this
+  /// `kSnapshotInterval` or more revisions past the last snapshot known to this
   /// process. The write is unconditional: if it replaces a newer snapshot by an
   /// older one, a starting process only has to read more changes.
   Awaitable<AsyncResult<bool>> WriteSnapshot();
-  static constexpr uint64_t kSnapshotEvery = 500;
+  static constexpr uint64_t kSnapshotInterval = 500;
 
   /// Commits `write`. Failures:
   /// kConflict: another write was committed first; the reason names it.
@@ -80,9 +80,10 @@
       std::string operation);
   AsyncResult<bool> CheckExpected(const decide::ConfigState& state,
                                   const model::ResourceWrite& write) const;
-  std::string WinnerOf(const decide::ConfigState& state,
-                       const model::ResourceKey& key) const;
-  /// Resumes all coroutines in WaitBeyond(). The caller must hold m_mutex.
+  std::string DescribeWinner(const decide::ConfigState& state,
+                             const model::ResourceKey& key) const;
+  /// Resumes all coroutines in WaitForRevisionAfter(). The caller must hold
+  /// m_mutex.
   void WakeAll();
 
   backends::Table* const m_table;
@@ -90,9 +91,9 @@
   mutable std::mutex m_mutex;
   State m_state;
   uint64_t m_heard = 0;
-  uint64_t m_snapshot = 0;
+  uint64_t m_snapshot_revision = 0;
   TimePoint m_read_at{};
-  std::deque<model::Change> m_recent;
+  std::deque<model::Change> m_recent_changes;
   std::vector<std::shared_ptr<Waiter>> m_waiters;
 };
 
--- a/src/libverbenalead/daemon/config_store_test.cc
+++ b/src/libverbenalead/daemon/config_store_test.cc
@@ -160,19 +160,19 @@
   std::optional<AsyncResult<model::Change>> m_result;
 };
 
-Awaitable<void> RunCommit(std::shared_ptr<ConfigKeeper> keeper,
+Awaitable<void> RunCommit(std::shared_ptr<ConfigStore> keeper,
                           std::shared_ptr<Commit> commit) {
   commit->m_result = co_await keeper->Commit(commit->m_write);
 }
 
-Awaitable<void> RunCatchUp(std::shared_ptr<ConfigKeeper> keeper) {
+Awaitable<void> RunCatchUp(std::shared_ptr<ConfigStore> keeper) {
   auto ignored = co_await keeper->CatchUp();
   (void)ignored;
 }
 
 constexpr size_t kSteps = 400;
 
-Awaitable<void> RunSnapshot(std::shared_ptr<ConfigKeeper> keeper) {
+Awaitable<void> RunSnapshot(std::shared_ptr<ConfigStore> keeper) {
   auto ignored = co_await keeper->WriteSnapshot();
   (void)ignored;
 }
@@ -188,8 +188,8 @@
     m_seen.resize(kDaemons);
   }
 
-  std::shared_ptr<ConfigKeeper> NewKeeper() {
-    return std::make_shared<ConfigKeeper>(&m_table, &NoPause);
+  std::shared_ptr<ConfigStore> NewKeeper() {
+    return std::make_shared<ConfigStore>(&m_table, &NoPause);
   }
 
   std::shared_ptr<Commit> Start(size_t daemon, model::ResourceWrite write) {
@@ -258,7 +258,7 @@
 
   TableState m_table_state;
   FakeTable m_table;
-  std::vector<std::shared_ptr<ConfigKeeper>> m_daemons;
+  std::vector<std::shared_ptr<ConfigStore>> m_daemons;
   std::vector<uint64_t> m_seen;
   std::vector<std::shared_ptr<Commit>> m_commits;
   std::vector<std::pair<size_t, std::string>> m_messages;
@@ -319,12 +319,12 @@
   const size_t to = random / 16 % Fleet::kDaemons;
   if (random % 2 == 0) {
     fleet.m_messages.emplace_back(
-        to, ConfigSince(*fleet.m_daemons[from],
-                        fleet.m_daemons[to]->current()->m_revision));
+        to, SerialiseConfigAfter(*fleet.m_daemons[from],
+                                 fleet.m_daemons[to]->current()->m_revision));
   } else if (!fleet.m_messages.empty()) {
     const auto& message =
         fleet.m_messages[random / 256 % fleet.m_messages.size()];
-    ConfigKeeper& keeper = *fleet.m_daemons[message.first];
+    ConfigStore& keeper = *fleet.m_daemons[message.first];
     auto applied =
         CatchFailure([&] { return TakeConfig(keeper, message.second); });
     RC_ASSERT(applied.has_value());
@@ -359,8 +359,8 @@
   }
 }
 
-class ConfigKeeperTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(ConfigKeeperTest);
+class ConfigStoreTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(ConfigStoreTest);
   CPPUNIT_TEST(OwnWriteIsNotReportedAsConflict);
   CPPUNIT_TEST(OperationIdIdentifiesOneWrite);
   CPPUNIT_TEST(ConflictNamesTheWinningWrite);
@@ -445,7 +445,7 @@
 
   void StartsFromASnapshot() {
     Fleet fleet;
-    for (uint64_t i = 0; i <= ConfigKeeper::kSnapshotEvery; ++i) {
+    for (uint64_t i = 0; i <= ConfigStore::kSnapshotInterval; ++i) {
       fleet.Start(0, WriteOf("a", "op" + std::to_string(i)));
       fleet.Settle();
     }
@@ -499,14 +499,15 @@
   }
 
   void ConcurrentReadsAndOffers() {
-    ConfigKeeper keeper(nullptr);
+    ConfigStore keeper(nullptr);
     std::vector<std::thread> threads;
     for (int t = 0; t < 4; ++t) {
       threads.emplace_back([&keeper] {
         uint64_t seen = 0;
         for (uint64_t revision = 1; revision <= 200; ++revision) {
-          keeper.Offer({{revision, {"limits", "a"}, false, "{}", "", ""}});
-          keeper.Hear(revision);
+          keeper.ApplyChanges(
+              {{revision, {"limits", "a"}, false, "{}", "", ""}});
+          keeper.RecordObservedRevision(revision);
           const uint64_t now = keeper.current()->m_revision;
           CPPUNIT_ASSERT(now >= seen);
           seen = now;
@@ -519,7 +520,7 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(ConfigKeeperTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(ConfigStoreTest);
 
 }  // namespace
 }  // namespace verbenalead::daemon
--- a/src/libverbenalead/daemon/crash_record_exchange.cc
+++ b/src/libverbenalead/daemon/crash_record_exchange.cc
@@ -32,13 +32,13 @@
 
 /// The notes that one entry has not confirmed yet.
 struct PendingNotes {
-  std::vector<decide::CrashNote> m_notes;
+  std::vector<decide::CrashRecord> m_notes;
   bool m_sending = false;
 };
 
 using PendingNotesByEntry = std::map<std::string, PendingNotes>;
 
-wire::Request MakeMessage(const std::vector<decide::CrashNote>& notes) {
+wire::Request MakeMessage(const std::vector<decide::CrashRecord>& notes) {
   wire::Request request;
   request.m_method = "POST";
   request.m_path = kPath;
@@ -49,7 +49,7 @@
 Awaitable<void> Tell(std::shared_ptr<PendingNotesByEntry> pending,
                      wire::Client& peers,
                      model::Host entry) {
-  std::vector<decide::CrashNote> notes =
+  std::vector<decide::CrashRecord> notes =
       std::exchange((*pending)[entry.name()].m_notes, {});
   wire::Request message = MakeMessage(notes);
   auto response = co_await wire::Fetch(peers, entry.peer(), std::move(message),
@@ -64,18 +64,18 @@
 /// Adds `new_notes` to the notes pending for an entry. If there are more than
 /// kMaxPending then, the oldest are dropped.
 void Add(PendingNotes& pending,
-         const std::vector<decide::CrashNote>& new_notes) {
+         const std::vector<decide::CrashRecord>& new_notes) {
   auto& notes = pending.m_notes;
   notes.insert(notes.end(), new_notes.begin(), new_notes.end());
   if (notes.size() > kMaxPending)
     notes.erase(notes.begin(), notes.end() - kMaxPending);
 }
 
-Result<decide::CrashNote> ReadNote(const json::value& value, TimePoint now) {
+Result<decide::CrashRecord> ReadNote(const json::value& value, TimePoint now) {
   if (!value.is_object())
     return model::BadField("notes", "a list of objects");
   const json::object& object = value.get_object();
-  decide::CrashNote note;
+  decide::CrashRecord note;
   BOOST_LEAF_ASSIGN(note.m_key, model::NumberField(object, "key"));
   BOOST_LEAF_ASSIGN(note.m_target, model::TextField(object, "target"));
   BOOST_LEAF_AUTO(age, model::NumberField(object, "age_ms"));
@@ -84,7 +84,7 @@
   return note;
 }
 
-Awaitable<void> Answer(QuarantineKeeper& quarantine,
+Awaitable<void> Answer(LockedQuarantine& quarantine,
                        wire::Handler handler,
                        const wire::Request& request,
                        wire::ResponseWriter& writer) {
@@ -93,7 +93,7 @@
     co_return;
   }
   auto notes =
-      CatchFailure([&] { return ParseCrashNotes(request.m_body, Now()); });
+      CatchFailure([&] { return ParseCrashRecords(request.m_body, Now()); });
   if (notes)
     quarantine.Merge(*notes);
   co_await writer.Send(wire::Response{notes ? 200 : 400, {}, ""});
@@ -101,9 +101,10 @@
 
 }  // namespace
 
-std::string ToJson(const std::vector<decide::CrashNote>& notes, TimePoint now) {
+std::string ToJson(const std::vector<decide::CrashRecord>& notes,
+                   TimePoint now) {
   json::array list;
-  for (const decide::CrashNote& note : notes) {
+  for (const decide::CrashRecord& note : notes) {
     list.push_back(json::object{{"key", note.m_key},
                                 {"target", note.m_target},
                                 {"age_ms", ToMilliseconds(now - note.m_at)}});
@@ -111,13 +112,14 @@
   return json::serialize(json::object{{"notes", std::move(list)}});
 }
 
-Result<std::vector<decide::CrashNote>> ParseCrashNotes(std::string_view text,
-                                                       TimePoint now) {
+Result<std::vector<decide::CrashRecord>> ParseCrashRecords(
+    std::string_view text,
+    TimePoint now) {
   BOOST_LEAF_AUTO(object, model::ParseObject(text, "crash notes"));
   const json::value* list = object.if_contains("notes");
   if (list == nullptr || !list->is_array())
     return model::BadField("notes", "a list");
-  std::vector<decide::CrashNote> notes;
+  std::vector<decide::CrashRecord> notes;
   for (const json::value& value : list->get_array()) {
     BOOST_LEAF_AUTO(note, ReadNote(value, now));
     notes.push_back(std::move(note));
@@ -125,18 +127,18 @@
   return notes;
 }
 
-wire::Handler TakeCrashNotes(QuarantineKeeper& quarantine,
-                             wire::Handler handler) {
+wire::Handler WithCrashRecords(LockedQuarantine& quarantine,
+                               wire::Handler handler) {
   return [&quarantine, handler = std::move(handler)](
              const wire::Request& request, wire::ResponseWriter& writer) {
     return Answer(quarantine, handler, request, writer);
   };
 }
 
-Awaitable<void> ExchangeCrashNotes(QuarantineKeeper& quarantine,
-                                   HostDirectory& hosts,
-                                   wire::Client& peers,
-                                   std::string self) {
+Awaitable<void> SendCrashRecords(LockedQuarantine& quarantine,
+                                 HostDirectory& hosts,
+                                 wire::Client& peers,
+                                 std::string self) {
   const auto executor = co_await boost::asio::this_coro::executor;
   auto pending = std::make_shared<PendingNotesByEntry>();
   auto wake = std::make_shared<boost::asio::steady_timer>(executor);
@@ -145,9 +147,9 @@
   std::function<void()> on_new_notes = [executor, wake] {
     boost::asio::post(executor, [wake] { wake->cancel(); });
   };
-  quarantine.SetOnNews(on_new_notes);
+  quarantine.SetOnNewRecords(on_new_notes);
   while (true) {
-    const std::vector<decide::CrashNote> new_notes = quarantine.News();
+    const std::vector<decide::CrashRecord> new_notes = quarantine.News();
     for (const model::Host& entry : hosts.Hosts(model::HostRole::kEntry)) {
       PendingNotes& known = (*pending)[entry.name()];
       if (entry.name() == self)
--- a/src/libverbenalead/daemon/crash_record_exchange.h
+++ b/src/libverbenalead/daemon/crash_record_exchange.h
@@ -13,15 +13,17 @@
 
 /// The JSON form of crash notes. Times are sent as ages, since the clocks of
 /// hosts differ.
-std::string ToJson(const std::vector<decide::CrashNote>& notes, TimePoint now);
-Result<std::vector<decide::CrashNote>> ParseCrashNotes(std::string_view json,
-                                                       TimePoint now);
+std::string ToJson(const std::vector<decide::CrashRecord>& notes,
+                   TimePoint now);
+Result<std::vector<decide::CrashRecord>> ParseCrashRecords(
+    std::string_view json,
+    TimePoint now);
 
 /// Returns a handler that serves POST /v1/crash-notes, by which another entry
 /// reports the requests under which targets crashed, and passes all other
 /// requests to `handler`.
-wire::Handler TakeCrashNotes(QuarantineKeeper& quarantine,
-                             wire::Handler handler);
+wire::Handler WithCrashRecords(LockedQuarantine& quarantine,
+                               wire::Handler handler);
 
 /// Sends each new crash note of this entry to all other entries, and retries
 /// for entries that did not answer. Runs until the process ends.
@@ -30,10 +32,10 @@
 /// whose caller sends it again through other entries: without the exchange each
 /// of 8 entries would let the request crash two targets. Notes are rare, so
 /// each one is sent to every entry.
-Awaitable<void> ExchangeCrashNotes(QuarantineKeeper& quarantine,
-                                   HostDirectory& hosts,
-                                   wire::Client& peers,
-                                   std::string self);
+Awaitable<void> SendCrashRecords(LockedQuarantine& quarantine,
+                                 HostDirectory& hosts,
+                                 wire::Client& peers,
+                                 std::string self);
 
 }  // namespace verbenalead::daemon
 
--- a/src/libverbenalead/daemon/credentials.cc
+++ b/src/libverbenalead/daemon/credentials.cc
@@ -4,7 +4,8 @@
 
 namespace verbenalead::daemon {
 
-std::optional<backends::SigningKey> CredentialsIn(const Settings& settings) {
+std::optional<backends::SigningKey> LoadPlatformCredentials(
+    const Settings& settings) {
   const std::string& path = settings.Text("platform.credentials_file");
   if (path.empty())
     return std::nullopt;
--- a/src/libverbenalead/daemon/credentials.h
+++ b/src/libverbenalead/daemon/credentials.h
@@ -12,7 +12,8 @@
 /// platform.credentials_file names; nullopt if the setting is empty. Throws
 /// std::runtime_error if the file can't be read or is malformed, so that a
 /// daemon does not start whose every request to the platform would be refused.
-std::optional<backends::SigningKey> CredentialsIn(const Settings& settings);
+std::optional<backends::SigningKey> LoadPlatformCredentials(
+    const Settings& settings);
 
 }  // namespace verbenalead::daemon
 
--- a/src/libverbenalead/daemon/entry_access.cc
+++ b/src/libverbenalead/daemon/entry_access.cc
@@ -22,7 +22,7 @@
 EntryAccess::EntryAccess(const Settings& settings) {
   const std::string certificate = settings.Text("tls.certificate_file");
   if (!certificate.empty()) {
-    m_tls = std::make_shared<http::TlsKeeper>(
+    m_tls = std::make_shared<http::ReloadableTlsContext>(
         http::TlsFiles{certificate, settings.Text("tls.key_file"),
                        settings.Text("tls.min_version")});
     m_read = m_tls->Load();
--- a/src/libverbenalead/daemon/entry_access.h
+++ b/src/libverbenalead/daemon/entry_access.h
@@ -22,11 +22,13 @@
   /// Reads the certificate again; on failure the previous one stays in use.
   AsyncResult<bool> Reload();
   /// Null if TLS is not configured.
-  std::shared_ptr<const http::TlsKeeper> tls() const { return m_tls; }
+  std::shared_ptr<const http::ReloadableTlsContext> tls() const {
+    return m_tls;
+  }
   const std::vector<std::string>& tokens() const { return m_tokens; }
 
  private:
-  std::shared_ptr<http::TlsKeeper> m_tls;
+  std::shared_ptr<http::ReloadableTlsContext> m_tls;
   std::vector<std::string> m_tokens;
   AsyncResult<bool> m_read = true;
 };
--- a/src/libverbenalead/daemon/entry_daemon.cc
+++ b/src/libverbenalead/daemon/entry_daemon.cc
@@ -44,7 +44,7 @@
 namespace asio = boost::asio;
 
 constexpr Duration kDrainTimeout = 2s;
-constexpr Duration kStopPoll = 20ms;
+constexpr Duration kStopPollInterval = 20ms;
 /// A stopping entry accepts connections for as long as callers may use a list
 /// of entries that still names it. This is the time to live of the list, plus a
 /// margin for notifying the other entries and for callers to fetch the next
@@ -61,12 +61,12 @@
         m_sessions(peer::SessionLimits{}, &m_credentials),
         m_journal(settings.Text("host"),
                   static_cast<size_t>(settings.Integer("journal.requests"))),
-        m_signed_table(m_http, CredentialsIn(settings), "dynamodb"),
+        m_signed_table(m_http, LoadPlatformCredentials(settings), "dynamodb"),
         m_table(m_signed_table,
                 settings.Address("platform.table"),
                 settings.Text("platform.table_name"),
                 settings.Milliseconds("platform.table_timeout")),
-        m_signed_objects(m_http, CredentialsIn(settings), "s3"),
+        m_signed_objects(m_http, LoadPlatformCredentials(settings), "s3"),
         m_objects(m_signed_objects,
                   settings.Address("platform.object_store"),
                   settings.Text("platform.bucket"),
@@ -126,19 +126,19 @@
     context.m_journal = &m_journal;
     context.m_ready = [this] { return m_follower.ready(); };
     wire::Handler handler = MakeEntryPeerApi(std::move(context));
-    handler = TakeCrashNotes(m_runner.quarantine(), std::move(handler));
-    handler = TakeLeavingNotices(m_leaving, std::move(handler));
+    handler = WithCrashRecords(m_runner.quarantine(), std::move(handler));
+    handler = WithLeavingNotices(m_leaving, std::move(handler));
     handler = WithRevision(m_config, std::move(handler));
     return peer::RequireCredentials(m_credentials, std::move(handler));
   }
 
-  Awaitable<AsyncResult<front::AcceptedChange>> Commit(
+  Awaitable<AsyncResult<front::CommittedChange>> Commit(
       model::ResourceWrite write) {
     auto change = co_await m_config.Commit(std::move(write));
     if (!change)
       co_return change.error();
-    front::AcceptedChange accepted;
-    accepted.m_held_by = co_await m_follower.Replicate(change->m_revision);
+    front::CommittedChange accepted;
+    accepted.m_received_by = co_await m_follower.Replicate(change->m_revision);
     accepted.m_others = m_follower.OtherEntries();
     accepted.m_change = std::move(*change);
     co_return accepted;
@@ -165,8 +165,9 @@
     context.m_commit = [this](model::ResourceWrite write) {
       return Commit(std::move(write));
     };
-    context.m_wait_beyond = [this](uint64_t revision, TimePoint deadline) {
-      return m_config.WaitBeyond(revision, deadline);
+    context.m_wait_for_newer_revision = [this](uint64_t revision,
+                                               TimePoint deadline) {
+      return m_config.WaitForRevisionAfter(revision, deadline);
     };
     context.m_targets = [this] {
       std::vector<model::TargetReport> all;
@@ -182,8 +183,8 @@
         if (host.name() != m_settings.Text("host"))
           hosts.push_back(host);
       }
-      return GatherTrace(std::move(request), m_journal, m_peers, Segments(),
-                         std::move(hosts));
+      return CollectTrace(std::move(request), m_journal, m_peers, Segments(),
+                          std::move(hosts));
     };
     context.m_drain = [this](std::string target) {
       return DrainTarget(std::move(target));
@@ -218,12 +219,12 @@
   /// capacity of the table.
   Awaitable<void> UpdateEntryCount() {
     while (true) {
-      m_runner.SetEntries(m_hosts.Hosts(model::HostRole::kEntry).size());
+      m_runner.SetEntryCount(m_hosts.Hosts(model::HostRole::kEntry).size());
       co_await Sleep(m_settings.Milliseconds("config.poll"));
     }
   }
 
-  Awaitable<void> StopWhenAsked() {
+  Awaitable<void> StopOnSignal() {
     co_await m_signals.async_wait(asio::use_awaitable);
     m_stopping = true;
     LogLine("stopping").With("running", m_counting_runner.running()).Info();
@@ -231,15 +232,15 @@
     const TimePoint stop_accepting =
         std::min(deadline, Now() + kAcceptAfterStop);
     m_callers.Drain();
-    co_await TellLeaving(m_peers, m_settings.Text("host"),
-                         m_hosts.Hosts(model::HostRole::kEntry));
+    co_await NotifyLeaving(m_peers, m_settings.Text("host"),
+                           m_hosts.Hosts(model::HostRole::kEntry));
     while (Now() < stop_accepting)
-      co_await Sleep(kStopPoll);
+      co_await Sleep(kStopPollInterval);
     m_callers.StopAccepting();
     // Waits for the server instead of the runner, which counts a request
     // neither while it is received nor while the end of its answer is sent.
     do {
-      co_await Sleep(kStopPoll);
+      co_await Sleep(kStopPollInterval);
     } while (Now() < deadline && m_callers.busy() > 0);
     LogLine("stopped").With("cut_off", m_callers.busy()).Info();
     m_threads.Stop();
@@ -290,13 +291,13 @@
   backends::HostList m_host_list;
   HostDirectory m_hosts;
   LeavingEntries m_leaving;
-  ConfigKeeper m_config;
+  ConfigStore m_config;
   RevisionClient m_peers;
   ConfigFollower m_follower;
   PoolRouters m_routers;
   TargetDirectory m_directory;
   RequestRunner m_runner;
-  CountingRunner m_counting_runner;
+  MeteredRunner m_counting_runner;
   std::atomic<bool> m_stopping{false};
   EntryAccess m_access;
   http::Server m_callers;
@@ -319,8 +320,8 @@
   SpawnLoop(executor, parts.m_follower.Run(), "follow_config");
   SpawnLoop(executor, parts.UpdateEntryCount(), "count_entries");
   SpawnLoop(executor,
-            ExchangeCrashNotes(parts.m_runner.quarantine(), parts.m_hosts,
-                               parts.m_peers, parts.m_settings.Text("host")),
+            SendCrashRecords(parts.m_runner.quarantine(), parts.m_hosts,
+                             parts.m_peers, parts.m_settings.Text("host")),
             "exchange_crash_notes");
   SpawnLoop(executor, parts.m_directory.Run(), "follow_targets");
   if (backends::ObjectStore* segments = parts.Segments()) {
@@ -329,7 +330,7 @@
         FlushJournal(parts.m_journal, *segments, parts.m_settings.Text("host")),
         "flush_journal");
   }
-  SpawnLoop(executor, parts.StopWhenAsked(), "stop_when_asked");
+  SpawnLoop(executor, parts.StopOnSignal(), "stop_when_asked");
   SpawnLoop(executor, parts.ReloadOnHangup(), "reload_when_asked");
   LogLine("started").With("host", parts.m_settings.Text("host")).Info();
   parts.m_threads.Run();
--- a/src/libverbenalead/daemon/entry_peer_api.cc
+++ b/src/libverbenalead/daemon/entry_peer_api.cc
@@ -34,14 +34,14 @@
   }
   const auto hold = std::chrono::milliseconds(
       std::min(NumberIn(request, "hold_ms"), kMaxHoldMs));
-  co_await context.m_config->WaitBeyond(after, Now() + hold);
+  co_await context.m_config->WaitForRevisionAfter(after, Now() + hold);
   // A process that has not fetched the newest configuration, or has lost
   // contact, must not answer: the peer would take an empty answer as proof that
   // its own configuration is the newest.
   if (!context.m_ready())
     co_return wire::Response{503, {}, "not ready"};
   wire::Response response =
-      wire::JsonResponse(200, ConfigSince(*context.m_config, after));
+      wire::JsonResponse(200, SerialiseConfigAfter(*context.m_config, after));
   // A read less than kMaxReadAge ago counts as current. So when all processes
   // start at once, each entry that they query reads the table at most twice a
   // second.
--- a/src/libverbenalead/daemon/entry_peer_api.h
+++ b/src/libverbenalead/daemon/entry_peer_api.h
@@ -11,7 +11,7 @@
 
 /// Parts of the entry daemon that its API for the other daemons uses.
 struct EntryPeerContext {
-  ConfigKeeper* m_config = nullptr;
+  ConfigStore* m_config = nullptr;
   Journal* m_journal = nullptr;
   /// Whether this process may vouch for its configuration: see
   /// ConfigFollower::ready().
--- a/src/libverbenalead/daemon/fencing_token_minter.cc
+++ b/src/libverbenalead/daemon/fencing_token_minter.cc
@@ -9,15 +9,15 @@
 
 }  // namespace
 
-FenceMinter::FenceMinter(std::string host,
-                         uint64_t owner,
-                         backends::Table& table)
+FencingTokenMinter::FencingTokenMinter(std::string host,
+                                       uint64_t owner,
+                                       backends::Table& table)
     : m_host(std::move(host)),
       // The id distinguishes processes that started in the same millisecond.
       m_owner("{\"owner\":\"" + std::to_string(owner) + "-" + NewId() + "\"}"),
       m_table(table) {}
 
-Awaitable<AsyncResult<uint64_t>> FenceMinter::Mint() {
+Awaitable<AsyncResult<uint64_t>> FencingTokenMinter::Mint() {
   using Condition = backends::TableWrite::Condition;
   auto item = co_await m_table.Get(kPartition, m_host);
   if (!item)
--- a/src/libverbenalead/daemon/fencing_token_minter.h
+++ b/src/libverbenalead/daemon/fencing_token_minter.h
@@ -14,9 +14,9 @@
 /// process that later finds a token of another process there has been
 /// superseded itself; so a process that resumes after a long pause can't give
 /// orders any more.
-class FenceMinter {
+class FencingTokenMinter {
  public:
-  FenceMinter(std::string host, uint64_t owner, backends::Table& table);
+  FencingTokenMinter(std::string host, uint64_t owner, backends::Table& table);
 
   /// Issues the next token. kConflict: this process has been superseded, which
   /// is final. Any other failure may be retried.
--- a/src/libverbenalead/daemon/forwarded_headers.cc
+++ b/src/libverbenalead/daemon/forwarded_headers.cc
@@ -43,11 +43,11 @@
 
 }  // namespace
 
-wire::Headers PassedRequestHeaders(const wire::Headers& headers) {
+wire::Headers ForwardedRequestHeaders(const wire::Headers& headers) {
   return FilterHeaders(headers);
 }
 
-wire::Headers PassedResponseHeaders(const wire::Headers& headers) {
+wire::Headers ForwardedResponseHeaders(const wire::Headers& headers) {
   return FilterHeaders(headers);
 }
 
--- a/src/libverbenalead/daemon/guarded_gate.h
+++ b/src/libverbenalead/daemon/guarded_gate.h
@@ -9,9 +9,9 @@
 
 /// The state of the target's gate together with the mutex that guards it.
 /// Thread-safe.
-class GateKeeper {
+class GuardedGate {
  public:
-  GateKeeper(uint64_t incarnation, uint32_t capacity)
+  GuardedGate(uint64_t incarnation, uint32_t capacity)
       : m_incarnation(incarnation) {
     m_gate.m_incarnation = incarnation;
     m_gate.m_capacity = capacity;
--- a/src/libverbenalead/daemon/journal.cc
+++ b/src/libverbenalead/daemon/journal.cc
@@ -59,7 +59,7 @@
   m_segment += '\n';
 }
 
-std::string Journal::TakeSegment() {
+std::string Journal::ExtractSegment() {
   std::lock_guard lock(m_segment_mutex);
   std::string segment = std::move(m_segment);
   m_segment.clear();
--- a/src/libverbenalead/daemon/journal.h
+++ b/src/libverbenalead/daemon/journal.h
@@ -28,7 +28,7 @@
   /// Removes and returns the lines recorded since the last call, as a segment
   /// for the object store; empty if there are none. If lines had to be dropped
   /// because the store was too slow, the segment starts with their number.
-  std::string TakeSegment();
+  std::string ExtractSegment();
   /// The lines of `request`, oldest first: "unix_us=... host=... event=...".
   std::vector<std::string> Find(const std::string& request) const;
 
--- a/src/libverbenalead/daemon/journal_test.cc
+++ b/src/libverbenalead/daemon/journal_test.cc
@@ -44,10 +44,10 @@
     for (int i = 0; i < 3000; ++i)
       journal.Record("r" + std::to_string(i),
                      LogLine("x").With("text", filler));
-    const std::string segment = journal.TakeSegment();
+    const std::string segment = journal.ExtractSegment();
     CPPUNIT_ASSERT(segment.size() < (size_t{1} << 20) + 1000);
     CPPUNIT_ASSERT(segment.starts_with("event=journal_dropped host=h lines="));
-    CPPUNIT_ASSERT(journal.TakeSegment().empty());
+    CPPUNIT_ASSERT(journal.ExtractSegment().empty());
   }
 };
 
--- a/src/libverbenalead/daemon/leaving_entries.cc
+++ b/src/libverbenalead/daemon/leaving_entries.cc
@@ -37,7 +37,7 @@
   return found != m_since.end() && Now() - found->second < kNoticeLifetime;
 }
 
-wire::Handler TakeLeavingNotices(LeavingEntries& leaving,
+wire::Handler WithLeavingNotices(LeavingEntries& leaving,
                                  wire::Handler handler) {
   return [&leaving, handler = std::move(handler)](
              const wire::Request& request, wire::ResponseWriter& writer) {
@@ -45,9 +45,9 @@
   };
 }
 
-Awaitable<void> TellLeaving(wire::Client& peers,
-                            std::string host,
-                            std::vector<model::Host> entries) {
+Awaitable<void> NotifyLeaving(wire::Client& peers,
+                              std::string host,
+                              std::vector<model::Host> entries) {
   for (const model::Host& entry : entries) {
     if (entry.name() == host)
       continue;
--- a/src/libverbenalead/daemon/leaving_entries.h
+++ b/src/libverbenalead/daemon/leaving_entries.h
@@ -29,14 +29,14 @@
 
 /// Returns a handler that serves POST /v1/leaving, by which an entry announces
 /// that it is stopping, and passes all other requests to `handler`.
-wire::Handler TakeLeavingNotices(LeavingEntries& leaving,
+wire::Handler WithLeavingNotices(LeavingEntries& leaving,
                                  wire::Handler handler);
 
 /// Notifies `entries` that `host` is stopping. An entry that can't be reached
 /// is skipped; it sees the stop in the host list later.
-Awaitable<void> TellLeaving(wire::Client& peers,
-                            std::string host,
-                            std::vector<model::Host> entries);
+Awaitable<void> NotifyLeaving(wire::Client& peers,
+                              std::string host,
+                              std::vector<model::Host> entries);
 
 }  // namespace verbenalead::daemon
 
--- a/src/libverbenalead/daemon/load_permit_table.cc
+++ b/src/libverbenalead/daemon/load_permit_table.cc
@@ -9,18 +9,19 @@
 
 }  // namespace
 
-Awaitable<AsyncResult<decide::PermitBoard>> PermitTable::Read() {
+Awaitable<AsyncResult<decide::LoadPermits>> LoadPermitTable::Read() {
   auto item = co_await m_table.Get(kPartition, m_pool);
   if (!item)
     co_return item.error();
   if (!item->has_value())
-    co_return decide::PermitBoard();
+    co_return decide::LoadPermits();
   co_return CatchFailure([&] {
-    return decide::ParsePermitBoard((*item)->m_value, (*item)->m_revision);
+    return decide::ParseLoadPermits((*item)->m_value, (*item)->m_revision);
   });
 }
 
-Awaitable<decide::WriteResult> PermitTable::Write(decide::PermitBoard board) {
+Awaitable<decide::WriteResult> LoadPermitTable::Write(
+    decide::LoadPermits board) {
   using Condition = backends::TableWrite::Condition;
   const uint64_t previous = board.m_revision - 1;
   backends::TableWrite write;
--- a/src/libverbenalead/daemon/load_permit_table.h
+++ b/src/libverbenalead/daemon/load_permit_table.h
@@ -11,16 +11,16 @@
 
 /// Reads and writes the load permits of one pool, which are one item of the
 /// platform's table.
-class PermitTable {
+class LoadPermitTable {
  public:
-  PermitTable(std::string pool, backends::Table& table)
+  LoadPermitTable(std::string pool, backends::Table& table)
       : m_pool(std::move(pool)), m_table(table) {}
 
   /// Returns no permits and revision 0 if the item does not exist yet.
-  Awaitable<AsyncResult<decide::PermitBoard>> Read();
+  Awaitable<AsyncResult<decide::LoadPermits>> Read();
   /// Writes `board` if the revision of the stored item is one below the
   /// revision of `board` (compare-and-swap).
-  Awaitable<decide::WriteResult> Write(decide::PermitBoard board);
+  Awaitable<decide::WriteResult> Write(decide::LoadPermits board);
 
  private:
   const std::string m_pool;
--- a/src/libverbenalead/daemon/locked_quarantine.h
+++ b/src/libverbenalead/daemon/locked_quarantine.h
@@ -13,42 +13,42 @@
 /// The quarantine of the entry with a lock around it: the requests that must
 /// not run because targets crashed under them. May be used from several
 /// threads.
-class QuarantineKeeper {
+class LockedQuarantine {
  public:
   /// Sets the function that is called, from any thread, after each crash that
   /// has to be reported to the other entries. Must be set before the first
   /// crash.
-  void SetOnNews(std::function<void()> on_new_notes) {
-    m_on_news = std::move(on_new_notes);
+  void SetOnNewRecords(std::function<void()> on_new_notes) {
+    m_on_new_records = std::move(on_new_notes);
   }
 
-  void NoteCrash(uint64_t key, const std::string& target) {
+  void RecordCrash(uint64_t key, const std::string& target) {
     {
       std::lock_guard lock(m_mutex);
-      decide::NoteCrash(m_state, key, target, Now());
+      decide::RecordCrash(m_state, key, target, Now());
     }
-    if (m_on_news)
-      m_on_news();
+    if (m_on_new_records)
+      m_on_new_records();
   }
   void NoteSuccess(uint64_t key) {
     std::lock_guard lock(m_mutex);
     decide::NoteSuccess(m_state, key, Now());
   }
-  bool IsSetAside(uint64_t key) const {
+  bool IsQuarantined(uint64_t key) const {
     std::lock_guard lock(m_mutex);
-    return decide::IsSetAside(m_state, key, Now());
+    return decide::IsQuarantined(m_state, key, Now());
   }
-  std::vector<decide::CrashNote> News() {
+  std::vector<decide::CrashRecord> News() {
     std::lock_guard lock(m_mutex);
     return decide::News(m_state);
   }
-  void Merge(const std::vector<decide::CrashNote>& notes) {
+  void Merge(const std::vector<decide::CrashRecord>& notes) {
     std::lock_guard lock(m_mutex);
     decide::Merge(m_state, notes, Now());
   }
 
  private:
-  std::function<void()> m_on_news;
+  std::function<void()> m_on_new_records;
   mutable std::mutex m_mutex;
   decide::QuarantineState m_state;
 };
--- a/src/libverbenalead/daemon/metered_runner.cc
+++ b/src/libverbenalead/daemon/metered_runner.cc
@@ -4,9 +4,9 @@
 
 namespace verbenalead::daemon {
 
-Awaitable<void> CountingRunner::Run(model::Call call,
-                                    wire::Request request,
-                                    wire::ResponseWriter& writer) {
+Awaitable<void> MeteredRunner::Run(model::Call call,
+                                   wire::Request request,
+                                   wire::ResponseWriter& writer) {
   ++m_running;
   const TimePoint start = Now();
   const std::string labels = "pool=\"" + call.pool() + "\"";
--- a/src/libverbenalead/daemon/metered_runner.h
+++ b/src/libverbenalead/daemon/metered_runner.h
@@ -10,9 +10,9 @@
 
 /// Counts and times calls for the metrics, and counts those in progress for the
 /// log line of a shutdown. Wraps another runner.
-class CountingRunner : public front::CallRunner {
+class MeteredRunner : public front::CallRunner {
  public:
-  CountingRunner(front::CallRunner& runner, Metrics& metrics)
+  MeteredRunner(front::CallRunner& runner, Metrics& metrics)
       : m_runner(runner), m_metrics(metrics) {}
 
   Awaitable<void> Run(model::Call call,
--- a/src/libverbenalead/daemon/pool_router.cc
+++ b/src/libverbenalead/daemon/pool_router.cc
@@ -20,21 +20,21 @@
       : m_event(executor, TimePoint::max()) {}
 
   asio::steady_timer m_event;
-  std::optional<decide::AdmitAction> m_action;
+  std::optional<decide::AdmissionAction> m_action;
 };
 
 // Each process has its own random seed. With equal seeds all entries would
 // choose the same targets at the same time.
 PoolRouter::PoolRouter(size_t entries) : m_random(std::random_device()()) {
-  SetEntries(entries);
+  SetEntryCount(entries);
 }
 
-void PoolRouter::SetEntries(size_t entries) {
+void PoolRouter::SetEntryCount(size_t entries) {
   std::lock_guard lock(m_mutex);
   m_admit.m_entries = static_cast<uint32_t>(std::max<size_t>(entries, 1));
 }
 
-Awaitable<decide::AdmitAction> PoolRouter::Admit(model::Call call) {
+Awaitable<decide::AdmissionAction> PoolRouter::Admit(model::Call call) {
   const auto executor = co_await asio::this_coro::executor;
   auto waiter = std::make_shared<Waiter>(executor);
   bool start_sweep = false;
@@ -46,7 +46,7 @@
     decide::CountFirstAttempt(m_budget);
     Deliver(decide::Tick(m_admit, decide::UsableCapacity(m_place, now), now));
     Deliver(decide::Arrive(m_admit, ticket, call, now));
-    start_sweep = BeginSweep();
+    start_sweep = TryStartSweep();
   }
   if (start_sweep)
     Spawn(executor, Sweep(), "sweep");
@@ -58,7 +58,7 @@
   co_return *waiter->m_action;
 }
 
-bool PoolRouter::BeginSweep() {
+bool PoolRouter::TryStartSweep() {
   if (m_sweeping || m_admit.m_waiting == 0)
     return false;
   m_sweeping = true;
@@ -68,15 +68,15 @@
 Awaitable<void> PoolRouter::Sweep() {
   bool calls_waiting = true;
   while (calls_waiting) {
-    co_await Sleep(decide::kDropEvery);
+    co_await Sleep(decide::kDeadlineScanInterval);
     Tick();
     std::lock_guard lock(m_mutex);
     calls_waiting = m_sweeping = m_admit.m_waiting > 0;
   }
 }
 
-void PoolRouter::Deliver(const std::vector<decide::AdmitAction>& actions) {
-  for (const decide::AdmitAction& action : actions) {
+void PoolRouter::Deliver(const std::vector<decide::AdmissionAction>& actions) {
+  for (const decide::AdmissionAction& action : actions) {
     auto found = m_waiters.extract(action.m_ticket);
     if (found.empty())
       continue;
@@ -91,7 +91,7 @@
 void PoolRouter::Finish(const model::Call& call,
                         std::optional<Duration> elapsed) {
   std::lock_guard lock(m_mutex);
-  Deliver(decide::Finish(m_admit, decide::UnitsOf(call), elapsed, Now()));
+  Deliver(decide::Finish(m_admit, decide::WorkUnits(call), elapsed, Now()));
 }
 
 std::optional<decide::Placement> PoolRouter::Place(
@@ -108,27 +108,27 @@
 
 void PoolRouter::AttemptEnded(const std::string& target,
                               const model::Call& call,
-                              decide::TargetSign sign,
+                              decide::TargetFeedback sign,
                               Duration elapsed,
                               std::optional<uint32_t> running) {
   std::lock_guard lock(m_mutex);
   const TimePoint now = Now();
   decide::AttemptEnded(m_place, target, call, sign, elapsed, now);
   if (running)
-    decide::LoadSeen(m_place, target, *running, now);
+    decide::LoadObserved(m_place, target, *running, now);
 }
 
-decide::RetryDecision PoolRouter::AfterAttempt(
+decide::RetryDecision PoolRouter::DecideRetry(
     const model::Call& call,
-    const decide::EndedAttempt& attempt) {
+    const decide::FinishedAttempt& attempt) {
   std::lock_guard lock(m_mutex);
-  return decide::AfterAttempt(call, attempt, m_budget, Now());
+  return decide::DecideRetry(call, attempt, m_budget, Now());
 }
 
-bool PoolRouter::FoundFull() {
+bool PoolRouter::RecordTargetsFull() {
   std::lock_guard lock(m_mutex);
   const TimePoint now = Now();
-  decide::LowerLimit(m_admit, now);
+  decide::LowerConcurrencyLimit(m_admit, now);
   return decide::UsableCapacity(m_place, now) > 0;
 }
 
--- a/src/libverbenalead/daemon/pool_router.h
+++ b/src/libverbenalead/daemon/pool_router.h
@@ -24,11 +24,11 @@
   explicit PoolRouter(size_t entries);
 
   /// Sets the number of entries that send calls to the same targets.
-  void SetEntries(size_t entries);
+  void SetEntryCount(size_t entries);
 
   /// Waits until `call` is admitted or refused. After kStart, Finish() has to
   /// be called once; otherwise the call's capacity is never released.
-  Awaitable<decide::AdmitAction> Admit(model::Call call);
+  Awaitable<decide::AdmissionAction> Admit(model::Call call);
   /// `elapsed`: as for decide::Finish().
   void Finish(const model::Call& call, std::optional<Duration> elapsed);
 
@@ -42,15 +42,15 @@
   /// any.
   void AttemptEnded(const std::string& target,
                     const model::Call& call,
-                    decide::TargetSign sign,
+                    decide::TargetFeedback sign,
                     Duration elapsed,
                     std::optional<uint32_t> running);
-  decide::RetryDecision AfterAttempt(const model::Call& call,
-                                     const decide::EndedAttempt& attempt);
+  decide::RetryDecision DecideRetry(const model::Call& call,
+                                    const decide::FinishedAttempt& attempt);
   /// Records that a call found all targets full, and lowers the admission
   /// limit. Returns false if the pool has no usable target, so that waiting is
   /// useless.
-  bool FoundFull();
+  bool RecordTargetsFull();
 
   void Report(const model::TargetReport& report);
   void RemoveTarget(const std::string& target);
@@ -64,18 +64,18 @@
 
   /// Resumes the waiting call of each action with that action. Called with
   /// m_mutex held.
-  void Deliver(const std::vector<decide::AdmitAction>& actions);
+  void Deliver(const std::vector<decide::AdmissionAction>& actions);
   /// Calls Tick() periodically while calls wait. Without it a waiting call
   /// could stay in the queue past its deadline.
   Awaitable<void> Sweep();
   /// Returns true, and marks Sweep() as running, if calls wait and Sweep() is
   /// not running yet. The caller then has to start it. Called with m_mutex
   /// held.
-  bool BeginSweep();
+  bool TryStartSweep();
 
   mutable std::mutex m_mutex;
-  decide::AdmitState m_admit;
-  decide::PlaceState m_place;
+  decide::AdmissionState m_admit;
+  decide::TargetSelectionState m_place;
   decide::RetryBudget m_budget;
   decide::Random m_random;
   uint64_t m_last_ticket = 0;
--- a/src/libverbenalead/daemon/pool_router_test.cc
+++ b/src/libverbenalead/daemon/pool_router_test.cc
@@ -30,8 +30,8 @@
   model::CallBuilder builder;
   builder.Id(std::to_string(number)).Organisation("o").Pool("p");
   const model::Call call = builder.Deadline(Now() + 30s).Build();
-  const decide::AdmitAction admitted = co_await router.Admit(call);
-  if (admitted.m_kind == decide::AdmitAction::Kind::kStart) {
+  const decide::AdmissionAction admitted = co_await router.Admit(call);
+  if (admitted.m_kind == decide::AdmissionAction::Kind::kStart) {
     const int concurrent = ++counts.m_concurrent;
     int max_concurrent = counts.m_max_concurrent;
     while (concurrent > max_concurrent &&
@@ -41,8 +41,8 @@
     const auto placement = router.Place(call, {}, {});
     co_await Sleep(1ms);
     if (placement)
-      router.AttemptEnded(placement->m_target, call, decide::TargetSign::kGood,
-                          1ms, 0);
+      router.AttemptEnded(placement->m_target, call,
+                          decide::TargetFeedback::kGood, 1ms, 0);
     --counts.m_concurrent;
     router.Finish(call, 1ms);
     ++counts.m_started;
--- a/src/libverbenalead/daemon/pool_routers.h
+++ b/src/libverbenalead/daemon/pool_routers.h
@@ -25,13 +25,13 @@
   }
 
   /// Sets the number of entries that send calls to the same targets.
-  void SetEntries(size_t entries) {
+  void SetEntryCount(size_t entries) {
     {
       std::lock_guard lock(m_mutex);
       m_entries = entries;
     }
     for (PoolRouter* router : All())
-      router->SetEntries(entries);
+      router->SetEntryCount(entries);
   }
 
   std::vector<PoolRouter*> All() {
@@ -43,10 +43,10 @@
   }
 
  private:
-  static constexpr size_t kEntriesAtStart = 8;
+  static constexpr size_t kInitialEntries = 8;
 
   std::mutex m_mutex;
-  size_t m_entries = kEntriesAtStart;
+  size_t m_entries = kInitialEntries;
   std::map<std::string, std::unique_ptr<PoolRouter>> m_routers;
 };
 
--- a/src/libverbenalead/daemon/program.cc
+++ b/src/libverbenalead/daemon/program.cc
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr int kExitFailure = 1;
-constexpr int kBadUse = 2;
+constexpr int kUsageError = 2;
 
 }  // namespace
 
@@ -39,7 +39,7 @@
   try {
     app.parse(argc, argv);
   } catch (const CLI::ParseError& error) {
-    return app.exit(error) == 0 ? 0 : kBadUse;
+    return app.exit(error) == 0 ? 0 : kUsageError;
   }
   if (describe) {
     std::cout << mode->m_schema.Describe();
@@ -47,12 +47,12 @@
   }
   if (path.empty()) {
     std::cerr << name << ": no settings file given; use -s FILE\n";
-    return kBadUse;
+    return kUsageError;
   }
   auto settings = CatchFailure([&] { return mode->m_schema.Load(path); });
   if (!settings) {
     std::cerr << name << ": " << ToString(settings.error()) << "\n";
-    return kBadUse;
+    return kUsageError;
   }
   if (check)
     return 0;
--- a/src/libverbenalead/daemon/request_runner.cc
+++ b/src/libverbenalead/daemon/request_runner.cc
@@ -13,7 +13,7 @@
 /// Delay after which a caller may retry if no target could take the call.
 constexpr Duration kRetryAfterNoTarget = 1s;
 /// Longest pause between two rounds of a call that found the targets full. The
-/// first pause is decide::kFullPause.
+/// first pause is decide::kFullTargetPause.
 constexpr Duration kMaxFullPause = 160ms;
 /// Number of rounds after which a call is refused if targets refused it for
 /// another reason than lack of capacity, such as a closed gate or another
@@ -41,44 +41,45 @@
 
 /// True if the target itself refused the call at once, without running it.
 bool IsTurnedAway(const AttemptReport& report) {
-  return report.m_end == decide::AttemptEnd::kNotRun && !report.m_broken;
+  return report.m_end == decide::AttemptEnd::kNotRun && !report.m_target_faulty;
 }
 
 /// True if a target refused a call only because of its load.
 bool IsForCapacity(const std::string& reason) {
-  return reason == peer::kFull || reason == peer::kBusier;
+  return reason == peer::kFull || reason == peer::kAboveMaxRunning;
 }
 
 /// True if, as far as the entry can observe, the target or its engine crashed
 /// while it ran the call. An attempt that only timed out doesn't count.
 bool LooksLikeCrash(const AttemptReport& report, const model::Call& call) {
-  const bool lost = report.m_broken &&
-                    report.m_end == decide::AttemptEnd::kDoubtful &&
+  const bool lost = report.m_target_faulty &&
+                    report.m_end == decide::AttemptEnd::kInDoubt &&
                     Now() < call.deadline();
   return lost || (report.m_end == decide::AttemptEnd::kFailed &&
                   report.m_reason == "engine_failed");
 }
 
 /// What the end of an attempt indicates about the state of its target.
-decide::TargetSign SignOf(const AttemptReport& report) {
-  using decide::TargetSign;
-  if (report.m_broken)
-    return TargetSign::kBroken;
+decide::TargetFeedback SignOf(const AttemptReport& report) {
+  using decide::TargetFeedback;
+  if (report.m_target_faulty)
+    return TargetFeedback::kBroken;
   switch (report.m_end) {
     case decide::AttemptEnd::kCompleted:
-      return TargetSign::kGood;
+      return TargetFeedback::kGood;
     case decide::AttemptEnd::kFailed:
-      return TargetSign::kFailed;
-    case decide::AttemptEnd::kDoubtful:
+      return TargetFeedback::kFailed;
+    case decide::AttemptEnd::kInDoubt:
       // The caller disconnected, which is no fault of the target.
-      return TargetSign::kRefused;
+      return TargetFeedback::kRefused;
     case decide::AttemptEnd::kNotRun:
       break;
   }
   if (report.m_reason == peer::kFull)
-    return TargetSign::kFull;
-  return report.m_reason == peer::kBusier ? TargetSign::kBusier
-                                          : TargetSign::kRefused;
+    return TargetFeedback::kFull;
+  return report.m_reason == peer::kAboveMaxRunning
+             ? TargetFeedback::kAboveMaxRunning
+             : TargetFeedback::kRefused;
 }
 
 wire::Response MakeRecordedResponse(const RecordedAnswer& answer,
@@ -120,8 +121,8 @@
                                   .With("urgency", call.urgency())
                                   .With("idempotent", call.idempotent())
                                   .With("peer", request.m_peer));
-  if (m_quarantine.IsSetAside(call.fingerprint())) {
-    co_await SetAside(std::move(call), writer);
+  if (m_quarantine.IsQuarantined(call.fingerprint())) {
+    co_await RefuseQuarantined(std::move(call), writer);
     co_return;
   }
   std::optional<uint64_t> claim;
@@ -131,9 +132,9 @@
       co_return;
   }
   PoolRouter& router = m_routers.Get(call.pool());
-  const decide::AdmitAction admitted = co_await router.Admit(call);
-  Verdict verdict;
-  if (admitted.m_kind == decide::AdmitAction::Kind::kRefuse) {
+  const decide::AdmissionAction admitted = co_await router.Admit(call);
+  CallResult verdict;
+  if (admitted.m_kind == decide::AdmissionAction::Kind::kRefuse) {
     verdict.m_reason = admitted.m_reason;
     verdict.m_retry_after = admitted.m_retry_after;
   } else {
@@ -149,8 +150,8 @@
   co_await Tell(std::move(call), std::move(verdict), writer);
 }
 
-Awaitable<void> RequestRunner::SetAside(model::Call call,
-                                        wire::ResponseWriter& writer) {
+Awaitable<void> RequestRunner::RefuseQuarantined(model::Call call,
+                                                 wire::ResponseWriter& writer) {
   m_journal.Record(call.id(), LogLine("set_aside")
                                   .With("organisation", call.organisation())
                                   .With("reason", kQuarantinedReason));
@@ -192,28 +193,28 @@
   co_return std::nullopt;
 }
 
-Awaitable<RequestRunner::Verdict> RequestRunner::Attempt(
+Awaitable<RequestRunner::CallResult> RequestRunner::Attempt(
     model::Call call,
     wire::Request request,
     wire::ResponseWriter& writer) {
   PoolRouter& router = m_routers.Get(call.pool());
   const TimePoint started = Now();
-  Verdict verdict;
+  CallResult verdict;
   verdict.m_reason = "no_usable_target";
-  Duration pause = decide::kFullPause;
+  Duration pause = decide::kFullTargetPause;
   int turned_away = 0;
   while (true) {
-    const RoundEnd end =
-        co_await TryTargets(call, request, started, verdict, writer);
-    if (end == RoundEnd::kDone)
+    const RoundResult end =
+        co_await RunRound(call, request, started, verdict, writer);
+    if (end == RoundResult::kDone)
       co_return verdict;
-    if (end == RoundEnd::kTurnedAway)
+    if (end == RoundResult::kRefusedByTargets)
       ++turned_away;
-    const bool capacity_expected = router.FoundFull();
+    const bool capacity_expected = router.RecordTargetsFull();
     if (!capacity_expected || turned_away >= kMaxRoundsTurnedAway ||
         Now() + pause >= call.deadline()) {
       verdict.m_outcome =
-          decide::OutcomeToTell(Outcome::kRefused, verdict.m_in_doubt);
+          decide::OutcomeToReport(Outcome::kRefused, verdict.m_in_doubt);
       verdict.m_retry_after = kRetryAfterNoTarget;
       co_return verdict;
     }
@@ -222,27 +223,27 @@
   }
 }
 
-Awaitable<RequestRunner::RoundEnd> RequestRunner::TryTargets(
+Awaitable<RequestRunner::RoundResult> RequestRunner::RunRound(
     const model::Call& call,
     const wire::Request& request,
     TimePoint started,
-    Verdict& verdict,
+    CallResult& verdict,
     wire::ResponseWriter& writer) {
   PoolRouter& router = m_routers.Get(call.pool());
   std::set<std::string> tried;
-  RoundEnd end_without_target = RoundEnd::kFull;
+  RoundResult end_without_target = RoundResult::kFull;
   while (true) {
     auto placement = router.Place(call, tried, Now() - started);
     if (!placement)
       co_return end_without_target;
     tried.insert(placement->m_target);
-    decide::EndedAttempt ended =
-        co_await TryOne(call, std::move(*placement), request, verdict, writer);
+    decide::FinishedAttempt ended = co_await RunOneAttempt(
+        call, std::move(*placement), request, verdict, writer);
     ended.m_number = static_cast<uint32_t>(tried.size());
-    const decide::RetryDecision decision = router.AfterAttempt(call, ended);
+    const decide::RetryDecision decision = router.DecideRetry(call, ended);
     verdict.m_outcome =
-        decide::OutcomeToTell(decision.m_outcome, verdict.m_in_doubt);
-    verdict.m_in_doubt |= ended.m_end == decide::AttemptEnd::kDoubtful;
+        decide::OutcomeToReport(decision.m_outcome, verdict.m_in_doubt);
+    verdict.m_in_doubt |= ended.m_end == decide::AttemptEnd::kInDoubt;
     m_journal.Record(call.id(),
                      LogLine("attempt_ended")
                          .With("attempt", uint64_t{verdict.m_attempts})
@@ -252,23 +253,23 @@
                          .With("retry", decision.m_retry)
                          .With("over_budget", decision.m_over_budget)
                          .With("reason", verdict.m_reason));
-    if (ended.m_turned_away && !IsForCapacity(verdict.m_reason))
-      end_without_target = RoundEnd::kTurnedAway;
-    if (decision.m_retry && !m_quarantine.IsSetAside(call.fingerprint()))
+    if (ended.m_refused_without_run && !IsForCapacity(verdict.m_reason))
+      end_without_target = RoundResult::kRefusedByTargets;
+    if (decision.m_retry && !m_quarantine.IsQuarantined(call.fingerprint()))
       continue;
-    if (ended.m_turned_away)
+    if (ended.m_refused_without_run)
       co_return end_without_target;
     if (verdict.m_outcome == Outcome::kRefused)
       verdict.m_retry_after = kRetryAfterNoTarget;
-    co_return RoundEnd::kDone;
+    co_return RoundResult::kDone;
   }
 }
 
-Awaitable<decide::EndedAttempt> RequestRunner::TryOne(
+Awaitable<decide::FinishedAttempt> RequestRunner::RunOneAttempt(
     const model::Call& call,
     decide::Placement placement,
     const wire::Request& request,
-    Verdict& verdict,
+    CallResult& verdict,
     wire::ResponseWriter& writer) {
   ++verdict.m_attempts;
   verdict.m_target = placement.m_target;
@@ -291,22 +292,22 @@
       .AttemptEnded(placement.m_target, call, SignOf(last), Now() - sent,
                     last.m_running);
   if (LooksLikeCrash(last, call)) {
-    m_quarantine.NoteCrash(call.fingerprint(), placement.m_target);
+    m_quarantine.RecordCrash(call.fingerprint(), placement.m_target);
     m_journal.Record(
         call.id(), LogLine("crashed_under").With("target", placement.m_target));
   }
   if (last.m_end == decide::AttemptEnd::kCompleted)
     m_quarantine.NoteSuccess(call.fingerprint());
-  decide::EndedAttempt ended;
+  decide::FinishedAttempt ended;
   ended.m_end = last.m_end;
-  ended.m_answer_begun = last.m_answer_begun;
-  ended.m_turned_away = IsTurnedAway(last);
+  ended.m_answer_started = last.m_answer_started;
+  ended.m_refused_without_run = IsTurnedAway(last);
   co_return ended;
 }
 
 Awaitable<void> RequestRunner::SettleClaim(model::Call call,
                                            uint64_t writer,
-                                           Verdict verdict) {
+                                           CallResult verdict) {
   bool settled = false;
   if (verdict.m_outcome == Outcome::kRefused) {
     settled = co_await m_claims.Release(call, writer);
@@ -320,7 +321,7 @@
     const wire::Response& last = verdict.m_last.m_answer;
     answer.m_status = last.m_status;
     answer.m_content_type = wire::Get(last.m_headers, "content-type");
-    answer.m_whole = !verdict.m_last.m_answer_begun &&
+    answer.m_whole = !verdict.m_last.m_answer_started &&
                      last.m_body.size() <= kMaxRecordedBody &&
                      IsJsonText(last.m_body);
     if (answer.m_whole)
@@ -335,7 +336,7 @@
 }
 
 Awaitable<void> RequestRunner::Tell(model::Call call,
-                                    Verdict verdict,
+                                    CallResult verdict,
                                     wire::ResponseWriter& writer) {
   m_journal.Record(call.id(),
                    LogLine("outcome")
@@ -346,7 +347,7 @@
                        .With("reason", verdict.m_reason)
                        .With("call", call.instance()));
   const AttemptReport& last = verdict.m_last;
-  if (last.m_answer_begun) {
+  if (last.m_answer_started) {
     // The terminator of the chunked encoding is not sent for a stream that was
     // cut short, so that the caller can't take the stream for complete.
     if (verdict.m_outcome == Outcome::kCompleted) {
--- a/src/libverbenalead/daemon/request_runner.h
+++ b/src/libverbenalead/daemon/request_runner.h
@@ -35,17 +35,17 @@
                       wire::ResponseWriter& writer) override;
 
   /// For the exchange of crash notes with other entries.
-  QuarantineKeeper& quarantine() { return m_quarantine; }
+  LockedQuarantine& quarantine() { return m_quarantine; }
   /// Sets the number of entries, including this one. They share the capacity of
   /// the table and the targets.
-  void SetEntries(size_t entries) {
-    m_claims.SetEntries(entries);
-    m_routers.SetEntries(entries);
+  void SetEntryCount(size_t entries) {
+    m_claims.SetEntryCount(entries);
+    m_routers.SetEntryCount(entries);
   }
 
  private:
   /// The result of all attempts of a call.
-  struct Verdict {
+  struct CallResult {
     model::Outcome m_outcome = model::Outcome::kRefused;
     std::string m_reason;
     std::string m_target;
@@ -59,7 +59,8 @@
 
   /// Refuses a request that is quarantined because targets crashed while they
   /// ran it.
-  Awaitable<void> SetAside(model::Call call, wire::ResponseWriter& writer);
+  Awaitable<void> RefuseQuarantined(model::Call call,
+                                    wire::ResponseWriter& writer);
   /// Returns the writer number of the claim. Returns nullopt if the key could
   /// not be claimed; the caller then has been answered.
   Awaitable<std::optional<uint64_t>> ClaimKey(model::Call call,
@@ -67,34 +68,35 @@
   /// Sends attempts until `call` has run, can't be retried, or has reached its
   /// deadline. A call that finds all targets full keeps its admission slot and
   /// starts another round after a pause.
-  Awaitable<Verdict> Attempt(model::Call call,
-                             wire::Request request,
-                             wire::ResponseWriter& writer);
+  Awaitable<CallResult> Attempt(model::Call call,
+                                wire::Request request,
+                                wire::ResponseWriter& writer);
   /// The result of one round of attempts, each at another target. kDone: the
   /// verdict is final.
-  enum class RoundEnd { kDone, kFull, kTurnedAway };
-  Awaitable<RoundEnd> TryTargets(const model::Call& call,
-                                 const wire::Request& request,
-                                 TimePoint started,
-                                 Verdict& verdict,
-                                 wire::ResponseWriter& writer);
-  Awaitable<decide::EndedAttempt> TryOne(const model::Call& call,
-                                         decide::Placement placement,
-                                         const wire::Request& request,
-                                         Verdict& verdict,
-                                         wire::ResponseWriter& writer);
+  enum class RoundResult { kDone, kFull, kRefusedByTargets };
+  Awaitable<RoundResult> RunRound(const model::Call& call,
+                                  const wire::Request& request,
+                                  TimePoint started,
+                                  CallResult& verdict,
+                                  wire::ResponseWriter& writer);
+  Awaitable<decide::FinishedAttempt> RunOneAttempt(
+      const model::Call& call,
+      decide::Placement placement,
+      const wire::Request& request,
+      CallResult& verdict,
+      wire::ResponseWriter& writer);
   Awaitable<void> SettleClaim(model::Call call,
                               uint64_t writer,
-                              Verdict verdict);
+                              CallResult verdict);
   Awaitable<void> Tell(model::Call call,
-                       Verdict verdict,
+                       CallResult verdict,
                        wire::ResponseWriter& writer);
 
   PoolRouters& m_routers;
   AttemptRunner m_attempts;
-  ClaimKeeper m_claims;
+  ClaimStore m_claims;
   Journal& m_journal;
-  QuarantineKeeper m_quarantine;
+  LockedQuarantine m_quarantine;
 };
 
 }  // namespace verbenalead::daemon
--- a/src/libverbenalead/daemon/revision_client.cc
+++ b/src/libverbenalead/daemon/revision_client.cc
@@ -15,12 +15,12 @@
   return m_client.Open(std::move(endpoint), std::move(request), deadline);
 }
 
-wire::Handler WithRevision(ConfigKeeper& config, wire::Handler handler) {
+wire::Handler WithRevision(ConfigStore& config, wire::Handler handler) {
   return [&config, handler = std::move(handler)](const wire::Request& request,
                                                  wire::ResponseWriter& writer) {
     const std::string text = wire::Get(request.m_headers, peer::kRevision);
     if (!text.empty())
-      config.Hear(std::strtoull(text.c_str(), nullptr, 10));
+      config.RecordObservedRevision(std::strtoull(text.c_str(), nullptr, 10));
     return handler(request, writer);
   };
 }
--- a/src/libverbenalead/daemon/revision_client.h
+++ b/src/libverbenalead/daemon/revision_client.h
@@ -12,7 +12,7 @@
 /// detects from it that it is behind and fetches the changes.
 class RevisionClient : public wire::Client {
  public:
-  RevisionClient(wire::Client& client, const ConfigKeeper& config)
+  RevisionClient(wire::Client& client, const ConfigStore& config)
       : m_client(client), m_config(config) {}
 
   Awaitable<AsyncResult<std::unique_ptr<wire::ResponseReader>>>
@@ -20,12 +20,12 @@
 
  private:
   wire::Client& m_client;
-  const ConfigKeeper& m_config;
+  const ConfigStore& m_config;
 };
 
 /// Returns a handler that records the revision header of each request in
 /// `config` and passes the request to `handler`.
-wire::Handler WithRevision(ConfigKeeper& config, wire::Handler handler);
+wire::Handler WithRevision(ConfigStore& config, wire::Handler handler);
 
 }  // namespace verbenalead::daemon
 
--- a/src/libverbenalead/daemon/target_daemon.cc
+++ b/src/libverbenalead/daemon/target_daemon.cc
@@ -33,7 +33,7 @@
 constexpr Duration kHostListInterval = 1s;
 constexpr Duration kHealthInterval = 250ms;
 constexpr Duration kAttemptCleanupInterval = 10s;
-constexpr Duration kStopPoll = 20ms;
+constexpr Duration kStopPollInterval = 20ms;
 constexpr char kAttemptPath[] = "/v1/attempt";
 constexpr char kServiceHealthPath[] = "/healthz";
 
@@ -79,7 +79,7 @@
         m_sessions(peer::SessionLimits{}, &m_credentials),
         m_journal(settings.Text("host"),
                   static_cast<size_t>(settings.Integer("journal.requests"))),
-        m_signed_table(m_http, CredentialsIn(settings), "dynamodb"),
+        m_signed_table(m_http, LoadPlatformCredentials(settings), "dynamodb"),
         m_table(m_signed_table,
                 settings.Address("platform.table"),
                 settings.Text("platform.table_name"),
@@ -193,14 +193,14 @@
     report.m_origin_bytes = m_counters.m_origin_bytes;
     report.m_peer_bytes = m_counters.m_peer_bytes;
     const VersionProgress progress = m_versions.progress();
-    report.m_version = progress.m_in_force;
+    report.m_version = progress.m_active_version;
     report.m_loading = progress.m_loading;
     report.m_stage = progress.m_stage;
     report.m_reason = progress.m_reason;
     if (!progress.m_loading.empty()) {
       const auto manifest = m_store.GetManifest(progress.m_loading_digest);
       report.m_chunks_total = manifest ? manifest->chunk_count() : 0;
-      report.m_chunks_held = m_store.HeldChunks(progress.m_loading_digest);
+      report.m_chunks_held = m_store.HeldChunkCount(progress.m_loading_digest);
     }
     m_gate.With([&](decide::GateState& gate) {
       report.m_incarnation = gate.m_incarnation;
@@ -259,21 +259,21 @@
     }
   }
 
-  Awaitable<void> StopWhenAsked() {
+  Awaitable<void> StopOnSignal() {
     co_await m_signals.async_wait(asio::use_awaitable);
     StartLeaving("signal");
     const TimePoint notice_end = Now() + m_settings.Milliseconds("stop.notice");
     const TimePoint grace_end = Now() + m_settings.Milliseconds("stop.grace");
     while (Now() < grace_end &&
            (Now() < notice_end || m_attempts.serving() > 0))
-      co_await Sleep(kStopPoll);
+      co_await Sleep(kStopPollInterval);
     LogLine("stopped").With("cut_off", m_attempts.serving()).Info();
     m_threads.Stop();
   }
 
   /// On SIGHUP, reloads the key for connections between the processes, so that
   /// it can be replaced without a restart.
-  Awaitable<void> ReloadWhenAsked() {
+  Awaitable<void> ReloadOnHangup() {
     while (true) {
       co_await m_hangup.async_wait(asio::use_awaitable);
       if (const auto done = m_credentials.Load(); !done)
@@ -316,13 +316,13 @@
   Pacer m_download;
   UploadScheduler m_uploads;
   WeightsStore m_store;
-  GateKeeper m_gate;
-  ConfigKeeper m_config;
+  GuardedGate m_gate;
+  ConfigStore m_config;
   RevisionClient m_peers;
   ConfigFollower m_follower;
   TransferCounters m_counters;
   WeightsFetcher m_fetcher;
-  VersionKeeper m_versions;
+  VersionController m_versions;
   AttemptServer m_attempts;
   peer::Server m_peer_server;
   http::Server m_weights_server;
@@ -343,8 +343,8 @@
   SpawnLoop(executor, parts.FollowHosts(), "follow_hosts");
   SpawnLoop(executor, parts.m_follower.Run(), "follow_config");
   SpawnLoop(executor, parts.RemoveExpiredAttempts(), "forget_attempts");
-  SpawnLoop(executor, parts.StopWhenAsked(), "stop_when_asked");
-  SpawnLoop(executor, parts.ReloadWhenAsked(), "reload_when_asked");
+  SpawnLoop(executor, parts.StopOnSignal(), "stop_when_asked");
+  SpawnLoop(executor, parts.ReloadOnHangup(), "reload_when_asked");
   if (parts.m_settings.Text("backend.kind") == "engine")
     SpawnLoop(executor, parts.m_versions.Run(), "keep_version");
   else
--- a/src/libverbenalead/daemon/target_directory.cc
+++ b/src/libverbenalead/daemon/target_directory.cc
@@ -13,7 +13,7 @@
 
 constexpr Duration kReportTimeout = 1s;
 /// How long a target delays its answer while nothing changes. Less than
-/// decide::kReportStale, the age after which a report no longer shows that its
+/// decide::kMaxReportAge, the age after which a report no longer shows that its
 /// target is alive, so that an idle target stays in use.
 constexpr Duration kHold = 1500ms;
 constexpr int kPollsPerHostList = 4;
@@ -31,10 +31,10 @@
         decide::SetHosts(m_members, hosts);
       m_listed = std::move(hosts);
     }
-    for (const model::Host& host : decide::Watched(m_members, Now())) {
+    for (const model::Host& host : decide::TargetsToWatch(m_members, Now())) {
       if (host.leaving())
         MarkLeaving(host);
-      bool& request_pending = m_known[host.name()].m_asking;
+      bool& request_pending = m_known[host.name()].m_request_pending;
       if (request_pending)
         continue;
       request_pending = true;
@@ -64,9 +64,9 @@
       "&seen=" + m_known[host.name()].m_seen;
   auto response = co_await wire::Fetch(m_peers, host.peer(), std::move(request),
                                        Now() + kHold + kReportTimeout);
-  m_known[host.name()].m_asking = false;
+  m_known[host.name()].m_request_pending = false;
   if (response) {
-    TakeReport(host, *response);
+    HandleReport(host, *response);
     co_return;
   }
   // Without a mark the target answers the next request at once. A delayed
@@ -78,8 +78,8 @@
       .Debug();
 }
 
-void TargetDirectory::TakeReport(const model::Host& host,
-                                 const wire::Response& response) {
+void TargetDirectory::HandleReport(const model::Host& host,
+                                   const wire::Response& response) {
   Known& known = m_known[host.name()];
   if (response.m_status != kUnchanged) {
     auto report =
@@ -98,8 +98,8 @@
   // The address comes from the host list: the target only has the address that
   // it binds, which other hosts may not be able to reach.
   known.m_report.m_peer = host.peer();
-  decide::Heard(m_members, host.name(), Now());
-  m_config.HeardFrom(known.m_report.m_revision);
+  decide::RecordAnswer(m_members, host.name(), Now());
+  m_config.RecordContact(known.m_report.m_revision);
   m_routers.Get(known.m_report.m_pool).Report(known.m_report);
 }
 
--- a/src/libverbenalead/daemon/target_directory.h
+++ b/src/libverbenalead/daemon/target_directory.h
@@ -43,7 +43,7 @@
   /// The last report of a target.
   struct Known {
     /// Whether a status request to the target is in progress.
-    bool m_asking = false;
+    bool m_request_pending = false;
     model::TargetReport m_report;
     /// The mark by which the target identifies that report; sent with the next
     /// status request, so that the target answers when its report differs.
@@ -51,7 +51,7 @@
   };
 
   Awaitable<void> AskTarget(model::Host host);
-  void TakeReport(const model::Host& host, const wire::Response& response);
+  void HandleReport(const model::Host& host, const wire::Response& response);
   void MarkLeaving(const model::Host& host);
 
   PoolRouters& m_routers;
@@ -60,7 +60,7 @@
   ConfigFollower& m_config;
   const Duration m_poll;
   // Used only by the thread that runs Run().
-  decide::MembersState m_members;
+  decide::TargetWatchState m_members;
   std::vector<model::Host> m_listed;
   std::map<std::string, Known> m_known;
 };
--- a/src/libverbenalead/daemon/target_peer_api.cc
+++ b/src/libverbenalead/daemon/target_peer_api.cc
@@ -22,13 +22,13 @@
 /// Interval at which newly arrived chunks are announced to a follower. It is
 /// less than half of the time that a chunk takes on the intended links, and
 /// limits the rate to 20 messages per second.
-constexpr Duration kNewsInterval = 50ms;
+constexpr Duration kUpdateSendInterval = 50ms;
 /// How long a request to follow a version waits for the version's manifest. A
 /// new version reaches the hosts within seconds of each other.
 constexpr Duration kManifestWaitLimit = 30s;
 /// Longest time that a request for the status is held open, and the interval at
 /// which the report is compared meanwhile.
-constexpr unsigned long long kLongestHoldMs = 10000;
+constexpr unsigned long long kMaxHoldMs = 10000;
 constexpr Duration kReportPollInterval = 100ms;
 constexpr size_t kHexDigits = 2 * Digest::kBytes;
 
@@ -69,7 +69,7 @@
   auto manifest = context->m_store->GetManifest(whole);
   const TimePoint wait_end = Now() + kManifestWaitLimit;
   while (alive && !manifest && Now() < wait_end) {
-    co_await Sleep(kNewsInterval);
+    co_await Sleep(kUpdateSendInterval);
     alive = !writer.gone();
     manifest = context->m_store->GetManifest(whole);
   }
@@ -78,9 +78,9 @@
   // The count is read before the bits: a chunk that arrives between the two
   // reads is then sent twice. In the other order it would not be sent at all.
   size_t sent_count = context->m_store->Arrivals(whole, 0).size();
-  alive = co_await writer.Write(context->m_store->HaveBits(whole));
+  alive = co_await writer.Write(context->m_store->HeldChunkBits(whole));
   while (alive && sent_count < manifest->chunk_count()) {
-    co_await Sleep(kNewsInterval);
+    co_await Sleep(kUpdateSendInterval);
     std::string update;
     for (uint32_t chunk : context->m_store->Arrivals(whole, sent_count)) {
       AppendNumber(update, chunk);
@@ -118,20 +118,19 @@
 /// none. An idle target thus costs each watching client two short messages per
 /// 1.5 seconds.
 Awaitable<wire::Response> ServeStatus(Context context, wire::Request request) {
-  using decide::ReportNews;
+  using decide::ReportChange;
   const std::string seen = wire::QueryValue(request, "seen");
-  const auto hold = std::chrono::milliseconds(
-      std::min(kLongestHoldMs,
-               std::strtoull(wire::QueryValue(request, "hold_ms").c_str(),
-                             nullptr, 10)));
+  const auto hold = std::chrono::milliseconds(std::min(
+      kMaxHoldMs, std::strtoull(wire::QueryValue(request, "hold_ms").c_str(),
+                                nullptr, 10)));
   const TimePoint wait_end = Now() + hold;
   while (true) {
     const model::TargetReport report = context->m_report();
-    const std::string mark = decide::MarkOf(report);
-    const ReportNews change = decide::NewsOf(mark, seen);
+    const std::string mark = decide::ReportMarkOf(report);
+    const ReportChange change = decide::NewsOf(mark, seen);
     const bool ended = Now() >= wait_end;
-    if (change == ReportNews::kUrgent ||
-        (change == ReportNews::kLater && ended)) {
+    if (change == ReportChange::kUrgent ||
+        (change == ReportChange::kDeferrable && ended)) {
       wire::Response response = wire::JsonResponse(200, ToJson(report));
       response.m_headers[peer::kReportMark] = mark;
       co_return response;
@@ -154,7 +153,7 @@
   }
   if (path.starts_with(kHave)) {
     co_return wire::Response{
-        200, {}, context->m_store->HaveBits(DigestAfter(path, kHave))};
+        200, {}, context->m_store->HeldChunkBits(DigestAfter(path, kHave))};
   }
   if (path.starts_with(kChunk))
     co_return co_await ServeChunk(context, std::move(request));
@@ -203,7 +202,7 @@
   }
   const Digest whole = DigestAfter(path, kWeights);
   const auto manifest = store.GetManifest(whole);
-  if (!manifest || store.HeldChunks(whole) != manifest->chunk_count()) {
+  if (!manifest || store.HeldChunkCount(whole) != manifest->chunk_count()) {
     co_await writer.Send({404, {}, "not whole here"});
     co_return;
   }
--- a/src/libverbenalead/daemon/trace_collector.cc
+++ b/src/libverbenalead/daemon/trace_collector.cc
@@ -141,7 +141,7 @@
   Duration pause = kFlushInterval;
   while (true) {
     co_await Sleep(pause);
-    std::string segment = journal.TakeSegment();
+    std::string segment = journal.ExtractSegment();
     if (segment.empty())
       continue;
     auto put = co_await store.Put(
@@ -153,7 +153,7 @@
   }
 }
 
-Awaitable<std::vector<std::string>> GatherTrace(
+Awaitable<std::vector<std::string>> CollectTrace(
     std::string request,
     const Journal& journal,
     wire::Client& peers,
--- a/src/libverbenalead/daemon/trace_collector.h
+++ b/src/libverbenalead/daemon/trace_collector.h
@@ -24,11 +24,12 @@
 /// process has a line with the outcome, the recent segments of all entries in
 /// `hosts` are searched, since the entry of the request may have crashed or
 /// been replaced. `store` may be null; segments are not searched then.
-Awaitable<std::vector<std::string>> GatherTrace(std::string request,
-                                                const Journal& journal,
-                                                wire::Client& peers,
-                                                backends::ObjectStore* store,
-                                                std::vector<model::Host> hosts);
+Awaitable<std::vector<std::string>> CollectTrace(
+    std::string request,
+    const Journal& journal,
+    wire::Client& peers,
+    backends::ObjectStore* store,
+    std::vector<model::Host> hosts);
 
 }  // namespace verbenalead::daemon
 
--- a/src/libverbenalead/daemon/transfer_messages.cc
+++ b/src/libverbenalead/daemon/transfer_messages.cc
@@ -19,7 +19,7 @@
     body += static_cast<char>(number >> 8 * i & 0xff);
 }
 
-std::vector<uint32_t> HaveReader::Read(const std::string& piece) {
+std::vector<uint32_t> HeldChunksReader::Read(const std::string& piece) {
   m_rest += piece;
   std::vector<uint32_t> chunks;
   if (!m_bits_read && m_rest.size() >= (m_chunk_count + 7) / 8)
@@ -33,7 +33,7 @@
   return chunks;
 }
 
-void HaveReader::ReadBits(std::vector<uint32_t>& chunks) {
+void HeldChunksReader::ReadBits(std::vector<uint32_t>& chunks) {
   for (uint32_t i = 0; i < m_chunk_count; ++i) {
     if (m_rest[i / 8] >> (i % 8) & 1)
       chunks.push_back(i);
--- a/src/libverbenalead/daemon/transfer_messages.h
+++ b/src/libverbenalead/daemon/transfer_messages.h
@@ -19,9 +19,10 @@
 void AppendNumber(std::string& body, uint32_t number);
 
 /// Parses such a response body incrementally. Pieces may be split anywhere.
-class HaveReader {
+class HeldChunksReader {
  public:
-  explicit HaveReader(uint32_t chunk_count) : m_chunk_count(chunk_count) {}
+  explicit HeldChunksReader(uint32_t chunk_count)
+      : m_chunk_count(chunk_count) {}
 
   /// Returns the chunks whose announcement is complete with `piece`.
   std::vector<uint32_t> Read(const std::string& piece);
--- a/src/libverbenalead/daemon/upload_scheduler.cc
+++ b/src/libverbenalead/daemon/upload_scheduler.cc
@@ -14,7 +14,7 @@
 /// Number of chunks sent concurrently. With two, the second chunk is ready when
 /// the first has been sent, so that the link isn't idle in between. More would
 /// weaken the effect of the queue's order.
-constexpr uint32_t kUploadsAtOnce = 2;
+constexpr uint32_t kMaxConcurrentUploads = 2;
 /// Number of versions above which queues without waiting requests are dropped.
 /// Normally two are in use: the active version and the one being transferred.
 constexpr size_t kMaxQueues = 4;
@@ -58,7 +58,7 @@
     });
   }
   waiter->m_request.m_id = ++m_next_id;
-  decide::AddUpload(m_queues[whole], waiter->m_request);
+  decide::EnqueueUpload(m_queues[whole], waiter->m_request);
   m_waiters[m_next_id] = std::move(waiter);
   Grant();
 }
@@ -71,8 +71,8 @@
 
 void UploadScheduler::Grant() {
   for (auto& [whole, queue] : m_queues) {
-    while (m_busy < kUploadsAtOnce) {
-      const auto next = decide::TakeUpload(queue);
+    while (m_busy < kMaxConcurrentUploads) {
+      const auto next = decide::DequeueUpload(queue);
       if (!next)
         break;
       ++m_busy;
--- a/src/libverbenalead/daemon/version_controller.cc
+++ b/src/libverbenalead/daemon/version_controller.cc
@@ -29,16 +29,16 @@
 
 }  // namespace
 
-VersionKeeper::VersionKeeper(std::string host,
-                             std::string pool,
-                             Endpoint weights_server,
-                             ConfigKeeper& config,
-                             HostDirectory& hosts,
-                             GateKeeper& gate,
-                             WeightsStore& store,
-                             WeightsFetcher& fetcher,
-                             backends::Engine& engine,
-                             backends::Table& table)
+VersionController::VersionController(std::string host,
+                                     std::string pool,
+                                     Endpoint weights_server,
+                                     ConfigStore& config,
+                                     HostDirectory& hosts,
+                                     GuardedGate& gate,
+                                     WeightsStore& store,
+                                     WeightsFetcher& fetcher,
+                                     backends::Engine& engine,
+                                     backends::Table& table)
     : m_host(std::move(host)),
       m_pool(std::move(pool)),
       m_weights_server(std::move(weights_server)),
@@ -52,33 +52,33 @@
       m_permits(m_pool, table),
       m_state(decide::StartRollout(m_host, gate.incarnation())) {}
 
-const decide::RolloutPlan& VersionKeeper::Plan() {
-  const ConfigKeeper::State config = m_config.current();
+const decide::RolloutPlan& VersionController::Plan() {
+  const ConfigStore::State config = m_config.current();
   uint32_t hosts = 0;
   for (const model::Host& host : m_hosts.Hosts(model::HostRole::kTarget)) {
     if (host.pool() == m_pool && !host.leaving())
       ++hosts;
   }
   m_plan.m_hosts = hosts;
-  if (config->m_revision == m_plan_of_revision)
+  if (config->m_revision == m_plan_revision)
     return m_plan;
   m_plan = decide::PlanForPool(*config, m_pool, hosts);
-  m_plan_of_revision = config->m_revision;
+  m_plan_revision = config->m_revision;
   With([&](decide::RolloutState&, decide::GateState&) {
     for (const auto& [digest, name] : m_plan.m_declared)
-      m_names[digest] = name;
+      m_version_names[digest] = name;
   });
   return m_plan;
 }
 
-VersionProgress VersionKeeper::progress() const {
+VersionProgress VersionController::progress() const {
   return With([&](decide::RolloutState& state, decide::GateState& gate) {
     auto name_of = [&](const Digest& digest) {
-      auto found = m_names.find(digest);
-      return found == m_names.end() ? std::string() : found->second;
+      auto found = m_version_names.find(digest);
+      return found == m_version_names.end() ? std::string() : found->second;
     };
     VersionProgress progress;
-    progress.m_in_force = name_of(gate.m_digest);
+    progress.m_active_version = name_of(gate.m_digest);
     progress.m_stage = decide::ToString(state.m_stage);
     progress.m_reason = state.m_reason;
     if (state.m_stage != decide::RolloutStage::kInForce) {
@@ -89,9 +89,9 @@
   });
 }
 
-Awaitable<void> VersionKeeper::Run() {
+Awaitable<void> VersionController::Run() {
   const auto executor = co_await boost::asio::this_coro::executor;
-  Spawn(executor, KeepPermit(), "keep_permit");
+  Spawn(executor, MaintainPermit(), "keep_permit");
   SpawnLoop(executor, PollEngine(), "poll_engine");
   SpawnLoop(executor, WatchEngine(), "watch_engine");
   while (true) {
@@ -125,7 +125,7 @@
   }
 }
 
-Awaitable<void> VersionKeeper::Do(decide::RolloutAction action) {
+Awaitable<void> VersionController::Do(decide::RolloutAction action) {
   switch (action.m_kind) {
     case Kind::kNone:
       break;
@@ -136,21 +136,21 @@
       co_await ReadPermits();
       break;
     case Kind::kWritePermits:
-      co_await WritePermits(std::move(action.m_board));
+      co_await WritePermits(std::move(action.m_load_permits));
       break;
-    case Kind::kMintFence:
-      co_await MintFence();
+    case Kind::kMintFencingToken:
+      co_await MintFencingToken();
       break;
     case Kind::kOrder:
-      co_await Order(action.m_digest, action.m_fence);
+      co_await Order(action.m_digest, action.m_fencing_token);
       break;
-    case Kind::kAskEngine:
-      co_await AskEngine(action.m_doubt);
+    case Kind::kQueryEngine:
+      co_await QueryEngine(action.m_status_epoch);
       break;
   }
 }
 
-Awaitable<void> VersionKeeper::Fetch(Digest digest) {
+Awaitable<void> VersionController::Fetch(Digest digest) {
   const auto version = decide::VersionForPool(*m_config.current(), m_pool);
   if (!version || version->m_digest != digest)
     co_return;
@@ -165,7 +165,7 @@
   std::function<bool()> still_wanted = [this, digest] {
     return Plan().m_digest == digest &&
            With([](decide::RolloutState& state, decide::GateState& gate) {
-             return state.m_settled == gate.m_doubt;
+             return state.m_settled == gate.m_status_epoch;
            });
   };
   auto fetched = co_await m_fetcher.Fetch(*version, still_wanted);
@@ -178,13 +178,13 @@
       // Another version was declared during the transfer. Chunks of the old one
       // must not be served, nor mixed with those of the new one.
       LogLine("transfer_cancelled").With("version", version->m_name).Info();
-      DropUnwanted(digest);
+      DropUndeclared(digest);
     }
     co_return;
   }
   // The previous version is kept for a rollback only while memory suffices.
   if (fetched.error().m_code == FailureCode::kRefused &&
-      DropOthers(digest, digest))
+      DropAllExcept(digest, digest))
     co_return;
   LogLine("version_failed")
       .With("version", version->m_name)
@@ -195,18 +195,18 @@
   });
 }
 
-Awaitable<void> VersionKeeper::ReadPermits() {
+Awaitable<void> VersionController::ReadPermits() {
   auto read = co_await m_permits.Read();
   if (!read)
     LogLine("permits_unavailable").With(read.error()).Warn();
   With([&](decide::RolloutState& state, decide::GateState&) {
     decide::PermitsRead(
-        state, read ? std::optional<decide::PermitBoard>(*read) : std::nullopt,
+        state, read ? std::optional<decide::LoadPermits>(*read) : std::nullopt,
         Now());
   });
 }
 
-Awaitable<void> VersionKeeper::WritePermits(decide::PermitBoard board) {
+Awaitable<void> VersionController::WritePermits(decide::LoadPermits board) {
   const TimePoint sent = Now();
   const decide::WriteResult result = co_await m_permits.Write(std::move(board));
   With([&](decide::RolloutState& state, decide::GateState& gate) {
@@ -214,24 +214,24 @@
   });
 }
 
-Awaitable<void> VersionKeeper::MintFence() {
+Awaitable<void> VersionController::MintFencingToken() {
   auto fence = co_await m_fences.Mint();
   if (fence) {
     With([&](decide::RolloutState& state, decide::GateState&) {
-      decide::FenceMinted(state, *fence);
+      decide::FencingTokenMinted(state, *fence);
     });
     co_return;
   }
   LogLine("fence_not_minted").With(fence.error()).Warn();
   if (fence.error().m_code == FailureCode::kConflict) {
     With([](decide::RolloutState& state, decide::GateState& gate) {
-      decide::Deposed(state, gate);
+      decide::Superseded(state, gate);
     });
   }
   co_await Sleep(kMintRetryDelay);
 }
 
-Awaitable<void> VersionKeeper::Order(Digest digest, uint64_t fence) {
+Awaitable<void> VersionController::Order(Digest digest, uint64_t fence) {
   const auto version = decide::VersionForPool(*m_config.current(), m_pool);
   std::string reason = "declared anew before the order";
   if (version && version->m_digest == digest) {
@@ -239,7 +239,7 @@
     order.m_model = version->m_model;
     order.m_version = version->m_name;
     order.m_digest = digest;
-    order.m_fence = fence;
+    order.m_fencing_token = fence;
     order.m_weights_url =
         "http://" + ToString(m_weights_server) + "/weights/" + ToString(digest);
     LogLine("load_ordered")
@@ -255,47 +255,49 @@
   });
 }
 
-Awaitable<void> VersionKeeper::AskEngine(uint64_t doubt) {
+Awaitable<void> VersionController::QueryEngine(uint64_t doubt) {
   auto status = co_await m_engine.Status(Now() + kStatusTimeout);
   const decide::RolloutPlan& plan = Plan();
-  const Digest previous = With([&](decide::RolloutState& state,
-                                   decide::GateState& gate) {
-    const bool was_open = gate.m_open;
-    decide::EngineAnswered(state, gate, plan, DigestOf(status), doubt, Now());
-    if (gate.m_open && !was_open) {
-      LogLine("gate_opened")
-          .With("version", m_names[gate.m_digest])
-          .With("digest", ToString(gate.m_digest))
-          .With("generation", gate.m_generation)
-          .Info();
-    }
-    return state.m_last_open;
-  });
+  const Digest previous =
+      With([&](decide::RolloutState& state, decide::GateState& gate) {
+        const bool was_open = gate.m_open;
+        decide::EngineStatusReceived(state, gate, plan, DigestOf(status), doubt,
+                                     Now());
+        if (gate.m_open && !was_open) {
+          LogLine("gate_opened")
+              .With("version", m_version_names[gate.m_digest])
+              .With("digest", ToString(gate.m_digest))
+              .With("generation", gate.m_generation)
+              .Info();
+        }
+        return state.m_previous_version;
+      });
   if (status && status->m_digest == plan.m_digest)
-    DropOthers(plan.m_digest, previous);
+    DropAllExcept(plan.m_digest, previous);
 }
 
-Awaitable<void> VersionKeeper::KeepPermit() {
+Awaitable<void> VersionController::MaintainPermit() {
   while (true) {
     const auto [due, ordered] =
         With([](decide::RolloutState& state, decide::GateState&) {
-          return std::pair(decide::RenewalDue(state, Now()), state.m_ordered);
+          return std::pair(decide::RenewalDue(state, Now()),
+                           state.m_ordered_version);
         });
     if (due)
       co_await RenewPermit();
     if (!ordered.empty() && ordered != Plan().m_digest)
-      DropUnwanted(ordered);
+      DropUndeclared(ordered);
     co_await Sleep(kPermitPollInterval);
   }
 }
 
-Awaitable<void> VersionKeeper::RenewPermit() {
+Awaitable<void> VersionController::RenewPermit() {
   auto read = co_await m_permits.Read();
   if (!read)
     co_return;
-  std::optional<decide::PermitBoard> next =
+  std::optional<decide::LoadPermits> next =
       With([&](decide::RolloutState& state, decide::GateState&) {
-        return decide::Renewed(state, *read);
+        return decide::WithPermitRenewed(state, *read);
       });
   if (!next)
     co_return;
@@ -308,11 +310,11 @@
   });
 }
 
-Awaitable<void> VersionKeeper::LookAtEngine() {
+Awaitable<void> VersionController::CheckEngine() {
   auto status = co_await m_engine.Status(Now() + kStatusTimeout);
   With([&](decide::RolloutState& state, decide::GateState& gate) {
     const bool was_open = gate.m_open;
-    decide::EngineSeen(state, gate, DigestOf(status));
+    decide::EnginePolled(state, gate, DigestOf(status));
     if (was_open && !gate.m_open) {
       LogLine line("gate_shut");
       if (status)
@@ -323,22 +325,22 @@
   });
 }
 
-Awaitable<void> VersionKeeper::PollEngine() {
+Awaitable<void> VersionController::PollEngine() {
   while (true) {
     co_await Sleep(kStatusPollInterval);
-    co_await LookAtEngine();
+    co_await CheckEngine();
   }
 }
 
-Awaitable<void> VersionKeeper::WatchEngine() {
+Awaitable<void> VersionController::WatchEngine() {
   while (true) {
-    co_await m_engine.WaitWhileConnected();
-    co_await LookAtEngine();
+    co_await m_engine.WaitForDisconnect();
+    co_await CheckEngine();
     co_await Sleep(kReconnectDelay);
   }
 }
 
-void VersionKeeper::DropUnwanted(const Digest& digest) {
+void VersionController::DropUndeclared(const Digest& digest) {
   m_store.Drop(digest);
   With([&](decide::RolloutState& state, decide::GateState&) {
     if (state.m_fetched == digest)
@@ -346,12 +348,13 @@
   });
 }
 
-bool VersionKeeper::DropOthers(const Digest& wanted, const Digest& previous) {
+bool VersionController::DropAllExcept(const Digest& wanted,
+                                      const Digest& previous) {
   bool dropped = false;
   for (const Digest& digest : m_store.Versions()) {
     if (digest == wanted || digest == previous)
       continue;
-    DropUnwanted(digest);
+    DropUndeclared(digest);
     dropped = true;
   }
   return dropped;
--- a/src/libverbenalead/daemon/version_controller.h
+++ b/src/libverbenalead/daemon/version_controller.h
@@ -22,18 +22,18 @@
 /// reports its result. It is the only component that orders the engine to load.
 /// Runs on one thread; state that other threads read is guarded by the gate's
 /// mutex.
-class VersionKeeper {
+class VersionController {
  public:
-  VersionKeeper(std::string host,
-                std::string pool,
-                Endpoint weights_server,
-                ConfigKeeper& config,
-                HostDirectory& hosts,
-                GateKeeper& gate,
-                WeightsStore& store,
-                WeightsFetcher& fetcher,
-                backends::Engine& engine,
-                backends::Table& table);
+  VersionController(std::string host,
+                    std::string pool,
+                    Endpoint weights_server,
+                    ConfigStore& config,
+                    HostDirectory& hosts,
+                    GuardedGate& gate,
+                    WeightsStore& store,
+                    WeightsFetcher& fetcher,
+                    backends::Engine& engine,
+                    backends::Table& table);
 
   /// Runs until the process ends. To be called from one thread only.
   Awaitable<void> Run();
@@ -52,44 +52,44 @@
   Awaitable<void> Do(decide::RolloutAction action);
   Awaitable<void> Fetch(Digest digest);
   Awaitable<void> ReadPermits();
-  Awaitable<void> WritePermits(decide::PermitBoard board);
-  Awaitable<void> MintFence();
+  Awaitable<void> WritePermits(decide::LoadPermits board);
+  Awaitable<void> MintFencingToken();
   Awaitable<void> Order(Digest digest, uint64_t fence);
-  Awaitable<void> AskEngine(uint64_t doubt);
+  Awaitable<void> QueryEngine(uint64_t doubt);
 
   /// The following run concurrently with the steps, which may take minutes
   /// each.
-  Awaitable<void> KeepPermit();
+  Awaitable<void> MaintainPermit();
   Awaitable<void> RenewPermit();
   Awaitable<void> PollEngine();
   Awaitable<void> WatchEngine();
-  Awaitable<void> LookAtEngine();
+  Awaitable<void> CheckEngine();
 
   /// Frees the memory of a version that is no longer declared. An engine that
   /// is reading the version's weights gets an incomplete response.
-  void DropUnwanted(const Digest& digest);
+  void DropUndeclared(const Digest& digest);
   /// Drops all versions except these two. Returns true if any was dropped.
-  bool DropOthers(const Digest& wanted, const Digest& previous);
+  bool DropAllExcept(const Digest& wanted, const Digest& previous);
 
   const std::string m_host;
   const std::string m_pool;
   const Endpoint m_weights_server;
-  ConfigKeeper& m_config;
+  ConfigStore& m_config;
   HostDirectory& m_hosts;
-  GateKeeper& m_gate;
+  GuardedGate& m_gate;
   WeightsStore& m_store;
   WeightsFetcher& m_fetcher;
   backends::Engine& m_engine;
-  FenceMinter m_fences;
-  PermitTable m_permits;
+  FencingTokenMinter m_fences;
+  LoadPermitTable m_permits;
   decide::RolloutPlan m_plan;
-  uint64_t m_plan_of_revision = 0;
+  uint64_t m_plan_revision = 0;
   mutable decide::RolloutState m_state;
   /// The version that is declared for the pool, for progress().
   Digest m_wanted;
   decide::RolloutStage m_logged_stage = decide::RolloutStage::kIdle;
   /// Names of all versions that this process has seen declared, by digest.
-  std::map<Digest, std::string> m_names;
+  std::map<Digest, std::string> m_version_names;
 };
 
 }  // namespace verbenalead::daemon
--- a/src/libverbenalead/daemon/version_progress.h
+++ b/src/libverbenalead/daemon/version_progress.h
@@ -9,7 +9,7 @@
 
 /// The active version of a target host and the progress of a rollout on it.
 struct VersionProgress {
-  std::string m_in_force;
+  std::string m_active_version;
   /// Name of the version being fetched or loaded; empty if there is none.
   std::string m_loading;
   Digest m_loading_digest;
--- a/src/libverbenalead/daemon/weights_fetcher.cc
+++ b/src/libverbenalead/daemon/weights_fetcher.cc
@@ -18,7 +18,7 @@
 
 namespace asio = boost::asio;
 
-constexpr Duration kAskTimeout = 1s;
+constexpr Duration kPeerRequestTimeout = 1s;
 /// Interval at which a read checks whether it has been cancelled.
 constexpr Duration kCancelPollInterval = 250ms;
 constexpr Duration kStepInterval = 5ms;
@@ -95,7 +95,7 @@
   run->m_transfer = decide::StartTransfer(
       m_options.m_self, manifest->chunk_count(), limits, Now());
   for (uint32_t chunk : m_store.Arrivals(manifest->whole(), 0))
-    decide::ChunkArrived(run->m_transfer, chunk, Now());
+    decide::RecordChunkArrival(run->m_transfer, chunk, Now());
   const auto executor = co_await asio::this_coro::executor;
   const TimePoint start = Now();
   bool still_wanted = wanted();
@@ -166,27 +166,27 @@
 Awaitable<void> WeightsFetcher::Follow(std::shared_ptr<Run> run,
                                        std::string name,
                                        std::shared_ptr<const bool> cancelled) {
-  const bool ended = co_await ReadNews(run, name, cancelled);
+  const bool ended = co_await ReadAnnouncements(run, name, cancelled);
   if (!ended && !*cancelled)
-    decide::NeighbourLost(run->m_transfer, name, Now(), m_random);
+    decide::RecordNeighbourLoss(run->m_transfer, name, Now(), m_random);
 }
 
-Awaitable<bool> WeightsFetcher::ReadNews(
+Awaitable<bool> WeightsFetcher::ReadAnnouncements(
     std::shared_ptr<Run> run,
     std::string name,
     std::shared_ptr<const bool> cancelled) {
   wire::Request request;
   request.m_path =
       "/v1/have/" + ToString(run->m_manifest.whole()) + "?follow=1";
-  auto opened = co_await m_peers.Open(run->m_endpoints[name],
-                                      std::move(request), Now() + kAskTimeout);
+  auto opened = co_await m_peers.Open(
+      run->m_endpoints[name], std::move(request), Now() + kPeerRequestTimeout);
   if (!opened)
     co_return false;
   wire::ResponseReader& reader = **opened;
-  auto head = co_await reader.ReadHead(Now() + kAskTimeout);
+  auto head = co_await reader.ReadHead(Now() + kPeerRequestTimeout);
   if (!head || head->m_status != 200)
     co_return false;
-  HaveReader have_reader(run->m_manifest.chunk_count());
+  HeldChunksReader have_reader(run->m_manifest.chunk_count());
   while (!*cancelled) {
     auto piece = co_await reader.ReadBody(Now() + kCancelPollInterval);
     if (!piece && IsTimeout(piece.error()))
@@ -197,7 +197,7 @@
       co_return true;
     const std::vector<uint32_t> chunks = have_reader.Read(**piece);
     if (!*cancelled)
-      decide::NeighbourHas(run->m_transfer, name, chunks, Now());
+      decide::RecordNeighbourChunks(run->m_transfer, name, chunks, Now());
   }
   co_return true;
 }
@@ -226,8 +226,8 @@
                    std::to_string(fetch.m_chunk);
   request.m_headers[kHeldHeader] = std::to_string(run->m_transfer.m_have_count);
   request.m_headers[kRegionHeader] = m_options.m_self.m_region;
-  auto opened = co_await m_peers.Open(run->m_endpoints[name],
-                                      std::move(request), Now() + kAskTimeout);
+  auto opened = co_await m_peers.Open(
+      run->m_endpoints[name], std::move(request), Now() + kPeerRequestTimeout);
   if (!opened)
     co_return opened.error();
   wire::ResponseReader& reader = **opened;
@@ -258,7 +258,7 @@
     bytes += **piece;
     m_counters.m_peer_bytes += (*piece)->size();
     if (!*cancelled)
-      decide::ChunkProgress(run->m_transfer, fetch.m_chunk, Now());
+      decide::RecordChunkProgress(run->m_transfer, fetch.m_chunk, Now());
   }
   co_return Failure{FailureCode::kCancelled, "fetch chunk", name, "given up"};
 }
@@ -286,7 +286,7 @@
   if (*cancelled)
     co_return;
   if (kept) {
-    decide::ChunkArrived(run->m_transfer, fetch.m_chunk, Now());
+    decide::RecordChunkArrival(run->m_transfer, fetch.m_chunk, Now());
     co_return;
   }
   const bool corrupt = kept.error().m_code == FailureCode::kCorrupt;
@@ -296,7 +296,8 @@
             fetch.m_source.IsOrigin() ? "origin" : fetch.m_source.m_host)
       .With(kept.error())
       .Info();
-  decide::ChunkFailed(run->m_transfer, fetch.m_chunk, corrupt, Now(), m_random);
+  decide::RecordChunkFailure(run->m_transfer, fetch.m_chunk, corrupt, Now(),
+                             m_random);
 }
 
 Awaitable<AsyncResult<std::string>> WeightsFetcher::ManifestFromPeers(
@@ -312,7 +313,7 @@
     request.m_path = "/v1/manifest/" + ToString(version.m_digest);
     auto response =
         co_await wire::Fetch(m_peers, host.peer(), std::move(request),
-                             Now() + kAskTimeout, kMaxManifest);
+                             Now() + kPeerRequestTimeout, kMaxManifest);
     if (response && response->m_status == 200)
       co_return std::move(response->m_body);
   }
--- a/src/libverbenalead/daemon/weights_fetcher.h
+++ b/src/libverbenalead/daemon/weights_fetcher.h
@@ -75,9 +75,9 @@
                          std::shared_ptr<const bool> cancelled);
   /// Reads announcements of chunks from a host until their stream ends. Returns
   /// false if the stream failed.
-  Awaitable<bool> ReadNews(std::shared_ptr<Run> run,
-                           std::string name,
-                           std::shared_ptr<const bool> cancelled);
+  Awaitable<bool> ReadAnnouncements(std::shared_ptr<Run> run,
+                                    std::string name,
+                                    std::shared_ptr<const bool> cancelled);
   void UpdateMembers(Run& run);
 
   const Options m_options;
--- a/src/libverbenalead/daemon/weights_store.cc
+++ b/src/libverbenalead/daemon/weights_store.cc
@@ -83,7 +83,7 @@
   return found == m_versions.end() ? std::string() : found->second.m_text;
 }
 
-std::vector<bool> WeightsStore::Have(const Digest& whole) const {
+std::vector<bool> WeightsStore::HeldChunkFlags(const Digest& whole) const {
   std::lock_guard lock(m_mutex);
   std::vector<bool> have;
   auto found = m_versions.find(whole);
@@ -94,8 +94,8 @@
   return have;
 }
 
-std::string WeightsStore::HaveBits(const Digest& whole) const {
-  const std::vector<bool> have = Have(whole);
+std::string WeightsStore::HeldChunkBits(const Digest& whole) const {
+  const std::vector<bool> have = HeldChunkFlags(whole);
   std::string bits((have.size() + 7) / 8, '\0');
   for (size_t i = 0; i < have.size(); ++i) {
     if (have[i])
@@ -114,7 +114,7 @@
   return {all.begin() + static_cast<std::ptrdiff_t>(first), all.end()};
 }
 
-uint32_t WeightsStore::HeldChunks(const Digest& whole) const {
+uint32_t WeightsStore::HeldChunkCount(const Digest& whole) const {
   std::lock_guard lock(m_mutex);
   auto found = m_versions.find(whole);
   return found == m_versions.end() ? 0 : found->second.m_held;
--- a/src/libverbenalead/daemon/weights_store.h
+++ b/src/libverbenalead/daemon/weights_store.h
@@ -38,12 +38,12 @@
   std::string ManifestText(const Digest& whole) const;
   /// Returns a bit set of the held chunks; chunk i is bit i % 8 of byte i / 8.
   /// Empty if the store doesn't hold the version.
-  std::string HaveBits(const Digest& whole) const;
+  std::string HeldChunkBits(const Digest& whole) const;
   /// Returns the held chunks in their order of arrival, without the first
   /// `first` ones. Empty if the store doesn't hold the version.
   std::vector<uint32_t> Arrivals(const Digest& whole, size_t first) const;
-  std::vector<bool> Have(const Digest& whole) const;
-  uint32_t HeldChunks(const Digest& whole) const;
+  std::vector<bool> HeldChunkFlags(const Digest& whole) const;
+  uint32_t HeldChunkCount(const Digest& whole) const;
   void Drop(const Digest& whole);
   std::vector<Digest> Versions() const;
 
--- a/src/libverbenalead/daemon/weights_store_test.cc
+++ b/src/libverbenalead/daemon/weights_store_test.cc
@@ -65,7 +65,7 @@
     AppendNumber(body, 7);
     AppendNumber(body, 300);
     for (size_t size = 1; size <= body.size(); ++size) {
-      HaveReader reader(10);
+      HeldChunksReader reader(10);
       std::vector<uint32_t> chunks;
       for (size_t offset = 0; offset < body.size(); offset += size) {
         for (uint32_t chunk : reader.Read(body.substr(offset, size)))
--- a/src/libverbenalead/decide/admission.cc
+++ b/src/libverbenalead/decide/admission.cc
@@ -6,7 +6,7 @@
 namespace verbenalead::decide {
 namespace {
 
-using Actions = std::vector<AdmitAction>;
+using Actions = std::vector<AdmissionAction>;
 
 /// Minimum share of an organisation's service rate that the wait estimate
 /// assumes for its less urgent calls, so that the estimate stays finite however
@@ -22,23 +22,25 @@
       std::chrono::duration<double>(seconds));
 }
 
-AdmitAction Refuse(uint64_t ticket, const char* reason, Duration retry_after) {
-  return {AdmitAction::Kind::kRefuse, ticket, reason,
-          std::clamp(retry_after, kLeastRetryAfter, kMostRetryAfter)};
+AdmissionAction Refuse(uint64_t ticket,
+                       const char* reason,
+                       Duration retry_after) {
+  return {AdmissionAction::Kind::kRefuse, ticket, reason,
+          std::clamp(retry_after, kMinRetryAfter, kMaxRetryAfter)};
 }
 
-double MinLimit(const AdmitState& state) {
+double MinLimit(const AdmissionState& state) {
   return std::max(1.0, static_cast<double>(state.m_capacity) /
                            std::max<uint32_t>(state.m_entries, 1));
 }
 
-void BoundLimit(AdmitState& state) {
+void BoundLimit(AdmissionState& state) {
   const double upper_bound = std::max<double>(state.m_capacity, 1);
   state.m_limit = std::clamp(
       state.m_limit, std::min(MinLimit(state), upper_bound), upper_bound);
 }
 
-void Remove(AdmitState& state,
+void Remove(AdmissionState& state,
             OrganisationQueue& queue,
             std::set<WaitingCall>::iterator call) {
   queue.m_units[static_cast<size_t>(call->m_urgency)] -= call->m_units;
@@ -60,12 +62,12 @@
 /// rate, or the entry's equal share of the pool if that is more, as after an
 /// idle time. A rate computed from m_limit would be too high: after an idle
 /// time the limit may be the whole pool, which the entries share in a burst.
-double ServiceRate(const AdmitState& state) {
+double ServiceRate(const AdmissionState& state) {
   const double seconds = SecondsPerUnit(state.m_service);
   if (seconds <= 0)
     return 0;
   const double recent =
-      state.m_served / std::chrono::duration<double>(kArrivalsFadeIn).count();
+      state.m_served / std::chrono::duration<double>(kRateDecayTime).count();
   return std::max(recent, MinLimit(state) / seconds);
 }
 
@@ -75,7 +77,7 @@
   double units = 0;
   for (int u = 0; u <= urgency; ++u)
     units += queue.m_arrived[static_cast<size_t>(u)];
-  return units / std::chrono::duration<double>(kArrivalsFadeIn).count();
+  return units / std::chrono::duration<double>(kRateDecayTime).count();
 }
 
 /// Estimated service rate of `queue` in units of work per second: what the
@@ -84,7 +86,7 @@
 /// organisation that sends far above its share the whole pool, because the
 /// calls of the others start at once and rarely wait; its calls would be
 /// refused only after a long wait.
-double RateFor(const AdmitState& state, const OrganisationQueue& queue) {
+double RateFor(const AdmissionState& state, const OrganisationQueue& queue) {
   double weights = 0;
   for (const auto& [name, other] : state.m_queues) {
     if (&other == &queue || ArrivalRate(other, model::kLeastUrgent) > 0)
@@ -104,7 +106,7 @@
 /// `queue` now. More urgent calls that arrive while it waits are served first.
 /// If the estimate ignored them, a call of the lowest urgency would be admitted
 /// because the queue is short, and overtaken until its deadline had passed.
-Duration TimeToAnswer(const AdmitState& state,
+Duration TimeToAnswer(const AdmissionState& state,
                       const OrganisationQueue& queue,
                       int urgency,
                       double units) {
@@ -117,11 +119,12 @@
   const double rate = RateFor(state, queue);
   const double overtaking = urgency > 0 ? ArrivalRate(queue, urgency - 1) : 0;
   const double left = std::max(rate - overtaking, rate * kMinRateShare);
-  return Seconds(WorkAhead(queue, urgency) / left * kWaitMargin + service);
+  return Seconds(WorkAhead(queue, urgency) / left * kWaitEstimateFactor +
+                 service);
 }
 
 /// The queue with the most waiting calls relative to its weight.
-OrganisationQueue* LargestBacklog(AdmitState& state) {
+OrganisationQueue* LargestBacklog(AdmissionState& state) {
   OrganisationQueue* largest = nullptr;
   for (auto& [name, queue] : state.m_queues) {
     if (queue.m_calls.empty())
@@ -138,7 +141,7 @@
 /// most waiting calls relative to its weight. An organisation that fills the
 /// queue thus can't keep the calls of others out. Returns false if the new call
 /// itself would be the one to refuse.
-bool MakeRoom(AdmitState& state,
+bool MakeRoom(AdmissionState& state,
               const OrganisationQueue& queue,
               int urgency,
               Actions& actions) {
@@ -157,17 +160,17 @@
 
 /// Refuses waiting calls that can no longer be answered before their deadline,
 /// so that their callers can still send them elsewhere.
-void RefuseUnmeetable(AdmitState& state, TimePoint now, Actions& actions) {
-  if (now - state.m_dropped_at < kDropEvery)
+void RefuseUnmeetable(AdmissionState& state, TimePoint now, Actions& actions) {
+  if (now - state.m_deadlines_scanned_at < kDeadlineScanInterval)
     return;
-  state.m_dropped_at = now;
+  state.m_deadlines_scanned_at = now;
   const double seconds = SecondsPerUnit(state.m_service);
   for (auto& [name, queue] : state.m_queues) {
     for (auto call = queue.m_calls.begin(); call != queue.m_calls.end();) {
       const auto next = std::next(call);
       if (now + Seconds(call->m_units * seconds) >= call->m_deadline) {
-        actions.push_back(Refuse(call->m_ticket, "deadline_passed_waiting",
-                                 kLeastRetryAfter));
+        actions.push_back(
+            Refuse(call->m_ticket, "deadline_passed_waiting", kMinRetryAfter));
         Remove(state, queue, call);
       }
       call = next;
@@ -179,7 +182,7 @@
 /// organisation with the least work served relative to its weight. Urgency
 /// orders calls only within an organisation, so that none gains by marking all
 /// its calls as urgent.
-OrganisationQueue* NextQueue(AdmitState& state) {
+OrganisationQueue* NextQueue(AdmissionState& state) {
   OrganisationQueue* next = nullptr;
   for (auto& [name, queue] : state.m_queues) {
     if (!queue.m_calls.empty() &&
@@ -189,7 +192,7 @@
   return next;
 }
 
-void StartWaiting(AdmitState& state, TimePoint now, Actions& actions) {
+void StartWaitingCalls(AdmissionState& state, TimePoint now, Actions& actions) {
   if (state.m_waiting == 0)
     return;
   RefuseUnmeetable(state, now, actions);
@@ -200,19 +203,19 @@
     const auto call = queue->m_calls.begin();
     state.m_tag = queue->m_tag;
     queue->m_tag += call->m_units / queue->m_weight;
-    actions.push_back({AdmitAction::Kind::kStart, call->m_ticket, "", {}});
+    actions.push_back({AdmissionAction::Kind::kStart, call->m_ticket, "", {}});
     Remove(state, *queue, call);
     ++state.m_running;
   }
 }
 
-void DecayRates(AdmitState& state, TimePoint now) {
-  const Duration elapsed_time = now - state.m_faded_at;
-  if (elapsed_time < kFadeEvery)
+void DecayRates(AdmissionState& state, TimePoint now) {
+  const Duration elapsed_time = now - state.m_rates_decayed_at;
+  if (elapsed_time < kRateDecayInterval)
     return;
-  state.m_faded_at = now;
+  state.m_rates_decayed_at = now;
   const double left = std::exp(-std::chrono::duration<double>(elapsed_time) /
-                               std::chrono::duration<double>(kArrivalsFadeIn));
+                               std::chrono::duration<double>(kRateDecayTime));
   state.m_served *= left;
   for (auto& [name, queue] : state.m_queues) {
     for (double& units : queue.m_arrived)
@@ -222,16 +225,16 @@
 
 }  // namespace
 
-std::vector<AdmitAction> Arrive(AdmitState& state,
-                                uint64_t ticket,
-                                const model::Call& call,
-                                TimePoint now) {
+std::vector<AdmissionAction> Arrive(AdmissionState& state,
+                                    uint64_t ticket,
+                                    const model::Call& call,
+                                    TimePoint now) {
   if (state.m_capacity == 0)
     return {Refuse(ticket, "no_usable_target", kRetryAfterNoTarget)};
   DecayRates(state, now);
   OrganisationQueue& queue = state.m_queues[call.organisation()];
   queue.m_weight = std::max(call.weight(), kMinWeight);
-  const double units = UnitsOf(call);
+  const double units = WorkUnits(call);
   const auto urgency = static_cast<size_t>(call.urgency());
   const Duration time_to_answer =
       TimeToAnswer(state, queue, call.urgency(), units);
@@ -240,8 +243,9 @@
                    now + time_to_answer - call.deadline())};
   }
   Actions actions;
-  const auto upper_bound = static_cast<uint32_t>(kQueuePerSlot * state.m_limit);
-  if (state.m_waiting >= std::max(upper_bound, kQueuePerSlot) &&
+  const auto upper_bound =
+      static_cast<uint32_t>(kMaxWaitingPerSlot * state.m_limit);
+  if (state.m_waiting >= std::max(upper_bound, kMaxWaitingPerSlot) &&
       !MakeRoom(state, queue, call.urgency(), actions))
     return {Refuse(ticket, "queue_full", time_to_answer)};
   // An organisation that was idle gets no credit for the service it did not
@@ -253,48 +257,48 @@
   queue.m_calls.insert({call.urgency(), call.deadline(), ticket, units});
   state.m_tickets[ticket] = call.organisation();
   ++state.m_waiting;
-  StartWaiting(state, now, actions);
+  StartWaitingCalls(state, now, actions);
   return actions;
 }
 
-std::vector<AdmitAction> Finish(AdmitState& state,
-                                double units,
-                                std::optional<Duration> elapsed,
-                                TimePoint now) {
+std::vector<AdmissionAction> Finish(AdmissionState& state,
+                                    double units,
+                                    std::optional<Duration> elapsed,
+                                    TimePoint now) {
   if (elapsed) {
     DecayRates(state, now);
     state.m_served += units;
     Add(state.m_service, units, *elapsed);
     if (state.m_running + 1 >= state.m_limit)
-      state.m_limit += kRaiseStep / std::max(1.0, state.m_limit);
+      state.m_limit += kLimitIncreaseStep / std::max(1.0, state.m_limit);
   }
   if (state.m_running > 0)
     --state.m_running;
   BoundLimit(state);
   Actions actions;
-  StartWaiting(state, now, actions);
+  StartWaitingCalls(state, now, actions);
   return actions;
 }
 
-void LowerLimit(AdmitState& state, TimePoint now) {
-  if (now - state.m_lowered_at < kLowerEvery)
+void LowerConcurrencyLimit(AdmissionState& state, TimePoint now) {
+  if (now - state.m_limit_lowered_at < kLimitDecreaseInterval)
     return;
   state.m_limit = std::min<double>(state.m_limit, state.m_running);
-  state.m_limit *= kLowerFactor;
-  state.m_lowered_at = now;
+  state.m_limit *= kLimitDecreaseFactor;
+  state.m_limit_lowered_at = now;
   BoundLimit(state);
 }
 
-std::vector<AdmitAction> Tick(AdmitState& state,
-                              uint32_t capacity,
-                              TimePoint now) {
+std::vector<AdmissionAction> Tick(AdmissionState& state,
+                                  uint32_t capacity,
+                                  TimePoint now) {
   // Added capacity is used at once; targets refuse calls beyond their capacity.
   if (capacity > state.m_capacity)
     state.m_limit += capacity - state.m_capacity;
   state.m_capacity = capacity;
   BoundLimit(state);
   Actions actions;
-  StartWaiting(state, now, actions);
+  StartWaitingCalls(state, now, actions);
   if (capacity > 0)
     return actions;
   for (auto& [name, queue] : state.m_queues) {
@@ -308,7 +312,7 @@
   return actions;
 }
 
-void Abandon(AdmitState& state, uint64_t ticket) {
+void Abandon(AdmissionState& state, uint64_t ticket) {
   auto organisation = state.m_tickets.find(ticket);
   if (organisation == state.m_tickets.end())
     return;
--- a/src/libverbenalead/decide/admission_action.h
+++ b/src/libverbenalead/decide/admission_action.h
@@ -9,7 +9,7 @@
 namespace verbenalead::decide {
 
 /// The decision of the admission queue about one call: start it or refuse it.
-struct AdmitAction {
+struct AdmissionAction {
   enum class Kind { kStart, kRefuse };
   Kind m_kind = Kind::kStart;
   /// The ticket of the call, as passed to Arrive().
@@ -18,7 +18,8 @@
   std::string m_reason;
   Duration m_retry_after{};
 
-  friend bool operator==(const AdmitAction&, const AdmitAction&) = default;
+  friend bool operator==(const AdmissionAction&,
+                         const AdmissionAction&) = default;
 };
 
 }  // namespace verbenalead::decide
--- a/src/libverbenalead/decide/announcement_tracker.cc
+++ b/src/libverbenalead/decide/announcement_tracker.cc
@@ -28,27 +28,29 @@
 
 }  // namespace
 
-bool TakeTold(ChangeWatch& watch,
-              bool same_data_center,
-              uint64_t revision,
-              TimePoint now) {
+bool HandleAnnouncement(AnnouncementTracker& watch,
+                        bool same_data_center,
+                        uint64_t revision,
+                        TimePoint now) {
   watch.m_told_at = now;
   if (same_data_center)
-    watch.m_told_near_at = now;
+    watch.m_local_announced_at = now;
   if (watch.m_known && revision <= watch.m_weights_revision)
     return false;
   return same_data_center ||
-         !IsRecent(watch.m_told_near_at, kLocalAnnouncementTimeout, now);
+         !IsRecent(watch.m_local_announced_at, kLocalAnnouncementTimeout, now);
 }
 
-bool LeavesStoreAlone(const ChangeWatch& watch, double spread, TimePoint now) {
+bool DefersStoreRead(const AnnouncementTracker& watch,
+                     double spread,
+                     TimePoint now) {
   if (IsRecent(watch.m_told_at, kAnnouncementTimeout, now) && watch.m_known)
     return true;
   const auto read_delay =
       kMinReadDelay + std::chrono::duration_cast<Duration>(
                           (kMaxReadDelay - kMinReadDelay) * spread);
-  const TimePoint awaited_at =
-      std::min<TimePoint>(watch.m_awaited_at, watch.m_started + kMaxAwaitTime);
+  const TimePoint awaited_at = std::min<TimePoint>(
+      watch.m_rows_missing_at, watch.m_started + kMaxAwaitTime);
   return now - std::max({watch.m_started, watch.m_told_at, awaited_at}) <
          read_delay;
 }
--- a/src/libverbenalead/decide/announcement_tracker.h
+++ b/src/libverbenalead/decide/announcement_tracker.h
@@ -17,19 +17,19 @@
 /// no process received any change. Instead, entries announce changes to targets
 /// and serve the changed rows, 3 KB; a process reads the store only if no entry
 /// can serve them.
-struct ChangeWatch {
+struct AnnouncementTracker {
   TimePoint m_started{};
   /// Whether the operator's rows are known. Until they are, every announcement
   /// counts as new.
   bool m_known = false;
   /// Revision of the newest change of declared weights that is known here.
   uint64_t m_weights_revision = 0;
-  /// When an entry last announced its revision; m_told_near_at is the same for
-  /// entries of this data centre only.
+  /// When an entry last announced its revision; m_local_announced_at is the
+  /// same for entries of this data centre only.
   TimePoint m_told_at{};
   /// When an entry last answered that it has no rows yet.
-  TimePoint m_awaited_at{};
-  TimePoint m_told_near_at{};
+  TimePoint m_rows_missing_at{};
+  TimePoint m_local_announced_at{};
 };
 
 /// Records that an entry announced `revision` as the newest one it knows.
@@ -40,26 +40,28 @@
 /// announcements cause a fetch: they receive the change at most 0.4 s later.
 /// Otherwise all hosts of the other regions would fetch the rows from a remote
 /// entry at the same moment.
-bool TakeTold(ChangeWatch& watch,
-              bool same_data_center,
-              uint64_t revision,
-              TimePoint now);
+bool HandleAnnouncement(AnnouncementTracker& watch,
+                        bool same_data_center,
+                        uint64_t revision,
+                        TimePoint now);
 
 /// Records that an entry answered but has no rows yet: it has just started as
 /// well, or the operator has not written a configuration.
-inline void NoteAwaited(ChangeWatch& watch, TimePoint now) {
-  watch.m_awaited_at = now;
+inline void RecordMissingRows(AnnouncementTracker& watch, TimePoint now) {
+  watch.m_rows_missing_at = now;
 }
 
 /// Whether the store must not be read for now, because entries are expected to
 /// serve the rows. Each host draws `spread`, 0 to 1, at random, so that hosts
 /// that start together do not read the store at the same moment.
-bool LeavesStoreAlone(const ChangeWatch& watch, double spread, TimePoint now);
+bool DefersStoreRead(const AnnouncementTracker& watch,
+                     double spread,
+                     TimePoint now);
 
 /// Minimum time between two reads of the store by a host that receives no
 /// announcements. When 24 hosts read each of 25 quick changes, they saturated
 /// the links between regions for 5 s, and entries received changes 3 s late.
-constexpr Duration kUntoldInterval = 1500ms;
+constexpr Duration kUnannouncedReadInterval = 1500ms;
 
 }  // namespace verbenalead::decide
 
--- a/src/libverbenalead/decide/announcement_tracker_test.cc
+++ b/src/libverbenalead/decide/announcement_tracker_test.cc
@@ -7,16 +7,16 @@
 
 const TimePoint kStart{std::chrono::hours(1)};
 
-ChangeWatch KnownWatch(uint64_t revision) {
-  ChangeWatch watch;
+AnnouncementTracker KnownWatch(uint64_t revision) {
+  AnnouncementTracker watch;
   watch.m_started = kStart;
   watch.m_known = true;
   watch.m_weights_revision = revision;
   return watch;
 }
 
-class ChangeSourceTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(ChangeSourceTest);
+class AnnouncementTrackerTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(AnnouncementTrackerTest);
   CPPUNIT_TEST(HostsStartingTogetherWaitForEntries);
   CPPUNIT_TEST(WaitsLongerForEntriesWithoutRows);
   CPPUNIT_TEST(ReadsStoreSeldomWithoutAnnouncements);
@@ -32,12 +32,12 @@
   // the rows, no host may read the store; if all entries are dead, the hosts
   // read it at different times.
   void HostsStartingTogetherWaitForEntries() {
-    ChangeWatch watch;
+    AnnouncementTracker watch;
     watch.m_started = kStart;
-    CPPUNIT_ASSERT(LeavesStoreAlone(watch, 0, kStart + 2s));
-    CPPUNIT_ASSERT(!LeavesStoreAlone(watch, 0, kStart + 2500ms));
-    CPPUNIT_ASSERT(LeavesStoreAlone(watch, 1, kStart + 4900ms));
-    CPPUNIT_ASSERT(!LeavesStoreAlone(watch, 1, kStart + 5s));
+    CPPUNIT_ASSERT(DefersStoreRead(watch, 0, kStart + 2s));
+    CPPUNIT_ASSERT(!DefersStoreRead(watch, 0, kStart + 2500ms));
+    CPPUNIT_ASSERT(DefersStoreRead(watch, 1, kStart + 4900ms));
+    CPPUNIT_ASSERT(!DefersStoreRead(watch, 1, kStart + 5s));
   }
 
   // Guards against 200 needless requests to the store: the operator has not
@@ -45,13 +45,13 @@
   // the store. Hosts have to wait for the entries, but only for a limited time,
   // as the entries may have lost the store.
   void WaitsLongerForEntriesWithoutRows() {
-    ChangeWatch watch;
+    AnnouncementTracker watch;
     watch.m_started = kStart;
-    NoteAwaited(watch, kStart + 2s);
-    CPPUNIT_ASSERT(LeavesStoreAlone(watch, 0, kStart + 4s));
-    CPPUNIT_ASSERT(!LeavesStoreAlone(watch, 0, kStart + 5s));
-    NoteAwaited(watch, kStart + 30s);
-    CPPUNIT_ASSERT(!LeavesStoreAlone(watch, 1, kStart + 30s));
+    RecordMissingRows(watch, kStart + 2s);
+    CPPUNIT_ASSERT(DefersStoreRead(watch, 0, kStart + 4s));
+    CPPUNIT_ASSERT(!DefersStoreRead(watch, 0, kStart + 5s));
+    RecordMissingRows(watch, kStart + 30s);
+    CPPUNIT_ASSERT(!DefersStoreRead(watch, 1, kStart + 30s));
   }
 
   // Guards against calls being served by a configuration that is 3 s old: hosts
@@ -59,14 +59,14 @@
   // second. When each host read every change, 100 KB over the link between
   // regions, the link was saturated for 5 s.
   void ReadsStoreSeldomWithoutAnnouncements() {
-    const ChangeWatch watch = KnownWatch(1);
+    const AnnouncementTracker watch = KnownWatch(1);
     int reads = 0;
     TimePoint next_read = kStart;
     for (TimePoint now = kStart; now < kStart + 6s; now += 200ms) {
-      if (now < next_read || LeavesStoreAlone(watch, 0, now))
+      if (now < next_read || DefersStoreRead(watch, 0, now))
         continue;
       ++reads;
-      next_read = now + kUntoldInterval;
+      next_read = now + kUnannouncedReadInterval;
     }
     CPPUNIT_ASSERT(reads <= 4);
     CPPUNIT_ASSERT(reads >= 2);
@@ -77,35 +77,35 @@
   // announce them to hosts everywhere. All hosts of the other regions then
   // fetched from remote entries at the same moment.
   void PrefersRowsFromLocalEntries() {
-    ChangeWatch watch = KnownWatch(1);
-    CPPUNIT_ASSERT(!TakeTold(watch, true, 1, kStart));
-    CPPUNIT_ASSERT(!TakeTold(watch, false, 7, kStart + 1s));
-    CPPUNIT_ASSERT(TakeTold(watch, true, 7, kStart + 1200ms));
-    CPPUNIT_ASSERT(LeavesStoreAlone(watch, 0, kStart + 6s));
+    AnnouncementTracker watch = KnownWatch(1);
+    CPPUNIT_ASSERT(!HandleAnnouncement(watch, true, 1, kStart));
+    CPPUNIT_ASSERT(!HandleAnnouncement(watch, false, 7, kStart + 1s));
+    CPPUNIT_ASSERT(HandleAnnouncement(watch, true, 7, kStart + 1200ms));
+    CPPUNIT_ASSERT(DefersStoreRead(watch, 0, kStart + 6s));
   }
 
   void FetchesFromRemoteEntriesWithoutLocalOnes() {
-    ChangeWatch watch = KnownWatch(1);
-    CPPUNIT_ASSERT(TakeTold(watch, false, 7, kStart));
-    CPPUNIT_ASSERT(!TakeTold(watch, true, 1, kStart + 1s));
-    CPPUNIT_ASSERT(TakeTold(watch, false, 7, kStart + 4s));
+    AnnouncementTracker watch = KnownWatch(1);
+    CPPUNIT_ASSERT(HandleAnnouncement(watch, false, 7, kStart));
+    CPPUNIT_ASSERT(!HandleAnnouncement(watch, true, 1, kStart + 1s));
+    CPPUNIT_ASSERT(HandleAnnouncement(watch, false, 7, kStart + 4s));
   }
 
   void KnownRevisionsCauseNoFetch() {
-    ChangeWatch watch = KnownWatch(7);
-    CPPUNIT_ASSERT(!TakeTold(watch, false, 7, kStart));
-    CPPUNIT_ASSERT(!TakeTold(watch, true, 6, kStart));
+    AnnouncementTracker watch = KnownWatch(7);
+    CPPUNIT_ASSERT(!HandleAnnouncement(watch, false, 7, kStart));
+    CPPUNIT_ASSERT(!HandleAnnouncement(watch, true, 6, kStart));
   }
 
   void FirstRowsAreFetchedFromAnyEntry() {
-    ChangeWatch watch;
+    AnnouncementTracker watch;
     watch.m_started = kStart;
-    CPPUNIT_ASSERT(TakeTold(watch, true, 0, kStart));
-    CPPUNIT_ASSERT(TakeTold(watch, true, 0, kStart + 1s));
+    CPPUNIT_ASSERT(HandleAnnouncement(watch, true, 0, kStart));
+    CPPUNIT_ASSERT(HandleAnnouncement(watch, true, 0, kStart + 1s));
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(ChangeSourceTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(AnnouncementTrackerTest);
 
 }  // namespace
 }  // namespace verbenalead::decide
--- a/src/libverbenalead/decide/attempt_fuzz_test.cc
+++ b/src/libverbenalead/decide/attempt_fuzz_test.cc
@@ -29,7 +29,7 @@
   uint32_t m_number = 0;
   size_t m_target = 0;
   uint64_t m_incarnation = 0;
-  AttemptEvidence m_evidence;
+  AttemptObservations m_evidence;
 };
 
 struct Call {
@@ -37,7 +37,7 @@
   uint32_t m_number = 0;
   size_t m_target = 0;
   uint64_t m_incarnation = 0;
-  AttemptEvidence m_evidence;
+  AttemptObservations m_evidence;
   bool m_void_requested = false;
   bool m_in_doubt = false;
   std::optional<model::Outcome> m_told;
@@ -179,11 +179,11 @@
 
   void ReceiveAttempt(Message message) {
     GateState& gate = m_targets[message.m_target].m_gate;
-    const EnterResult result =
-        EnterOnce(gate, AttemptOf(message), message.m_incarnation, {}, m_now);
-    if (result == EnterResult::kRepeated)
+    const AdmitResult result =
+        AdmitOrVoid(gate, AttemptOf(message), message.m_incarnation, {}, m_now);
+    if (result == AdmitResult::kDuplicate)
       return;
-    if (result == EnterResult::kEntered) {
+    if (result == AdmitResult::kAdmitted) {
       ++m_calls[message.m_call].m_runs;
       m_targets[message.m_target].m_running.push_back(message);
       return;
@@ -195,8 +195,8 @@
 
   void ReceiveVoidRequest(Message message) {
     GateState& gate = m_targets[message.m_target].m_gate;
-    message.m_evidence.m_void =
-        AnswerVoid(gate, AttemptOf(message), message.m_incarnation, m_now);
+    message.m_evidence.m_void = HandleVoidRequest(gate, AttemptOf(message),
+                                                  message.m_incarnation, m_now);
     message.m_kind = Kind::kVoidReply;
     m_network.push_back(message);
   }
@@ -220,20 +220,19 @@
   void End(size_t index) {
     Call& call = m_calls[index];
     const AttemptEnd end = Judge(call.m_evidence);
-    EndedAttempt attempt;
+    FinishedAttempt attempt;
     attempt.m_end = end;
     attempt.m_number = call.m_number;
-    attempt.m_turned_away = call.m_evidence.m_gate_refused;
+    attempt.m_refused_without_run = call.m_evidence.m_gate_refused;
     // Each decision gets a full retry budget, so that an exhausted budget can't
     // hide a fault by preventing retries.
     RetryBudget budget;
-    const RetryDecision next =
-        AfterAttempt(call.m_call, attempt, budget, m_now);
+    const RetryDecision next = DecideRetry(call.m_call, attempt, budget, m_now);
     if (next.m_retry)
       Send(index, static_cast<uint32_t>(call.m_target + 1));
     else
-      call.m_told = OutcomeToTell(next.m_outcome, call.m_in_doubt);
-    call.m_in_doubt |= end == AttemptEnd::kDoubtful;
+      call.m_told = OutcomeToReport(next.m_outcome, call.m_in_doubt);
+    call.m_in_doubt |= end == AttemptEnd::kInDoubt;
   }
 
   void Finish(uint32_t pick) {
@@ -246,11 +245,12 @@
                            static_cast<ptrdiff_t>(index));
     Leave(target.m_gate, AttemptOf(message), m_now);
     message.m_kind = Kind::kAnswer;
-    AttemptEvidence& evidence = message.m_evidence;
-    evidence.m_entered = true;
-    evidence.m_ended_badly = pick % 7 == 0;
+    AttemptObservations& evidence = message.m_evidence;
+    evidence.m_was_admitted = true;
+    evidence.m_reported_failure = pick % 7 == 0;
     // Some answers are truncated or have a wrong digest.
-    evidence.m_ended_well = !evidence.m_ended_badly && pick % 13 != 0;
+    evidence.m_reported_success =
+        !evidence.m_reported_failure && pick % 13 != 0;
     evidence.m_whole = pick % 17 != 0;
     m_network.push_back(message);
   }
@@ -272,7 +272,8 @@
       return;
     const size_t index = pick % m_calls.size();
     Call& call = m_calls[index];
-    if (call.m_told || call.m_void_requested || !NeedsVoid(call.m_evidence))
+    if (call.m_told || call.m_void_requested ||
+        !NeedsVoidRequest(call.m_evidence))
       return;
     call.m_void_requested = true;
     m_network.push_back(MakeMessage(index, Kind::kVoid));
--- a/src/libverbenalead/decide/attempt_gate.cc
+++ b/src/libverbenalead/decide/attempt_gate.cc
@@ -2,21 +2,21 @@
 
 namespace verbenalead::decide {
 
-EnterResult EnterOnce(GateState& gate,
-                      const Attempt& attempt,
-                      uint64_t incarnation,
-                      const Digest& wanted,
-                      TimePoint now) {
-  const EnterResult result = Enter(gate, attempt, incarnation, wanted, now);
-  if (result != EnterResult::kEntered && result != EnterResult::kRepeated)
+AdmitResult AdmitOrVoid(GateState& gate,
+                        const Attempt& attempt,
+                        uint64_t incarnation,
+                        const Digest& wanted,
+                        TimePoint now) {
+  const AdmitResult result = Enter(gate, attempt, incarnation, wanted, now);
+  if (result != AdmitResult::kAdmitted && result != AdmitResult::kDuplicate)
     VoidAttempt(gate, attempt, now);
   return result;
 }
 
-VoidReply AnswerVoid(GateState& gate,
-                     const Attempt& attempt,
-                     uint64_t incarnation,
-                     TimePoint now) {
+VoidReply HandleVoidRequest(GateState& gate,
+                            const Attempt& attempt,
+                            uint64_t incarnation,
+                            TimePoint now) {
   if (incarnation != gate.m_incarnation)
     return VoidReply::kStarted;
   return VoidAttempt(gate, attempt, now) == VoidResult::kNeverStarted
--- a/src/libverbenalead/decide/attempt_gate.h
+++ b/src/libverbenalead/decide/attempt_gate.h
@@ -10,20 +10,20 @@
 /// On a refusal, the entry answers "not run" to its caller. Without the void
 /// mark, a duplicated or late copy of the message would be admitted as soon as
 /// a slot is free, and the call would run after that answer.
-EnterResult EnterOnce(GateState& gate,
-                      const Attempt& attempt,
-                      uint64_t incarnation,
-                      const Digest& wanted,
-                      TimePoint now);
+AdmitResult AdmitOrVoid(GateState& gate,
+                        const Attempt& attempt,
+                        uint64_t incarnation,
+                        const Digest& wanted,
+                        TimePoint now);
 
 /// Makes `attempt`, which was addressed to `incarnation`, void unless it has
 /// started, and returns the target's reply. An attempt addressed to an earlier
 /// incarnation is reported as started: that process may have run it, and this
 /// process has no record of it.
-VoidReply AnswerVoid(GateState& gate,
-                     const Attempt& attempt,
-                     uint64_t incarnation,
-                     TimePoint now);
+VoidReply HandleVoidRequest(GateState& gate,
+                            const Attempt& attempt,
+                            uint64_t incarnation,
+                            TimePoint now);
 
 }  // namespace verbenalead::decide
 
--- a/src/libverbenalead/decide/attempt_judge.cc
+++ b/src/libverbenalead/decide/attempt_judge.cc
@@ -2,27 +2,28 @@
 
 namespace verbenalead::decide {
 
-bool NeedsVoid(const AttemptEvidence& evidence) {
-  return evidence.m_sent && !evidence.m_gate_refused && !evidence.m_entered &&
-         evidence.m_void == VoidReply::kNone;
+bool NeedsVoidRequest(const AttemptObservations& evidence) {
+  return evidence.m_sent && !evidence.m_gate_refused &&
+         !evidence.m_was_admitted && evidence.m_void == VoidReply::kNone;
 }
 
-AttemptEnd Judge(const AttemptEvidence& evidence) {
+AttemptEnd Judge(const AttemptObservations& evidence) {
   if (!evidence.m_sent || evidence.m_gate_refused)
     return AttemptEnd::kNotRun;
-  if (!evidence.m_entered) {
+  if (!evidence.m_was_admitted) {
     return evidence.m_void == VoidReply::kNeverStarted ? AttemptEnd::kNotRun
-                                                       : AttemptEnd::kDoubtful;
+                                                       : AttemptEnd::kInDoubt;
   }
-  if (evidence.m_ended_badly)
+  if (evidence.m_reported_failure)
     return AttemptEnd::kFailed;
   // A wrong length or digest means that the answer was truncated or corrupted
   // in transit.
-  return evidence.m_ended_well && evidence.m_whole ? AttemptEnd::kCompleted
-                                                   : AttemptEnd::kDoubtful;
+  return evidence.m_reported_success && evidence.m_whole
+             ? AttemptEnd::kCompleted
+             : AttemptEnd::kInDoubt;
 }
 
-model::Outcome OutcomeToTell(model::Outcome last, bool earlier_in_doubt) {
+model::Outcome OutcomeToReport(model::Outcome last, bool earlier_in_doubt) {
   return last == model::Outcome::kRefused && earlier_in_doubt
              ? model::Outcome::kUnknown
              : last;
--- a/src/libverbenalead/decide/burst_pacer.h
+++ b/src/libverbenalead/decide/burst_pacer.h
@@ -16,19 +16,19 @@
 /// seconds, or a single change that has to take effect at once. Harm: with a
 /// fixed interval at each hop, a single change is delayed by the sum of the
 /// intervals on its path.
-struct BurstPace {
+struct BurstPacer {
   uint32_t m_burst = 1;
   Duration m_interval{};
   /// Time from which the whole burst is available again if no further request
   /// is sent.
-  TimePoint m_used_until{};
+  TimePoint m_full_burst_at{};
 };
 
 /// Records a request sent at `now`. Returns how long the next one has to wait.
-inline Duration TakeTurn(BurstPace& pace, TimePoint now) {
-  pace.m_used_until = std::max(pace.m_used_until, now) + pace.m_interval;
+inline Duration RecordRequest(BurstPacer& pace, TimePoint now) {
+  pace.m_full_burst_at = std::max(pace.m_full_burst_at, now) + pace.m_interval;
   return std::max<Duration>(
-      Duration(), pace.m_used_until - now - pace.m_burst * pace.m_interval);
+      Duration(), pace.m_full_burst_at - now - pace.m_burst * pace.m_interval);
 }
 
 }  // namespace verbenalead::decide
--- a/src/libverbenalead/decide/burst_pacer_test.cc
+++ b/src/libverbenalead/decide/burst_pacer_test.cc
@@ -7,8 +7,8 @@
 
 constexpr TimePoint kStart{std::chrono::hours(1)};
 
-class BurstPaceTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(BurstPaceTest);
+class BurstPacerTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(BurstPacerTest);
   CPPUNIT_TEST(BurstIsNotDelayed);
   CPPUNIT_TEST(LongSeriesIsPacedByTheInterval);
   CPPUNIT_TEST_SUITE_END();
@@ -19,25 +19,26 @@
   // The origin became unreachable before the hosts had fetched one copy, which
   // takes 2.1 s.
   void BurstIsNotDelayed() {
-    BurstPace pace{5, 400ms};
+    BurstPacer pace{5, 400ms};
     for (int request = 0; request < 5; ++request) {
-      CPPUNIT_ASSERT(TakeTurn(pace, kStart + request * 200ms) == Duration());
+      CPPUNIT_ASSERT(RecordRequest(pace, kStart + request * 200ms) ==
+                     Duration());
     }
   }
 
   void LongSeriesIsPacedByTheInterval() {
-    BurstPace pace{5, 400ms};
+    BurstPacer pace{5, 400ms};
     int requests = 0;
     for (TimePoint now = kStart; now < kStart + 10s;) {
       ++requests;
-      now += std::max<Duration>(TakeTurn(pace, now), 1ms);
+      now += std::max<Duration>(RecordRequest(pace, now), 1ms);
     }
     CPPUNIT_ASSERT(requests >= 25);
     CPPUNIT_ASSERT(requests <= 30);
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(BurstPaceTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(BurstPacerTest);
 
 }  // namespace
 }  // namespace verbenalead::decide
--- a/src/libverbenalead/decide/call_policy.cc
+++ b/src/libverbenalead/decide/call_policy.cc
@@ -49,7 +49,7 @@
 
 }  // namespace
 
-bool MayRunAgain(const CallProgress& progress) {
+bool IsRerunSafe(const CallProgress& progress) {
   switch (progress.m_kind) {
     case model::CallKind::kIdempotent:
       return true;
@@ -61,27 +61,27 @@
   return false;
 }
 
-bool MayTryAgain(const CallProgress& progress, AttemptEnd end) {
+bool MayRetry(const CallProgress& progress, AttemptEnd end) {
   if (progress.m_sent >= kMaxAttemptsSent)
     return false;
   if (progress.m_runs == 0)
-    return end == AttemptEnd::kNotRun || end == AttemptEnd::kWrongHost ||
+    return end == AttemptEnd::kNotRun || end == AttemptEnd::kWrongReplica ||
            end == AttemptEnd::kUnreachable;
-  return MayRunAgain(progress) && progress.m_runs < progress.m_max_attempts &&
+  return IsRerunSafe(progress) && progress.m_runs < progress.m_max_attempts &&
          end != AttemptEnd::kGood && end != AttemptEnd::kAbandoned;
 }
 
-Duration KnownElapsed(Duration longest, Duration left) {
+Duration MinElapsed(Duration longest, Duration left) {
   const auto first_attempt_left =
       std::chrono::duration_cast<Duration>(longest * kFirstAttemptShare);
   return left >= first_attempt_left ? Duration() : longest - left;
 }
 
-Patience PatienceFor(const model::Route& route,
-                     const model::EngineProfile* engine,
-                     const model::InboundCall& call,
-                     Duration elapsed,
-                     double share) {
+WaitLimit WaitLimitFor(const model::Route& route,
+                       const model::EngineProfile* engine,
+                       const model::InboundCall& call,
+                       Duration elapsed,
+                       double share) {
   const Duration needed = engine
                               ? FirstEventTime(*engine, call)
                               : std::chrono::duration_cast<Duration>(
@@ -96,8 +96,8 @@
   return {wait, true, wait + reading};
 }
 
-Duration RunTime(const model::EngineProfile& engine,
-                 const model::InboundCall& call) {
+Duration ExpectedRunTime(const model::EngineProfile& engine,
+                         const model::InboundCall& call) {
   if (call.m_output_tokens == 0)
     return Duration();
   // Prompts of other calls are read between the tokens of this one, which takes
@@ -140,16 +140,16 @@
   return 1s;
 }
 
-void PrepareRepeat(PoolCall& call, double prefill_rate, TimePoint now) {
-  if (call.m_read_by == TimePoint::max() || prefill_rate <= 0)
+void PrepareRetry(PoolCall& call, double prefill_rate, TimePoint now) {
+  if (call.m_read_deadline == TimePoint::max() || prefill_rate <= 0)
     return;
   const auto reading =
       std::chrono::duration_cast<Duration>(std::chrono::duration<double>(
           static_cast<double>(call.m_prompt_tokens) / prefill_rate));
-  if (now + reading < call.m_read_by)
+  if (now + reading < call.m_read_deadline)
     return;
-  call.m_fresh = false;
-  call.m_read_by = TimePoint::max();
+  call.m_can_be_on_time = false;
+  call.m_read_deadline = TimePoint::max();
 }
 
 }  // namespace verbenalead::decide
