--- a/src/libverbenalead/decide/call_policy.h
+++ b/src/libverbenalead/decide/call_policy.h
@@ -15,12 +15,12 @@
 
 /// Whether running the call a second time does no harm: it is idempotent, or a
 /// stream that can be resumed.
-bool MayRunAgain(const CallProgress& progress);
+bool IsRerunSafe(const CallProgress& progress);
 
 /// Whether the call may be retried at another replica after an attempt that
-/// ended as `end`. A call that may have run is retried only if MayRunAgain()
+/// ended as `end`. A call that may have run is retried only if IsRerunSafe()
 /// allows it.
-bool MayTryAgain(const CallProgress& progress, AttemptEnd end);
+bool MayRetry(const CallProgress& progress, AttemptEnd end);
 
 /// Lower bound of the time since a caller began, computed from the time that it
 /// has `left`. `longest` is the longest time that callers of the same kind have
@@ -31,14 +31,14 @@
 /// one would look like retries that can no longer be on time, and would be
 /// queued behind all other calls. So a call counts as a retry only if its
 /// remaining time is well below the longest.
-Duration KnownElapsed(Duration longest, Duration left);
+Duration MinElapsed(Duration longest, Duration left);
 
 /// How long a call may wait for a slot at a replica.
-struct Patience {
+struct WaitLimit {
   Duration m_wait{};
   /// The call can still meet its latency objective if it starts within
   /// `m_wait`.
-  bool m_fresh = true;
+  bool m_can_be_on_time = true;
   /// Time within which the call's prompt, and all prompts queued before it,
   /// must be read for that.
   Duration m_read{};
@@ -51,17 +51,17 @@
 /// only a quarter of it. So a call waits only as long as it can still be on
 /// time. Calls that no longer can, such as a caller's retry, only get slots for
 /// which no other call waits. `share` is the part of the remaining time for
-/// which calls of the service wait, see PatienceShare.
-Patience PatienceFor(const model::Route& route,
-                     const model::EngineProfile* engine,
-                     const model::InboundCall& call,
-                     Duration elapsed,
-                     double share);
+/// which calls of the service wait, see WaitShare.
+WaitLimit WaitLimitFor(const model::Route& route,
+                       const model::EngineProfile* engine,
+                       const model::InboundCall& call,
+                       Duration elapsed,
+                       double share);
 
 /// Expected run time of a call at a busy replica, from the caller's estimate of
 /// the output length; zero if the caller gave none.
-Duration RunTime(const model::EngineProfile& engine,
-                 const model::InboundCall& call);
+Duration ExpectedRunTime(const model::EngineProfile& engine,
+                         const model::InboundCall& call);
 
 /// Why a call is refused before it ran.
 enum class Refusal {
@@ -79,17 +79,17 @@
 Duration RetryAfter(Refusal refusal, std::mt19937_64& random);
 
 /// How long a retried call may wait for a slot if it has not run yet.
-constexpr Duration kRepeatWait = 300ms;
+constexpr Duration kRetryWait = 300ms;
 
 /// How long a retried call may wait for a slot if an earlier attempt may have
 /// run. Such a call can't be reported as not run, so a late answer is the best
 /// that its caller can still get. Callers abandon a stream that pauses for two
 /// seconds or more.
-constexpr Duration kRepeatWaitAfterRun = 1500ms;
+constexpr Duration kRetryWaitAfterRun = 1500ms;
 
 /// How long a retried call may wait for a slot, by whether it may have run.
-inline Duration RepeatWait(const CallProgress& progress) {
-  return progress.m_runs > 0 ? kRepeatWaitAfterRun : kRepeatWait;
+inline Duration RetryWait(const CallProgress& progress) {
+  return progress.m_runs > 0 ? kRetryWaitAfterRun : kRetryWait;
 }
 
 /// Adjusts `call`, whose last attempt was cut off or rejected, before it is
@@ -100,7 +100,7 @@
 /// prompt has passed, so the call fits no replica, waits while slots are free,
 /// and fails. The call therefore goes on as a late one, without this deadline,
 /// and takes slots that on-time calls leave free.
-void PrepareRepeat(PoolCall& call, double prefill_rate, TimePoint now);
+void PrepareRetry(PoolCall& call, double prefill_rate, TimePoint now);
 
 }  // namespace verbenalead::decide
 
--- a/src/libverbenalead/decide/call_policy_test.cc
+++ b/src/libverbenalead/decide/call_policy_test.cc
@@ -26,7 +26,7 @@
 
 AttemptEnd AnyEnd() {
   return *rc::gen::element(AttemptEnd::kFailed, AttemptEnd::kNotRun,
-                           AttemptEnd::kWrongHost, AttemptEnd::kUnreachable,
+                           AttemptEnd::kWrongReplica, AttemptEnd::kUnreachable,
                            AttemptEnd::kBroken, AttemptEnd::kAbandoned);
 }
 
@@ -46,11 +46,11 @@
     const model::EngineProfile engine = Engine();
     model::InboundCall call;
     call.m_prompt_tokens = 3000;
-    const Patience limit = PatienceFor(StreamRoute(), &engine, call, 0s, 1);
-    CPPUNIT_ASSERT(limit.m_fresh);
+    const WaitLimit limit = WaitLimitFor(StreamRoute(), &engine, call, 0s, 1);
+    CPPUNIT_ASSERT(limit.m_can_be_on_time);
     // 36 ms for each of two passes, 100 ms for the prompt, 40 ms of slack.
     CPPUNIT_ASSERT_EQUAL(int64_t{188}, ToMilliseconds(limit.m_wait));
-    CPPUNIT_ASSERT(PatienceFor(StreamRoute(), &engine, call, 0s, 0.5).m_wait ==
+    CPPUNIT_ASSERT(WaitLimitFor(StreamRoute(), &engine, call, 0s, 0.5).m_wait ==
                    limit.m_wait / 2);
   }
 
@@ -59,14 +59,14 @@
     model::InboundCall shorter, longer;
     shorter.m_prompt_tokens = 100;
     longer.m_prompt_tokens = 4000;
-    CPPUNIT_ASSERT(PatienceFor(StreamRoute(), &engine, longer, 0s, 1).m_wait <
-                   PatienceFor(StreamRoute(), &engine, shorter, 0s, 1).m_wait);
+    CPPUNIT_ASSERT(WaitLimitFor(StreamRoute(), &engine, longer, 0s, 1).m_wait <
+                   WaitLimitFor(StreamRoute(), &engine, shorter, 0s, 1).m_wait);
   }
 
   void RetryIsLate() {
     const model::EngineProfile engine = Engine();
-    const Patience limit = PatienceFor(StreamRoute(), &engine, {}, 1s, 1);
-    CPPUNIT_ASSERT(!limit.m_fresh);
+    const WaitLimit limit = WaitLimitFor(StreamRoute(), &engine, {}, 1s, 1);
+    CPPUNIT_ASSERT(!limit.m_can_be_on_time);
   }
 
   // Guards against calls that are taken for retries because their caller has a
@@ -76,13 +76,13 @@
   void ShorterTimeoutIsNotTakenForRetry() {
     const model::EngineProfile engine = Engine();
     for (const Duration left : {6000ms, 5600ms, 5100ms, 4800ms}) {
-      const Patience limit =
-          PatienceFor(StreamRoute(), &engine, {}, KnownElapsed(6s, left), 1);
-      CPPUNIT_ASSERT(limit.m_fresh);
+      const WaitLimit limit =
+          WaitLimitFor(StreamRoute(), &engine, {}, MinElapsed(6s, left), 1);
+      CPPUNIT_ASSERT(limit.m_can_be_on_time);
       CPPUNIT_ASSERT(limit.m_wait ==
-                     PatienceFor(StreamRoute(), &engine, {}, 0s, 1).m_wait);
+                     WaitLimitFor(StreamRoute(), &engine, {}, 0s, 1).m_wait);
     }
-    CPPUNIT_ASSERT(KnownElapsed(6s, 4700ms) >= Duration(1s));
+    CPPUNIT_ASSERT(MinElapsed(6s, 4700ms) >= Duration(1s));
   }
 
   // Guards against running an at-most-once call twice, such as a payment
@@ -98,7 +98,7 @@
         if (end == AttemptEnd::kBroken || end == AttemptEnd::kFailed)
           ++progress.m_runs;
         RC_ASSERT(progress.m_runs <= 1u);
-        const bool may_retry = MayTryAgain(progress, end);
+        const bool may_retry = MayRetry(progress, end);
         RC_ASSERT(!may_retry || progress.m_runs == 0u);
         if (!may_retry)
           break;
@@ -119,7 +119,7 @@
         if (end == AttemptEnd::kBroken || end == AttemptEnd::kFailed)
           ++progress.m_runs;
         RC_ASSERT(progress.m_runs <= progress.m_max_attempts);
-        if (!MayTryAgain(progress, end))
+        if (!MayRetry(progress, end))
           break;
         end = AnyEnd();
       } while (true);
--- a/src/libverbenalead/decide/claim_action.h
+++ b/src/libverbenalead/decide/claim_action.h
@@ -10,7 +10,7 @@
 
 namespace verbenalead::decide {
 
-/// How one ClaimWork ended.
+/// How one ClaimOperation ended.
 enum class ClaimEnd {
   kDone,      ///< The write took effect; for a claim, the writer holds the key.
   kAnswered,  ///< Claim only: the key's call has ended with a recorded outcome.
@@ -23,18 +23,19 @@
 /// One action that the claim batch requests from the daemon that runs it.
 struct ClaimAction {
   enum class Kind {
-    kTransact,  ///< Write m_puts as group m_id, then call GroupEnded().
-    kRead,      ///< Read m_key for operation m_id, then call ReadEnded().
-    kSettle,    ///< Report to the submitter that operation m_id ended as m_end.
-    kWake,      ///< Call Tick() at m_at.
+    kTransact,      ///< Write m_puts as group m_id, then call GroupEnded().
+    kRead,          ///< Read m_key for operation m_id, then call ReadEnded().
+    kReportResult,  ///< Report to the submitter that operation m_id ended as
+                    ///< m_end.
+    kScheduleTick,  ///< Call Tick() at m_at.
   };
-  Kind m_kind = Kind::kWake;
+  Kind m_kind = Kind::kScheduleTick;
   uint64_t m_id = 0;
   std::vector<ClaimPut> m_puts;
   std::string m_key;
   ClaimEnd m_end = ClaimEnd::kDone;
-  /// For kSettle: the recorded outcome if m_end is kAnswered, or the request
-  /// that holds the key if m_end is kHeld.
+  /// For kReportResult: the recorded outcome if m_end is kAnswered, or the
+  /// request that holds the key if m_end is kHeld.
   std::string m_value;
   TimePoint m_at{};
 };
--- a/src/libverbenalead/decide/claim_batch.cc
+++ b/src/libverbenalead/decide/claim_batch.cc
@@ -8,7 +8,7 @@
 namespace {
 
 using Actions = std::vector<ClaimAction>;
-using Kind = ClaimWork::Kind;
+using Kind = ClaimOperation::Kind;
 
 ClaimStage ResultStage(Kind kind) {
   switch (kind) {
@@ -22,11 +22,11 @@
   return ClaimStage::kClaimed;
 }
 
-uint64_t ResultRevision(const ClaimWork& operation) {
+uint64_t ResultRevision(const ClaimOperation& operation) {
   return ClaimRevision(operation.m_writer, ResultStage(operation.m_kind));
 }
 
-ClaimPut PutOf(const ClaimWork& operation) {
+ClaimPut PutOf(const ClaimOperation& operation) {
   return {operation.m_key,
           {ResultRevision(operation), operation.m_value},
           operation.m_expected};
@@ -37,11 +37,11 @@
             ClaimEnd end,
             std::string value,
             Actions& actions) {
-  auto operation = state.m_works.extract(id);
+  auto operation = state.m_pending_operations.extract(id);
   if (operation.mapped().m_silent)
     return;
   ClaimAction action;
-  action.m_kind = ClaimAction::Kind::kSettle;
+  action.m_kind = ClaimAction::Kind::kReportResult;
   action.m_id = id;
   action.m_end = end;
   action.m_value = std::move(value);
@@ -53,11 +53,13 @@
 /// run", could never run the call. A released item is therefore written with
 /// the same condition as the claim. If this write comes first, the claim's
 /// condition fails; if the claim comes first, it is read back and released.
-void FenceOffClaim(ClaimBatchState& state, ClaimWork operation, TimePoint now) {
+void FenceOffClaim(ClaimBatchState& state,
+                   ClaimOperation operation,
+                   TimePoint now) {
   operation.m_kind = Kind::kRelease;
   operation.m_value.clear();
   operation.m_silent = true;
-  operation.m_deadline = now + kFenceFor;
+  operation.m_deadline = now + kFenceOffTimeout;
   Submit(state, std::move(operation));
 }
 
@@ -65,7 +67,7 @@
             uint64_t id,
             TimePoint now,
             Actions& actions) {
-  const ClaimWork operation = state.m_works.at(id);
+  const ClaimOperation operation = state.m_pending_operations.at(id);
   Settle(state, id, ClaimEnd::kUnavailable, "", actions);
   if (operation.m_kind == Kind::kClaim && operation.m_in_doubt)
     FenceOffClaim(state, operation, now);
@@ -75,10 +77,10 @@
 /// treated as unavailable, new claims. Their callers receive "not run" without
 /// delay and can retry where the table is available.
 void SettleOverdue(ClaimBatchState& state, TimePoint now, Actions& actions) {
-  const bool table_down = now < state.m_down_until;
+  const bool table_down = now < state.m_unavailable_until;
   const auto waiting = std::exchange(state.m_waiting, {});
   for (uint64_t id : waiting) {
-    const ClaimWork& operation = state.m_works.at(id);
+    const ClaimOperation& operation = state.m_pending_operations.at(id);
     const bool refused_claim =
         table_down && operation.m_kind == Kind::kClaim && !operation.m_in_doubt;
     if (now >= operation.m_deadline || refused_claim)
@@ -87,7 +89,7 @@
       state.m_waiting.push_back(id);
   }
   std::erase_if(state.m_reads, [&](const auto& read) {
-    if (now < state.m_works.at(read.second).m_deadline)
+    if (now < state.m_pending_operations.at(read.second).m_deadline)
       return false;
     GiveUp(state, read.second, now, actions);
     return true;
@@ -103,7 +105,7 @@
   std::set<std::string> keys;
   size_t bytes = 0;
   for (uint64_t id : state.m_waiting) {
-    const ClaimWork& operation = state.m_works.at(id);
+    const ClaimOperation& operation = state.m_pending_operations.at(id);
     const bool full =
         group.size() == kMaxGroupItems ||
         (!group.empty() && bytes + operation.m_value.size() > kMaxGroupBytes);
@@ -124,7 +126,7 @@
   action.m_id = ++state.m_last_id;
   std::vector<uint64_t> group = TakeGroup(state);
   for (uint64_t id : group)
-    action.m_puts.push_back(PutOf(state.m_works.at(id)));
+    action.m_puts.push_back(PutOf(state.m_pending_operations.at(id)));
   state.m_groups[action.m_id] = std::move(group);
   state.m_next_group = now + state.m_interval;
   actions.push_back(std::move(action));
@@ -140,7 +142,7 @@
     ClaimAction action;
     action.m_kind = ClaimAction::Kind::kRead;
     action.m_id = next->second;
-    action.m_key = state.m_works.at(next->second).m_key;
+    action.m_key = state.m_pending_operations.at(next->second).m_key;
     actions.push_back(std::move(action));
     state.m_reads.erase(next);
     state.m_next_reads = now + state.m_interval;
@@ -161,7 +163,7 @@
   }
   if (action.m_at == TimePoint::max())
     return;
-  action.m_at = std::max(action.m_at, now + kLeastWake);
+  action.m_at = std::max(action.m_at, now + kMinTickDelay);
   actions.push_back(std::move(action));
 }
 
@@ -172,9 +174,9 @@
       result == GroupResult::kCommitted || result == GroupResult::kConflict;
   state.m_failures = answered ? 0 : state.m_failures + 1;
   if (answered)
-    state.m_down_until = {};
-  else if (state.m_failures >= kFailuresUntilDown)
-    state.m_down_until = now + kDownFor;
+    state.m_unavailable_until = {};
+  else if (state.m_failures >= kMaxConsecutiveFailures)
+    state.m_unavailable_until = now + kTableUnavailableFor;
 }
 
 void AppendTick(ClaimBatchState& state, TimePoint now, Actions& actions) {
@@ -188,9 +190,9 @@
   return std::max<size_t>(entries, 1) * Duration(1s) / kGroupsPerSecond;
 }
 
-uint64_t Submit(ClaimBatchState& state, ClaimWork operation) {
+uint64_t Submit(ClaimBatchState& state, ClaimOperation operation) {
   const uint64_t id = ++state.m_last_id;
-  state.m_works[id] = std::move(operation);
+  state.m_pending_operations[id] = std::move(operation);
   state.m_waiting.push_back(id);
   return id;
 }
@@ -226,7 +228,8 @@
       // is therefore read back and the writer compared, so that one claim of a
       // key that is already held doesn't fail the other operations of its
       // group.
-      state.m_works.at(id).m_in_doubt |= result == GroupResult::kLost;
+      state.m_pending_operations.at(id).m_in_doubt |=
+          result == GroupResult::kLost;
       state.m_reads.emplace(now, id);
     }
   }
@@ -239,10 +242,10 @@
                                    const std::optional<ClaimItem>& item,
                                    TimePoint now) {
   Actions actions;
-  auto found = state.m_works.find(id);
-  if (found == state.m_works.end())
+  auto found = state.m_pending_operations.find(id);
+  if (found == state.m_pending_operations.end())
     return actions;
-  ClaimWork& operation = found->second;
+  ClaimOperation& operation = found->second;
   const uint64_t revision = item ? item->m_revision : 0;
   const uint64_t claimed =
       ClaimRevision(operation.m_writer, ClaimStage::kClaimed);
@@ -279,13 +282,13 @@
                                     uint64_t id,
                                     TimePoint now) {
   Actions actions;
-  auto found = state.m_works.find(id);
-  if (found == state.m_works.end())
+  auto found = state.m_pending_operations.find(id);
+  if (found == state.m_pending_operations.end())
     return actions;
   if (now >= found->second.m_deadline)
     GiveUp(state, id, now, actions);
   else
-    state.m_reads.emplace(now + kReadAgainAfter, id);
+    state.m_reads.emplace(now + kReadRetryDelay, id);
   AppendTick(state, now, actions);
   return actions;
 }
--- a/src/libverbenalead/decide/claim_batch.h
+++ b/src/libverbenalead/decide/claim_batch.h
@@ -30,18 +30,18 @@
 /// once, they would overload the table as soon as it recovers.
 constexpr size_t kReadsPerInterval = 5;
 /// Delay before a failed read is retried.
-constexpr Duration kReadAgainAfter = 100ms;
+constexpr Duration kReadRetryDelay = 100ms;
 /// Minimum delay until the next Tick() while operations are pending.
-constexpr Duration kLeastWake = 5ms;
+constexpr Duration kMinTickDelay = 5ms;
 /// After this many consecutive groups that were not sent or not answered, the
 /// table is treated as unavailable: new claims are refused at once instead of
 /// waiting for their timeouts.
-constexpr uint32_t kFailuresUntilDown = 3;
+constexpr uint32_t kMaxConsecutiveFailures = 3;
 /// How long the table is treated as unavailable after the last failed group.
-constexpr Duration kDownFor = 1s;
+constexpr Duration kTableUnavailableFor = 1s;
 /// How long the batch tries to prevent or release a claim that it reported as
 /// unavailable but whose write may still take effect.
-constexpr Duration kFenceFor = std::chrono::seconds(60);
+constexpr Duration kFenceOffTimeout = std::chrono::seconds(60);
 
 /// Groups one entry's writes of idempotency keys into transactions.
 ///
@@ -55,7 +55,7 @@
   Duration m_interval = 25ms;
   /// Operations that wait for a group.
   std::deque<uint64_t> m_waiting;
-  std::map<uint64_t, ClaimWork> m_works;
+  std::map<uint64_t, ClaimOperation> m_pending_operations;
   /// Transactions in flight: group to its operations.
   std::map<uint64_t, std::vector<uint64_t>> m_groups;
   /// Operations whose key has to be read back, by the earliest time of the
@@ -66,7 +66,7 @@
   uint64_t m_last_id = 0;
   /// Consecutive groups that were not sent or not answered.
   uint32_t m_failures = 0;
-  TimePoint m_down_until{};
+  TimePoint m_unavailable_until{};
 };
 
 enum class GroupResult {
@@ -82,7 +82,7 @@
 
 /// Queues `operation` and returns its id. The caller has to call Tick()
 /// afterwards.
-uint64_t Submit(ClaimBatchState& state, ClaimWork operation);
+uint64_t Submit(ClaimBatchState& state, ClaimOperation operation);
 /// Returns the actions due at `now`.
 std::vector<ClaimAction> Tick(ClaimBatchState& state, TimePoint now);
 /// Reports the result of transaction `group`; returns the next actions.
--- a/src/libverbenalead/decide/claim_batch_test.cc
+++ b/src/libverbenalead/decide/claim_batch_test.cc
@@ -14,7 +14,7 @@
 /// Number of events in one run of the property. RapidCheck makes 100 runs.
 constexpr size_t kEvents = 250;
 
-using Kind = ClaimWork::Kind;
+using Kind = ClaimOperation::Kind;
 using Table = std::map<std::string, ClaimItem>;
 
 /// Writes all of `puts` and returns true if all their conditions hold;
@@ -200,7 +200,7 @@
       if (action.m_kind == ClaimAction::Kind::kTransact ||
           action.m_kind == ClaimAction::Kind::kRead)
         entry.m_sent.push_back(action);
-      else if (action.m_kind == ClaimAction::Kind::kSettle)
+      else if (action.m_kind == ClaimAction::Kind::kReportResult)
         Settled(entry, action);
     }
   }
@@ -231,8 +231,8 @@
     call.m_settled = false;
     const uint64_t id =
         Submit(entry.m_batch,
-               MakeEnd(call.m_step, call.m_key, call.m_writer,
-                       run ? m_outcomes[call.m_key] : "", m_now + 1000s));
+               MakeClaimEnd(call.m_step, call.m_key, call.m_writer,
+                            run ? m_outcomes[call.m_key] : "", m_now + 1000s));
     entry.m_calls[id] = call;
   }
 
@@ -245,7 +245,7 @@
     }
     for (const TestCall& call : entry.m_claimed)
       m_orphaned.insert(call.m_key);
-    for (const auto& [id, operation] : entry.m_batch.m_works)
+    for (const auto& [id, operation] : entry.m_batch.m_pending_operations)
       m_orphaned.insert(operation.m_key);
     entry = TestEntry();
   }
@@ -352,7 +352,7 @@
   void UnavailableTableRefusesAtOnce() {
     ClaimBatchState batch;
     TimePoint now = At(0s);
-    for (uint32_t i = 0; i < kFailuresUntilDown; ++i) {
+    for (uint32_t i = 0; i < kMaxConsecutiveFailures; ++i) {
       Submit(batch, MakeClaim("k" + std::to_string(i), i + 1, "r", At(9s)));
       const auto sent = Tick(batch, now);
       GroupEnded(batch, sent.at(0).m_id, GroupResult::kLost, now);
@@ -388,7 +388,7 @@
     }
     CPPUNIT_ASSERT(groups * 8 <= kGroupsPerSecond + 8);
     CPPUNIT_ASSERT(groups >= 30);
-    CPPUNIT_ASSERT(batch.m_works.size() < kMaxGroupItems);
+    CPPUNIT_ASSERT(batch.m_pending_operations.size() < kMaxGroupItems);
   }
 
  private:
@@ -408,7 +408,7 @@
       const ClaimAction action = queue.front();
       queue.pop_front();
       now += 1ms;
-      if (action.m_kind == ClaimAction::Kind::kSettle) {
+      if (action.m_kind == ClaimAction::Kind::kReportResult) {
         ends[action.m_id] = action.m_end;
       } else if (action.m_kind == ClaimAction::Kind::kTransact) {
         const bool done = Write(table, action.m_puts);
--- a/src/libverbenalead/decide/claim_operation.h
+++ b/src/libverbenalead/decide/claim_operation.h
@@ -11,7 +11,7 @@
 
 /// One operation on a key's claim, from its submission until it is known
 /// whether the write took effect.
-struct ClaimWork {
+struct ClaimOperation {
   enum class Kind {
     kClaim,    ///< Claim the key if it is free.
     kRecord,   ///< Store m_value as the outcome of the claimed call.
@@ -32,26 +32,26 @@
   uint64_t m_expected = 0;
   /// A write was sent whose answer was lost; it may still take effect.
   bool m_in_doubt = false;
-  /// No caller waits for the result, so no kSettle action is issued.
+  /// No caller waits for the result, so no kReportResult action is issued.
   bool m_silent = false;
 };
 
 /// Returns an operation that claims `key` for `writer`.
-inline ClaimWork MakeClaim(std::string key,
-                           uint64_t writer,
-                           std::string value,
-                           TimePoint deadline) {
-  return {ClaimWork::Kind::kClaim, std::move(key), writer, std::move(value),
-          deadline};
+inline ClaimOperation MakeClaim(std::string key,
+                                uint64_t writer,
+                                std::string value,
+                                TimePoint deadline) {
+  return {ClaimOperation::Kind::kClaim, std::move(key), writer,
+          std::move(value), deadline};
 }
 
 /// Returns an operation that ends the claim held by `writer`: kRecord or
 /// kRelease.
-inline ClaimWork MakeEnd(ClaimWork::Kind kind,
-                         std::string key,
-                         uint64_t writer,
-                         std::string value,
-                         TimePoint deadline) {
+inline ClaimOperation MakeClaimEnd(ClaimOperation::Kind kind,
+                                   std::string key,
+                                   uint64_t writer,
+                                   std::string value,
+                                   TimePoint deadline) {
   return {kind,     std::move(key),
           writer,   std::move(value),
           deadline, ClaimRevision(writer, ClaimStage::kClaimed)};
--- a/src/libverbenalead/decide/cold_start.h
+++ b/src/libverbenalead/decide/cold_start.h
@@ -33,28 +33,29 @@
 /// Time to learn of the other entries, which takes one small response of the
 /// store. An entry that does not know them by then reads without waiting for
 /// them.
-constexpr Duration kLearnOthers = 600ms;
+constexpr Duration kDiscoveryTimeout = 600ms;
 /// Delay per entry that ranks before this one: the time to read 390 KB, 0.1 s
 /// over an idle link, and to announce it with the next update, another 0.1 s.
-constexpr Duration kColdStep = 300ms;
+constexpr Duration kReadStagger = 300ms;
 /// Longest delay, since all entries that rank before this one may have been
 /// removed for good.
-constexpr Duration kColdLongest = 1500ms;
+constexpr Duration kMaxStartupReadDelay = 1500ms;
 
 /// Records that the other entries are known and that `rank` of those in this
 /// data centre rank before this one. Only the first call has an effect.
-inline void NoteOthers(ColdStart& start, size_t rank, TimePoint now) {
+inline void RecordRank(ColdStart& start, size_t rank, TimePoint now) {
   if (start.m_known_at)
     return;
   start.m_known_at = now;
   start.m_before = rank;
 }
 
-inline bool MayRead(const ColdStart& start, TimePoint now) {
+inline bool MayReadStore(const ColdStart& start, TimePoint now) {
   if (!start.m_known_at)
-    return now - start.m_started >= kLearnOthers;
-  const Duration wait = std::min<Duration>(
-      kColdLongest, kColdStep * static_cast<int64_t>(start.m_before));
+    return now - start.m_started >= kDiscoveryTimeout;
+  const Duration wait =
+      std::min<Duration>(kMaxStartupReadDelay,
+                         kReadStagger * static_cast<int64_t>(start.m_before));
   return now - *start.m_known_at >= wait;
 }
 
--- a/src/libverbenalead/decide/cold_start_test.cc
+++ b/src/libverbenalead/decide/cold_start_test.cc
@@ -22,25 +22,25 @@
     size_t readers = 0;
     for (size_t rank = 0; rank < 15; ++rank) {
       ColdStart entry{kStart, std::nullopt, 0};
-      NoteOthers(entry, rank, kStart + 10ms);
-      readers += MayRead(entry, kStart + 260ms) ? 1 : 0;
+      RecordRank(entry, rank, kStart + 10ms);
+      readers += MayReadStore(entry, kStart + 260ms) ? 1 : 0;
     }
     CPPUNIT_ASSERT_EQUAL(size_t{1}, readers);
   }
 
   void WaitForDeadEntriesIsBounded() {
     ColdStart entry{kStart, std::nullopt, 0};
-    NoteOthers(entry, 200, kStart);
-    CPPUNIT_ASSERT(!MayRead(entry, kStart + 1s));
-    CPPUNIT_ASSERT(MayRead(entry, kStart + kColdLongest));
-    NoteOthers(entry, 300, kStart + 1s);
-    CPPUNIT_ASSERT(MayRead(entry, kStart + kColdLongest));
+    RecordRank(entry, 200, kStart);
+    CPPUNIT_ASSERT(!MayReadStore(entry, kStart + 1s));
+    CPPUNIT_ASSERT(MayReadStore(entry, kStart + kMaxStartupReadDelay));
+    RecordRank(entry, 300, kStart + 1s);
+    CPPUNIT_ASSERT(MayReadStore(entry, kStart + kMaxStartupReadDelay));
   }
 
   void ReadsWhenOtherEntriesStayUnknown() {
     const ColdStart entry{kStart, std::nullopt, 0};
-    CPPUNIT_ASSERT(!MayRead(entry, kStart + 100ms));
-    CPPUNIT_ASSERT(MayRead(entry, kStart + kLearnOthers));
+    CPPUNIT_ASSERT(!MayReadStore(entry, kStart + 100ms));
+    CPPUNIT_ASSERT(MayReadStore(entry, kStart + kDiscoveryTimeout));
   }
 };
 
--- a/src/libverbenalead/decide/config.cc
+++ b/src/libverbenalead/decide/config.cc
@@ -30,7 +30,7 @@
   if (change.m_revision <= state.m_revision)
     return ApplyResult::kOld;
   if (change.m_revision != state.m_revision + 1)
-    return ApplyResult::kGap;
+    return ApplyResult::kMissingRevision;
   if (change.m_deleted) {
     state.m_resources.erase(change.m_key);
   } else {
--- a/src/libverbenalead/decide/config.h
+++ b/src/libverbenalead/decide/config.h
@@ -12,7 +12,7 @@
 namespace verbenalead::decide {
 
 /// A resource of the configuration that is in force in this process.
-struct ResourceInForce {
+struct ActiveResource {
   std::string m_spec;
   /// The revision of the change that set it.
   uint64_t m_revision = 0;
@@ -21,23 +21,23 @@
   std::string m_operation;
   std::string m_operator;
 
-  friend auto operator<=>(const ResourceInForce&,
-                          const ResourceInForce&) = default;
+  friend auto operator<=>(const ActiveResource&,
+                          const ActiveResource&) = default;
 };
 
 /// The configuration that is in force in this process: all changes up to
 /// m_revision, applied in order.
 struct ConfigState {
   uint64_t m_revision = 0;
-  std::map<model::ResourceKey, ResourceInForce> m_resources;
+  std::map<model::ResourceKey, ActiveResource> m_resources;
 
   friend bool operator==(const ConfigState&, const ConfigState&) = default;
 };
 
 enum class ApplyResult {
   kApplied,
-  kOld,  ///< Already in force; nothing was changed.
-  kGap,  ///< A change before it is missing; nothing was changed.
+  kOld,              ///< Already in force; nothing was changed.
+  kMissingRevision,  ///< A change before it is missing; nothing was changed.
 };
 
 /// Applies `change` if it is the next revision. A process that resumes with
--- a/src/libverbenalead/decide/config_lease.h
+++ b/src/libverbenalead/decide/config_lease.h
@@ -29,7 +29,7 @@
   std::optional<Duration> m_proved_at;
 };
 
-inline void Prove(ConfigLease& lease, Duration proved_at) {
+inline void RenewLease(ConfigLease& lease, Duration proved_at) {
   lease.m_proved_at =
       std::max(lease.m_proved_at.value_or(proved_at), proved_at);
 }
--- a/src/libverbenalead/decide/config_lease_test.cc
+++ b/src/libverbenalead/decide/config_lease_test.cc
@@ -25,15 +25,15 @@
   void IsValidForItsLengthOnly() {
     ConfigLease lease;
     CPPUNIT_ASSERT(!Holds(lease, kLength, 0s));
-    Prove(lease, 10s);
+    RenewLease(lease, 10s);
     CPPUNIT_ASSERT(Holds(lease, kLength, 14499ms));
     CPPUNIT_ASSERT(!Holds(lease, kLength, 14500ms));
   }
 
   void OlderProofDoesNotExtendLease() {
     ConfigLease lease;
-    Prove(lease, 10s);
-    Prove(lease, 8s);
+    RenewLease(lease, 10s);
+    RenewLease(lease, 8s);
     CPPUNIT_ASSERT(!Holds(lease, kLength, 14500ms));
   }
 
@@ -69,7 +69,7 @@
         now = answered + std::chrono::milliseconds(step);  // Or a pause.
         if (step % 3 == 0) {
           removal_known |= answered >= removed;
-          Prove(lease, AnsweredAt(clock, asked, answered - offset));
+          RenewLease(lease, AnsweredAt(clock, asked, answered - offset));
         }
         const Duration sent = now - latency;
         const bool admitted = !removal_known && Holds(lease, kLength, now);
--- a/src/libverbenalead/decide/config_tree.cc
+++ b/src/libverbenalead/decide/config_tree.cc
@@ -26,8 +26,8 @@
   return entries;
 }
 
-bool ReadsTable(const std::vector<std::string>& ranked,
-                const std::string& self) {
+bool IsTableReader(const std::vector<std::string>& ranked,
+                   const std::string& self) {
   return RankOf(ranked, self) < kConfigReaders;
 }
 
@@ -48,7 +48,7 @@
     return "";
   if (stream == 0 && failures == 0)
     return ranked[(rank - readers) / kConfigFanOut];
-  return ranked[MixHash(self, stream + kConfigSlots * failures) % rank];
+  return ranked[MixHash(self, stream + kConfigStreams * failures) % rank];
 }
 
 std::string ParentOfTarget(const std::vector<std::string>& ranked,
@@ -58,10 +58,10 @@
   if (ranked.empty())
     return "";
   const uint64_t start = MixHash(self, 0);
-  return ranked[(start + stream + kConfigSlots * failures) % ranked.size()];
+  return ranked[(start + stream + kConfigStreams * failures) % ranked.size()];
 }
 
-Duration OrphanInterval(size_t entries) {
+Duration OrphanReadInterval(size_t entries) {
   const Duration spread =
       Duration(1s) * static_cast<int64_t>(entries) / kOrphanReadsPerSecond;
   return std::max(kMinOrphanInterval, spread);
--- a/src/libverbenalead/decide/config_tree.h
+++ b/src/libverbenalead/decide/config_tree.h
@@ -20,7 +20,7 @@
 constexpr size_t kConfigFanOut = 8;
 /// Number of streams over which each process receives changes. Two, so that one
 /// unresponsive or paused sender delays nothing.
-constexpr size_t kConfigSlots = 2;
+constexpr size_t kConfigStreams = 2;
 /// Limit for the reads per second of all entries together while no entry
 /// receives changes from another. With the regular reads of the readers, the
 /// total stays under 50.
@@ -32,8 +32,8 @@
 
 /// Whether entry `self` is one of the kConfigReaders. `ranked` is from
 /// RankEntries.
-bool ReadsTable(const std::vector<std::string>& ranked,
-                const std::string& self);
+bool IsTableReader(const std::vector<std::string>& ranked,
+                   const std::string& self);
 
 /// The entry from which entry `self` receives changes over `stream` after
 /// `failures` other entries did not answer; "" if there is none. It always
@@ -53,7 +53,7 @@
 
 /// Pause between two reads of the table by an entry that receives changes from
 /// no other entry.
-Duration OrphanInterval(size_t entries);
+Duration OrphanReadInterval(size_t entries);
 
 }  // namespace verbenalead::decide
 
--- a/src/libverbenalead/decide/config_tree_test.cc
+++ b/src/libverbenalead/decide/config_tree_test.cc
@@ -31,7 +31,7 @@
       const auto ranked = Names(count);
       for (size_t rank = kConfigReaders; rank < count; ++rank) {
         for (uint64_t failures = 0; failures < 5; ++failures) {
-          for (size_t stream = 0; stream < kConfigSlots; ++stream) {
+          for (size_t stream = 0; stream < kConfigStreams; ++stream) {
             const auto parent =
                 ParentOfEntry(ranked, ranked[rank], stream, failures);
             const auto at = std::find(ranked.begin(), ranked.end(), parent);
@@ -57,7 +57,7 @@
     for (const int64_t count : {1, 8, 630, 5000}) {
       const double orphans = static_cast<double>(count) /
                              std::chrono::duration<double>(
-                                 OrphanInterval(static_cast<size_t>(count)))
+                                 OrphanReadInterval(static_cast<size_t>(count)))
                                  .count();
       CPPUNIT_ASSERT(orphans <= 31);
     }
--- a/src/libverbenalead/decide/declared_versions.h
+++ b/src/libverbenalead/decide/declared_versions.h
@@ -11,26 +11,28 @@
 
 /// Declared versions of one model's weights. From its binding time on, a
 /// version forbids calls to begin on older versions.
-struct WeightsWatch {
-  std::map<uint64_t, TimePoint> m_binding_from;
+struct DeclaredVersions {
+  std::map<uint64_t, TimePoint> m_binding_times;
 };
 
 /// Records a declared version and its binding time. Later records of the same
 /// version are ignored.
-inline void Declare(WeightsWatch& watch, uint64_t version, TimePoint binding) {
-  watch.m_binding_from.emplace(version, binding);
+inline void Declare(DeclaredVersions& watch,
+                    uint64_t version,
+                    TimePoint binding) {
+  watch.m_binding_times.emplace(version, binding);
 }
 
 /// The newest declared version; 0 if there is none.
-inline uint64_t Newest(const WeightsWatch& watch) {
-  return watch.m_binding_from.empty() ? 0
-                                      : watch.m_binding_from.rbegin()->first;
+inline uint64_t Newest(const DeclaredVersions& watch) {
+  return watch.m_binding_times.empty() ? 0
+                                       : watch.m_binding_times.rbegin()->first;
 }
 
 /// The oldest version on which a call may begin now; 0 for any.
-inline uint64_t Binding(const WeightsWatch& watch, TimePoint now) {
+inline uint64_t Binding(const DeclaredVersions& watch, TimePoint now) {
   uint64_t binding = 0;
-  for (const auto& [version, from] : watch.m_binding_from) {
+  for (const auto& [version, from] : watch.m_binding_times) {
     if (from <= now)
       binding = version;
   }
@@ -39,9 +41,10 @@
 
 /// Time from which no call may begin on `version`; TimePoint::max() if no newer
 /// version is declared.
-inline TimePoint BindsAgainst(const WeightsWatch& watch, uint64_t version) {
+inline TimePoint ForbiddenFrom(const DeclaredVersions& watch,
+                               uint64_t version) {
   TimePoint from = TimePoint::max();
-  for (const auto& [newer, binding] : watch.m_binding_from) {
+  for (const auto& [newer, binding] : watch.m_binding_times) {
     if (newer > version)
       from = std::min(from, binding);
   }
--- a/src/libverbenalead/decide/digest_read_order.cc
+++ b/src/libverbenalead/decide/digest_read_order.cc
@@ -13,8 +13,8 @@
 
 }  // namespace
 
-std::vector<std::string> DigestOrder(std::vector<std::string> hosts,
-                                     uint64_t version) {
+std::vector<std::string> DigestReadOrder(std::vector<std::string> hosts,
+                                         uint64_t version) {
   std::sort(hosts.begin(), hosts.end());
   hosts.erase(std::unique(hosts.begin(), hosts.end()), hosts.end());
   std::stable_sort(hosts.begin(), hosts.end(),
@@ -24,7 +24,7 @@
   return hosts;
 }
 
-Duration DigestPatience(size_t place) {
+Duration DigestReadDelay(size_t place) {
   Duration delay{};
   Duration step = kFirstDelay;
   for (size_t readers = kDigestReaders; readers <= place; readers *= 2) {
--- a/src/libverbenalead/decide/digest_read_order.h
+++ b/src/libverbenalead/decide/digest_read_order.h
@@ -16,8 +16,8 @@
 
 /// Returns `hosts` in the order in which they may read the digests of `version`
 /// from the origin. Hosts with the same host list compute the same order.
-std::vector<std::string> DigestOrder(std::vector<std::string> hosts,
-                                     uint64_t version);
+std::vector<std::string> DigestReadOrder(std::vector<std::string> hosts,
+                                         uint64_t version);
 
 /// How long the host at position `place` of that order requests the digests
 /// from other hosts before it may read them from the origin.
@@ -28,7 +28,7 @@
 /// again. Each time the number of hosts that may read doubles, the added delay
 /// doubles too: few hosts read at once, and the failure of the first ones does
 /// not block the others.
-Duration DigestPatience(size_t place);
+Duration DigestReadDelay(size_t place);
 
 }  // namespace verbenalead::decide
 
--- a/src/libverbenalead/decide/digest_read_order_test.cc
+++ b/src/libverbenalead/decide/digest_read_order_test.cc
@@ -14,8 +14,8 @@
   return hosts;
 }
 
-class DigestReadersTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(DigestReadersTest);
+class DigestReadOrderTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(DigestReadOrderTest);
   CPPUNIT_TEST(AllHostsAgreeOnTheOrder);
   CPPUNIT_TEST(FewHostsAskAReturnedOrigin);
   CPPUNIT_TEST_SUITE_END();
@@ -24,10 +24,11 @@
   void AllHostsAgreeOnTheOrder() {
     std::vector<std::string> reversed = Hosts(20);
     std::reverse(reversed.begin(), reversed.end());
-    CPPUNIT_ASSERT(DigestOrder(Hosts(20), 3) == DigestOrder(reversed, 3));
+    CPPUNIT_ASSERT(DigestReadOrder(Hosts(20), 3) ==
+                   DigestReadOrder(reversed, 3));
     std::set<std::string> first;
     for (uint64_t version = 0; version < 40; ++version)
-      first.insert(DigestOrder(Hosts(20), version).front());
+      first.insert(DigestReadOrder(Hosts(20), version).front());
     // Different versions have different first hosts.
     CPPUNIT_ASSERT(first.size() > 10);
   }
@@ -37,15 +38,15 @@
   void FewHostsAskAReturnedOrigin() {
     size_t readers = 0;
     for (size_t place = 0; place < 300; ++place)
-      readers += DigestPatience(place) <= Duration(6s);
+      readers += DigestReadDelay(place) <= Duration(6s);
     CPPUNIT_ASSERT(readers > kDigestReaders);
     CPPUNIT_ASSERT(readers <= 20);
-    CPPUNIT_ASSERT(DigestPatience(kDigestReaders - 1) == Duration());
-    CPPUNIT_ASSERT(DigestPatience(kDigestReaders) == Duration(1s));
+    CPPUNIT_ASSERT(DigestReadDelay(kDigestReaders - 1) == Duration());
+    CPPUNIT_ASSERT(DigestReadDelay(kDigestReaders) == Duration(1s));
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(DigestReadersTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(DigestReadOrderTest);
 
 }  // namespace
 }  // namespace verbenalead::decide
--- a/src/libverbenalead/decide/earliest_write.h
+++ b/src/libverbenalead/decide/earliest_write.h
@@ -30,9 +30,9 @@
 /// An outage of the store is not counted. No process can act on a declaration
 /// that it cannot read, and counting the outage would reject older weights
 /// before any replica has loaded the newer ones.
-inline Duration EarliestWrite(Duration asked_at,
-                              Duration answered_at,
-                              std::optional<Duration> proved_at) {
+inline Duration EarliestWriteTime(Duration asked_at,
+                                  Duration answered_at,
+                                  std::optional<Duration> proved_at) {
   if (!proved_at)
     return answered_at;
   const Duration unasked =
--- a/src/libverbenalead/decide/earliest_write_test.cc
+++ b/src/libverbenalead/decide/earliest_write_test.cc
@@ -5,8 +5,8 @@
 namespace verbenalead::decide {
 namespace {
 
-class EarliestWriteTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(EarliestWriteTest);
+class EarliestWriteTimeTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(EarliestWriteTimeTest);
   CPPUNIT_TEST(OpenQueryDatesTheRow);
   CPPUNIT_TEST(TimeWithoutQueryAddsToTheRowsAge);
   CPPUNIT_TEST(RowIsYoungerThanTheLastProof);
@@ -15,8 +15,8 @@
 
  public:
   void OpenQueryDatesTheRow() {
-    CPPUNIT_ASSERT(EarliestWrite(10s, 11s, Duration(10s)) == Duration(11s));
-    CPPUNIT_ASSERT(EarliestWrite(10s, 11s, std::nullopt) == Duration(11s));
+    CPPUNIT_ASSERT(EarliestWriteTime(10s, 11s, Duration(10s)) == Duration(11s));
+    CPPUNIT_ASSERT(EarliestWriteTime(10s, 11s, std::nullopt) == Duration(11s));
   }
 
   // Guards against calls that begin on older weights after the deadline of a
@@ -26,13 +26,15 @@
   void TimeWithoutQueryAddsToTheRowsAge() {
     const Duration proved = 10s;
     const Duration asked = 11s;
-    CPPUNIT_ASSERT(EarliestWrite(asked, 11005ms, proved) == Duration(10005ms));
+    CPPUNIT_ASSERT(EarliestWriteTime(asked, 11005ms, proved) ==
+                   Duration(10005ms));
   }
 
   void RowIsYoungerThanTheLastProof() {
-    CPPUNIT_ASSERT(EarliestWrite(12s, 10500ms, Duration(10s)) == Duration(10s));
+    CPPUNIT_ASSERT(EarliestWriteTime(12s, 10500ms, Duration(10s)) ==
+                   Duration(10s));
     // Another entry got a proof of freshness while the query was open.
-    CPPUNIT_ASSERT(EarliestWrite(10s, 12s, Duration(11s)) == Duration(12s));
+    CPPUNIT_ASSERT(EarliestWriteTime(10s, 12s, Duration(11s)) == Duration(12s));
   }
 
   // Guards against five seconds without a usable replica. The store was
@@ -40,14 +42,14 @@
   // forbade the older ones as soon as entries read of them, when no host had
   // them yet.
   void OutageDoesNotAddToTheRowsAge() {
-    CPPUNIT_ASSERT(EarliestWrite(18s, 18005ms, Duration(10s)) ==
+    CPPUNIT_ASSERT(EarliestWriteTime(18s, 18005ms, Duration(10s)) ==
                    Duration(18005ms));
-    CPPUNIT_ASSERT(EarliestWrite(13s, 13005ms, Duration(10s)) ==
+    CPPUNIT_ASSERT(EarliestWriteTime(13s, 13005ms, Duration(10s)) ==
                    Duration(10005ms));
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(EarliestWriteTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(EarliestWriteTimeTest);
 
 }  // namespace
 }  // namespace verbenalead::decide
--- a/src/libverbenalead/decide/event_splitter.cc
+++ b/src/libverbenalead/decide/event_splitter.cc
@@ -43,7 +43,7 @@
 
 }  // namespace
 
-std::string TakeEvents(EventSplitter& splitter, std::string_view bytes) {
+std::string ExtractEvents(EventSplitter& splitter, std::string_view bytes) {
   splitter.m_partial += bytes;
   const std::string_view text = splitter.m_partial;
   size_t done = 0;
@@ -61,7 +61,7 @@
   return events;
 }
 
-void DropPartial(EventSplitter& splitter) {
+void DiscardPartialEvent(EventSplitter& splitter) {
   splitter.m_partial.clear();
 }
 
--- a/src/libverbenalead/decide/event_splitter.h
+++ b/src/libverbenalead/decide/event_splitter.h
@@ -23,10 +23,10 @@
 
 /// Appends `bytes` and returns the events that are now complete, byte for byte
 /// as received.
-std::string TakeEvents(EventSplitter& splitter, std::string_view bytes);
+std::string ExtractEvents(EventSplitter& splitter, std::string_view bytes);
 
 /// Discards the partial event, before another replica continues the stream.
-void DropPartial(EventSplitter& splitter);
+void DiscardPartialEvent(EventSplitter& splitter);
 
 }  // namespace verbenalead::decide
 
--- a/src/libverbenalead/decide/event_splitter_test.cc
+++ b/src/libverbenalead/decide/event_splitter_test.cc
@@ -29,17 +29,17 @@
   void BuffersIncompleteEvent() {
     EventSplitter splitter;
     CPPUNIT_ASSERT_EQUAL(Event(1),
-                         TakeEvents(splitter, Event(1) + "id: 2\nda"));
+                         ExtractEvents(splitter, Event(1) + "id: 2\nda"));
     CPPUNIT_ASSERT_EQUAL(std::string("1"), splitter.m_last_id);
     CPPUNIT_ASSERT_EQUAL(std::string("id: 2\ndata: x\n\n"),
-                         TakeEvents(splitter, "ta: x\n\n"));
+                         ExtractEvents(splitter, "ta: x\n\n"));
     CPPUNIT_ASSERT_EQUAL(std::string("2"), splitter.m_last_id);
   }
 
   void AcceptsCarriageReturns() {
     EventSplitter splitter;
     const std::string event = "id:7\r\ndata: x\r\n\r\n";
-    CPPUNIT_ASSERT_EQUAL(event, TakeEvents(splitter, event));
+    CPPUNIT_ASSERT_EQUAL(event, ExtractEvents(splitter, event));
     CPPUNIT_ASSERT_EQUAL(std::string("7"), splitter.m_last_id);
   }
 
@@ -57,7 +57,7 @@
         const uint64_t from =
             splitter.m_last_id.empty() ? 0 : std::stoull(splitter.m_last_id);
         const std::string replica_stream = Events(from + 1, last);
-        DropPartial(splitter);
+        DiscardPartialEvent(splitter);
         const size_t end =
             run_number == break_count
                 ? replica_stream.size()
@@ -65,9 +65,9 @@
         size_t begin = 0;
         while (begin < end) {
           const size_t size = *rc::gen::inRange<size_t>(1, 40);
-          caller += TakeEvents(splitter,
-                               std::string_view(replica_stream)
-                                   .substr(begin, std::min(size, end - begin)));
+          caller += ExtractEvents(
+              splitter, std::string_view(replica_stream)
+                            .substr(begin, std::min(size, end - begin)));
           begin += size;
         }
       }
--- a/src/libverbenalead/decide/fake_fleet.h
+++ b/src/libverbenalead/decide/fake_fleet.h
@@ -28,11 +28,11 @@
   bool m_queue_at_targets = true;
   /// Whether entries refuse second attempts at once while they refuse first
   /// ones.
-  bool m_turns_late_away = true;
+  bool m_shed_late_calls = true;
 };
 
 /// Number of calls by outcome.
-struct FakeCount {
+struct CallOutcomes {
   uint32_t m_asked = 0;
   uint32_t m_on_time = 0;
   uint32_t m_late = 0;
@@ -63,7 +63,7 @@
 
   /// Runs the load. Returns the outcomes of all calls, and of the tenth with
   /// the longest prompts.
-  std::pair<FakeCount, FakeCount> Play() {
+  std::pair<CallOutcomes, CallOutcomes> Play() {
     std::exponential_distribution<double> gap(m_load.m_calls_per_second);
     const TimePoint end = m_now + m_load.m_length;
     for (TimePoint at = m_now; at < end;
@@ -101,7 +101,7 @@
     }
   };
   struct Call {
-    TimePoint m_began{};
+    TimePoint m_started_at{};
     uint32_t m_prompt_tokens = 0;
     uint32_t m_events = 0;
     size_t m_entry = 0;
@@ -116,7 +116,7 @@
     bool m_answered = false;
   };
   struct Target {
-    PlaceQueue m_queue;
+    SlotQueue m_queue;
     ReplicaLoad m_load;
     FakeReplica m_replica;
     bool m_busy = false;
@@ -146,7 +146,7 @@
     std::lognormal_distribution<double> tokens(6.6, 0.8);
     std::lognormal_distribution<double> events(2.75, 0.6);
     Call call;
-    call.m_began = at;
+    call.m_started_at = at;
     call.m_prompt_tokens =
         static_cast<uint32_t>(std::min(tokens(m_random), 3800.0)) + 40;
     call.m_events = static_cast<uint32_t>(std::min(events(m_random), 52.0)) + 1;
@@ -163,9 +163,9 @@
     PoolCall pool_call;
     pool_call.m_ticket = number;
     pool_call.m_prompt_tokens = call.m_prompt_tokens;
-    pool_call.m_fresh = call.m_tries == 1;
-    if (pool_call.m_fresh && m_load.m_queue_at_targets)
-      pool_call.m_read_by = call.m_began + kObjective - kSlack;
+    pool_call.m_can_be_on_time = call.m_tries == 1;
+    if (pool_call.m_can_be_on_time && m_load.m_queue_at_targets)
+      pool_call.m_read_deadline = call.m_started_at + kObjective - kSlack;
     return pool_call;
   }
 
@@ -174,8 +174,8 @@
     Call& call = m_calls[number];
     ++call.m_tries;
     call.m_entry = m_random() % m_entries.size();
-    if (call.m_tries > 1 && m_load.m_turns_late_away &&
-        TurnsLateAway(m_late[call.m_entry], m_now))
+    if (call.m_tries > 1 && m_load.m_shed_late_calls &&
+        ShedsLateCalls(m_late[call.m_entry], m_now))
       return;
     const Duration wait_limit =
         call.m_tries == 1 ? kObjective - kSlack - PrefillTime(call) : kLateWait;
@@ -197,8 +197,8 @@
   /// False if the entry knows of none.
   bool Place(uint64_t number) {
     Call& call = m_calls[number];
-    const auto replica =
-        TakePlace(m_entries[call.m_entry], PoolCallOf(number), m_now, m_random);
+    const auto replica = AcquireSlot(m_entries[call.m_entry],
+                                     PoolCallOf(number), m_now, m_random);
     if (!replica)
       return false;
     AskTarget(number, std::stoul(*replica));
@@ -209,9 +209,9 @@
     CallAt(number).m_waits = false;
     Schedule(m_now + kNetworkDelay, [this, number, replica] {
       Target& target = m_targets[replica];
-      const PlaceWish wish = WishOf(number, m_now);
+      const SlotRequest wish = WishOf(number, m_now);
       const bool granted = Ask(target.m_queue, wish, target.m_load, m_now) ==
-                           PlaceVerdict::kGranted;
+                           SlotVerdict::kGranted;
       if (granted)
         CountGranted(number, replica);
       Schedule(m_now + kNetworkDelay, [this, number, replica, granted] {
@@ -220,23 +220,24 @@
     });
   }
 
-  PlaceWish WishOf(uint64_t number, TimePoint until) const {
+  SlotRequest WishOf(uint64_t number, TimePoint until) const {
     const PoolCall call = PoolCallOf(number);
-    PlaceWish wish;
+    SlotRequest wish;
     wish.m_entry = EntryAddress(m_calls[number].m_entry);
     wish.m_ticket = number;
     wish.m_prompt_tokens = call.m_prompt_tokens;
-    wish.m_fresh = call.m_fresh || !m_load.m_queue_at_targets;
-    wish.m_read_by = wish.m_fresh ? call.m_read_by : m_now;
-    if (wish.m_read_by == TimePoint::max())
-      wish.m_read_by = m_now + std::chrono::hours(1);
+    wish.m_can_be_on_time = call.m_can_be_on_time || !m_load.m_queue_at_targets;
+    wish.m_read_deadline = wish.m_can_be_on_time ? call.m_read_deadline : m_now;
+    if (wish.m_read_deadline == TimePoint::max())
+      wish.m_read_deadline = m_now + std::chrono::hours(1);
     wish.m_until = until;
     return wish;
   }
 
   void CountGranted(uint64_t number, size_t replica) {
     ++m_targets[replica].m_load.m_calls;
-    m_targets[replica].m_load.m_unread += m_calls[number].m_prompt_tokens;
+    m_targets[replica].m_load.m_unread_tokens +=
+        m_calls[number].m_prompt_tokens;
   }
 
   void HandleTargetReply(uint64_t number, size_t replica, bool granted) {
@@ -247,9 +248,9 @@
       Start(number, replica);
       return;
     }
-    NoteBegun(pool, Name(replica), call.m_prompt_tokens);
+    NotePromptRead(pool, Name(replica), call.m_prompt_tokens);
     Release(pool, Name(replica), AttemptEnd::kNotRun, m_now);
-    const TimePoint until = call.m_tries == 1 ? call.m_began + kObjective -
+    const TimePoint until = call.m_tries == 1 ? call.m_started_at + kObjective -
                                                     kSlack - PrefillTime(call)
                                               : m_now;
     if (until <= m_now) {
@@ -273,15 +274,15 @@
   void Reserve(uint64_t number, TimePoint until) {
     const Call& call = m_calls[number];
     for (const std::string& replica :
-         WaitingPlaces(m_entries[call.m_entry], PoolCallOf(number),
-                       kReservations, m_now, m_random)) {
+         ReplicasToWaitAt(m_entries[call.m_entry], PoolCallOf(number),
+                          kReservations, m_now, m_random)) {
       const size_t index = std::stoul(replica);
       Schedule(m_now + kNetworkDelay, [this, number, index, until] {
         Target& target = m_targets[index];
         if (!m_calls[number].m_waits)
           return;  // It was withdrawn.
         if (Ask(target.m_queue, WishOf(number, until), target.m_load, m_now) ==
-            PlaceVerdict::kGranted)
+            SlotVerdict::kGranted)
           SendGrant(number, index);
       });
     }
@@ -300,8 +301,8 @@
         return;
       }
       ReplicaPool& pool = m_entries[call.m_entry];
-      StopWaiting(pool, number);
-      TakeGranted(pool, Name(replica), call.m_prompt_tokens);
+      RemoveWaitingCall(pool, number);
+      AddGrantedSlot(pool, Name(replica), call.m_prompt_tokens);
       Start(number, replica);
     });
   }
@@ -309,13 +310,13 @@
   void ReleaseSlot(size_t replica, uint32_t unread) {
     Target& target = m_targets[replica];
     --target.m_load.m_calls;
-    target.m_load.m_unread -= unread;
+    target.m_load.m_unread_tokens -= unread;
     GrantWaiting(replica);
   }
 
   void GrantWaiting(size_t replica) {
     Target& target = m_targets[replica];
-    for (const PlaceWish& wish : Grant(target.m_queue, target.m_load, m_now))
+    for (const SlotRequest& wish : Grant(target.m_queue, target.m_load, m_now))
       SendGrant(wish.m_ticket, replica);
   }
 
@@ -341,22 +342,22 @@
     Schedule(m_now + pass, [this, replica] {
       Target& done = m_targets[replica];
       done.m_busy = false;
-      for (const FakeRun& run : done.m_replica.EndPass())
+      for (const FakeCall& run : done.m_replica.EndPass())
         HandleEvent(run, replica);
       RunPass(replica);
     });
   }
 
-  void HandleEvent(const FakeRun& run, size_t replica) {
+  void HandleEvent(const FakeCall& run, size_t replica) {
     Call& call = CallAt(run.m_call);
     ReplicaPool& pool = m_entries[call.m_entry];
     if (!call.m_began_to_answer) {
       call.m_began_to_answer = true;
-      call.m_on_time = m_now + kNetworkDelay - call.m_began <= kObjective;
-      NoteBegun(pool, Name(replica), call.m_prompt_tokens);
+      call.m_on_time = m_now + kNetworkDelay - call.m_started_at <= kObjective;
+      NotePromptRead(pool, Name(replica), call.m_prompt_tokens);
       const uint32_t tokens = call.m_prompt_tokens;
       Schedule(m_now + kNetworkDelay, [this, replica, tokens] {
-        m_targets[replica].m_load.m_unread -= tokens;
+        m_targets[replica].m_load.m_unread_tokens -= tokens;
         GrantWaiting(replica);
       });
     }
@@ -383,16 +384,19 @@
   void RefreshEntry(size_t entry, size_t replica) {
     ReplicaState& state = m_entries[entry].m_replicas.at(Name(replica));
     const Target& target = m_targets[replica];
-    state.m_elsewhere = target.m_load.m_calls -
-                        std::min(target.m_load.m_calls, state.m_in_flight);
-    state.m_unread_elsewhere = target.m_load.m_unread -
-                               std::min(target.m_load.m_unread, state.m_unread);
-    state.m_waiting = static_cast<uint32_t>(target.m_queue.m_wishes.size());
+    state.m_other_entries_calls =
+        target.m_load.m_calls -
+        std::min(target.m_load.m_calls, state.m_in_flight);
+    state.m_other_entries_unread_tokens =
+        target.m_load.m_unread_tokens -
+        std::min(target.m_load.m_unread_tokens, state.m_unread_tokens);
+    state.m_waiting =
+        static_cast<uint32_t>(target.m_queue.m_slot_requests.size());
   }
 
   void Wake(size_t entry) {
-    for (const PoolStart& start :
-         StartWaiting(m_entries[entry], m_now, m_random))
+    for (const StartedCall& start :
+         StartWaitingCalls(m_entries[entry], m_now, m_random))
       AskTarget(start.m_ticket, std::stoul(start.m_replica));
   }
 
@@ -400,12 +404,12 @@
   void Refuse(uint64_t number) {
     Call& call = CallAt(number);
     call.m_waits = false;
-    StopWaiting(m_entries[call.m_entry], number);
+    RemoveWaitingCall(m_entries[call.m_entry], number);
     for (Target& target : m_targets)
       Withdraw(target.m_queue, EntryAddress(call.m_entry), number);
     if (call.m_tries > 1)
       return;
-    NoteRefusedInTime(m_late[call.m_entry], m_now);
+    NoteOnTimeRefusal(m_late[call.m_entry], m_now);
     std::uniform_int_distribution<int> pause(300, 1500);
     Schedule(m_now + std::chrono::milliseconds(pause(m_random)),
              [this, number] { Try(number); });
@@ -413,8 +417,8 @@
 
   Call& CallAt(uint64_t number) { return m_calls[number]; }
 
-  FakeCount Count(uint32_t least_tokens) const {
-    FakeCount count;
+  CallOutcomes Count(uint32_t least_tokens) const {
+    CallOutcomes count;
     for (const Call& call : m_calls) {
       if (call.m_prompt_tokens < least_tokens)
         continue;
@@ -438,7 +442,7 @@
   std::vector<Call> m_calls;
   std::vector<ReplicaPool> m_entries;
   /// By entry.
-  std::vector<LateCalls> m_late;
+  std::vector<LateCallShedding> m_late;
   std::vector<Target> m_targets;
 };
 
--- a/src/libverbenalead/decide/fake_pool.h
+++ b/src/libverbenalead/decide/fake_pool.h
@@ -153,7 +153,7 @@
     for (const Entry& entry : m_entries) {
       for (const auto& [name, queue] : entry.m_admit.m_queues) {
         for (const WaitingCall& call : queue.m_calls)
-          count += call.m_deadline < m_now - kDropEvery * 2 ? 1 : 0;
+          count += call.m_deadline < m_now - kDeadlineScanInterval * 2 ? 1 : 0;
       }
     }
     return count;
@@ -169,8 +169,8 @@
     }
   };
   struct Entry {
-    AdmitState m_admit;
-    PlaceState m_place;
+    AdmissionState m_admit;
+    TargetSelectionState m_place;
     RetryBudget m_budget;
     Random m_random;
     size_t m_next_target = 0;
@@ -210,7 +210,7 @@
   }
 
   void SendReports(size_t target) {
-    // The last report of a failed target stays valid for kReportStale.
+    // The last report of a failed target stays valid for kMaxReportAge.
     if (!HasFailed(target)) {
       const model::TargetReport report = MakeReport(target);
       Schedule(m_now + m_settings.m_report_lag, [this, report] {
@@ -228,7 +228,7 @@
       ApplyActions(e, Tick(m_entries[e].m_admit, capacity, m_now));
     }
     m_worst_overdue = std::max(m_worst_overdue, overdue());
-    Schedule(m_now + kDropEvery, [this] { TickEntries(); });
+    Schedule(m_now + kDeadlineScanInterval, [this] { TickEntries(); });
   }
 
   void HandleArrival(size_t call, size_t e) {
@@ -246,9 +246,9 @@
     ApplyActions(e, Arrive(m_entries[e].m_admit, call, arriving, m_now));
   }
 
-  void ApplyActions(size_t e, const std::vector<AdmitAction>& actions) {
-    for (const AdmitAction& action : actions) {
-      if (action.m_kind == AdmitAction::Kind::kStart)
+  void ApplyActions(size_t e, const std::vector<AdmissionAction>& actions) {
+    for (const AdmissionAction& action : actions) {
+      if (action.m_kind == AdmissionAction::Kind::kStart)
         StartCall(action.m_ticket, e);
       else
         RecordResult(action.m_ticket, false, action.m_reason);
@@ -279,7 +279,7 @@
     std::vector<size_t> usable;
     for (size_t i = 0; i < m_targets.size(); ++i) {
       const TargetView& view = entry.m_place.m_targets[i];
-      if (m_now - view.m_reported_at <= kReportStale &&
+      if (m_now - view.m_reported_at <= kMaxReportAge &&
           !tried.contains(view.m_report.m_name))
         usable.push_back(i);
     }
@@ -304,7 +304,7 @@
   /// the work done: the upper bound for the other policies.
   std::optional<Placement> ChooseByOracle(const model::Call& call,
                                           const std::set<std::string>& tried) {
-    double mean = UnitsOf(call);
+    double mean = WorkUnits(call);
     for (const Target& target : m_targets)
       mean += target.m_work;
     mean /= static_cast<double>(m_targets.size());
@@ -316,7 +316,7 @@
           tried.contains("t" + std::to_string(i)))
         continue;
       const bool prefix_cached = Cached(target, call.prefix()) &&
-                                 target.m_work + UnitsOf(call) <= 1.25 * mean;
+                                 target.m_work + WorkUnits(call) <= 1.25 * mean;
       const std::pair rank{prefix_cached ? 0 : 1, target.m_work};
       if (!best || rank < best_rank) {
         best = i;
@@ -340,7 +340,7 @@
     const auto placement =
         ChooseTarget(model_call, entry, *tried, m_now - started);
     if (!placement) {
-      LowerLimit(entry.m_admit, m_now);
+      LowerConcurrencyLimit(entry.m_admit, m_now);
       return RetryWhenFull(call, e, number, started);
     }
     tried->insert(placement->m_target);
@@ -350,21 +350,23 @@
     Schedule(m_now + m_settings.m_one_way, [=, this] {
       ++m_records[call].m_attempts;
       if (HasFailed(target))
-        return SendAnswer(call, e, target, TargetSign::kBroken, sent, tried,
+        return SendAnswer(call, e, target, TargetFeedback::kBroken, sent, tried,
                           number, started);
       Target& fake_target = m_targets[target];
       const bool full = fake_target.m_admitted >= m_settings.m_gate_limit;
       if (full || fake_target.m_admitted > placement->m_max_running) {
         --m_records[call].m_attempts;
-        return SendAnswer(call, e, target,
-                          full ? TargetSign::kFull : TargetSign::kBusier, sent,
-                          tried, number, started);
+        return SendAnswer(
+            call, e, target,
+            full ? TargetFeedback::kFull : TargetFeedback::kAboveMaxRunning,
+            sent, tried, number, started);
       }
       ++fake_target.m_admitted;
       fake_target.m_queue.push_back({call, {}, [=, this](bool working) {
                                        SendAnswer(call, e, target,
-                                                  working ? TargetSign::kGood
-                                                          : TargetSign::kBroken,
+                                                  working
+                                                      ? TargetFeedback::kGood
+                                                      : TargetFeedback::kBroken,
                                                   sent, tried, number, started);
                                      }});
       RunQueued(target);
@@ -379,7 +381,7 @@
       fake_target.m_queue.pop_front();
       ++fake_target.m_active;
       const Duration duration = CallDuration(target, next.m_call);
-      fake_target.m_work += UnitsOf(m_records[next.m_call].m_call);
+      fake_target.m_work += WorkUnits(m_records[next.m_call].m_call);
       Schedule(m_now + duration, [this, target, next] {
         Target& fake_target = m_targets[target];
         --fake_target.m_active;
@@ -441,7 +443,7 @@
   void SendAnswer(size_t call,
                   size_t e,
                   size_t target,
-                  TargetSign sign,
+                  TargetFeedback sign,
                   TimePoint sent,
                   std::shared_ptr<std::set<std::string>> tried,
                   uint32_t number,
@@ -452,29 +454,30 @@
       const model::Call& model_call = m_records[call].m_call;
       AttemptEnded(entry.m_place, "t" + std::to_string(target), model_call,
                    sign, m_now - sent, m_now);
-      if (sign != TargetSign::kBroken)
-        LoadSeen(entry.m_place, "t" + std::to_string(target), running, m_now);
-      EndedAttempt attempt;
+      if (sign != TargetFeedback::kBroken)
+        LoadObserved(entry.m_place, "t" + std::to_string(target), running,
+                     m_now);
+      FinishedAttempt attempt;
       attempt.m_number = number;
-      attempt.m_turned_away =
-          sign == TargetSign::kFull || sign == TargetSign::kBusier;
-      attempt.m_end = sign == TargetSign::kGood ? AttemptEnd::kCompleted
-                                                : AttemptEnd::kNotRun;
+      attempt.m_refused_without_run = sign == TargetFeedback::kFull ||
+                                      sign == TargetFeedback::kAboveMaxRunning;
+      attempt.m_end = sign == TargetFeedback::kGood ? AttemptEnd::kCompleted
+                                                    : AttemptEnd::kNotRun;
       const RetryDecision decision =
-          AfterAttempt(model_call, attempt, entry.m_budget, m_now);
+          DecideRetry(model_call, attempt, entry.m_budget, m_now);
       if (decision.m_retry)
         return StartAttempt(call, e, tried, number + 1, started);
-      if (attempt.m_turned_away) {
-        if (sign == TargetSign::kFull)
-          LowerLimit(entry.m_admit, m_now);
+      if (attempt.m_refused_without_run) {
+        if (sign == TargetFeedback::kFull)
+          LowerConcurrencyLimit(entry.m_admit, m_now);
         return RetryWhenFull(call, e, number, started);
       }
-      FinishCall(call, e, sign == TargetSign::kGood, started);
+      FinishCall(call, e, sign == TargetFeedback::kGood, started);
     });
   }
 
   void FinishCall(size_t call, size_t e, bool good, TimePoint started) {
-    const double units = UnitsOf(m_records[call].m_call);
+    const double units = WorkUnits(m_records[call].m_call);
     RecordResult(call, good, "broken or full");
     std::optional<Duration> elapsed;
     if (good)
@@ -483,15 +486,15 @@
   }
 
   /// Handles a call for which no target had a free slot: the call still counts
-  /// as running and is sent again after kFullPause.
+  /// as running and is sent again after kFullTargetPause.
   void RetryWhenFull(size_t call,
                      size_t e,
                      uint32_t number,
                      TimePoint started) {
-    if (m_now + kFullPause >= m_records[call].m_call.deadline() ||
+    if (m_now + kFullTargetPause >= m_records[call].m_call.deadline() ||
         number > kMaxAttempts)
       return FinishCall(call, e, false, started);
-    Schedule(m_now + kFullPause, [=, this] {
+    Schedule(m_now + kFullTargetPause, [=, this] {
       StartAttempt(call, e, std::make_shared<std::set<std::string>>(), 1,
                    started);
     });
--- a/src/libverbenalead/decide/fake_replica.h
+++ b/src/libverbenalead/decide/fake_replica.h
@@ -16,14 +16,14 @@
   uint32_t m_slots = 16;
   Duration m_step = 8870us;
   /// Added to each step for every call in the batch.
-  Duration m_step_for_call = 39us;
+  Duration m_step_per_call = 39us;
   uint32_t m_stride = 5;
   /// Prompt tokens read per second, between the tokens of other calls.
   double m_prefill_rate = 19100;
 };
 
 /// A call at a simulated replica.
-struct FakeRun {
+struct FakeCall {
   uint64_t m_call = 0;
   uint32_t m_prompt_tokens = 0;
   uint32_t m_events_left = 0;
@@ -34,8 +34,8 @@
 /// call.
 struct FakeReplica {
   FakeEngine m_engine;
-  std::deque<FakeRun> m_queued;
-  std::vector<FakeRun> m_running;
+  std::deque<FakeCall> m_queued;
+  std::vector<FakeCall> m_running;
 
   /// Begins a pass: admits queued calls while there are free slots. Returns the
   /// duration of the pass, or zero if there is nothing to do.
@@ -52,17 +52,17 @@
       return Duration();
     const auto calls = static_cast<int64_t>(m_running.size());
     return reading + m_engine.m_stride *
-                         (m_engine.m_step + m_engine.m_step_for_call * calls);
+                         (m_engine.m_step + m_engine.m_step_per_call * calls);
   }
 
   /// Ends the pass: each running call has written one more event. Returns these
   /// calls. Calls that have no events left have ended.
-  std::vector<FakeRun> EndPass() {
-    for (FakeRun& run : m_running)
+  std::vector<FakeCall> EndPass() {
+    for (FakeCall& run : m_running)
       --run.m_events_left;
-    std::vector<FakeRun> advanced = m_running;
+    std::vector<FakeCall> advanced = m_running;
     std::erase_if(m_running,
-                  [](const FakeRun& run) { return run.m_events_left == 0; });
+                  [](const FakeCall& run) { return run.m_events_left == 0; });
     return advanced;
   }
 };
--- a/src/libverbenalead/decide/fetch_chunk.h
+++ b/src/libverbenalead/decide/fetch_chunk.h
@@ -8,7 +8,7 @@
 namespace verbenalead::decide {
 
 /// Instruction to the daemon: fetch `m_chunk` from `m_source` and report the
-/// result by ChunkArrived or ChunkFailed.
+/// result by RecordChunkArrival or RecordChunkFailure.
 struct FetchChunk {
   uint32_t m_chunk = 0;
   ChunkSource m_source;
--- a/src/libverbenalead/decide/fetch_window.h
+++ b/src/libverbenalead/decide/fetch_window.h
@@ -19,24 +19,24 @@
   uint32_t m_most = 0;
   /// A longer wait for a chunk means that the link is congested; zero: the
   /// window always is m_most.
-  Duration m_slow{};
+  Duration m_slow_threshold{};
   uint32_t m_size = m_most;
 
   friend bool operator==(const FetchWindow&, const FetchWindow&) = default;
 };
 
 /// Divisor applied to the window after a slow chunk.
-constexpr uint32_t kWindowCut = 2;
+constexpr uint32_t kWindowDivisor = 2;
 
 /// Adapts the window to a chunk that arrived after `wait`. Adding one and
 /// halving lets hosts that share a link converge to equal shares of it. Chunks
 /// that do not arrive are not counted: hosts that are unreachable would shrink
 /// the windows of all others.
-inline void NoteArrival(FetchWindow& window, Duration wait) {
-  if (window.m_slow == Duration())
+inline void RecordArrival(FetchWindow& window, Duration wait) {
+  if (window.m_slow_threshold == Duration())
     return;
-  window.m_size = wait > window.m_slow
-                      ? std::max(1U, window.m_size / kWindowCut)
+  window.m_size = wait > window.m_slow_threshold
+                      ? std::max(1U, window.m_size / kWindowDivisor)
                       : std::min(window.m_most, window.m_size + 1);
 }
 
--- a/src/libverbenalead/decide/fetch_window_test.cc
+++ b/src/libverbenalead/decide/fetch_window_test.cc
@@ -43,7 +43,7 @@
 
   void KeepsItsSizeWithoutAThreshold() {
     FetchWindow window{kMaxSize, Duration()};
-    NoteArrival(window, 20s);
+    RecordArrival(window, 20s);
     CPPUNIT_ASSERT_EQUAL(kMaxSize, window.m_size);
   }
 
@@ -59,7 +59,7 @@
           std::chrono::duration_cast<Duration>(std::chrono::duration<double>(
               static_cast<double>(window.m_size * kChunk) /
               (megabits * static_cast<double>(kMegabit))));
-      NoteArrival(window, queue_delay);
+      RecordArrival(window, queue_delay);
     }
     return queue_delay;
   }
--- a/src/libverbenalead/decide/gate.cc
+++ b/src/libverbenalead/decide/gate.cc
@@ -2,52 +2,52 @@
 
 namespace verbenalead::decide {
 
-const char* ToString(EnterResult result) {
+const char* ToString(AdmitResult result) {
   switch (result) {
-    case EnterResult::kEntered:
+    case AdmitResult::kAdmitted:
       return "entered";
-    case EnterResult::kClosed:
+    case AdmitResult::kClosed:
       return "gate_closed";
-    case EnterResult::kFull:
+    case AdmitResult::kFull:
       return "target_full";
-    case EnterResult::kLeaving:
+    case AdmitResult::kLeaving:
       return "target_leaving";
-    case EnterResult::kWrongIncarnation:
+    case AdmitResult::kWrongIncarnation:
       return "wrong_incarnation";
-    case EnterResult::kWrongVersion:
+    case AdmitResult::kWrongVersion:
       return "wrong_version";
-    case EnterResult::kVoid:
+    case AdmitResult::kVoid:
       return "attempt_void";
-    case EnterResult::kRepeated:
+    case AdmitResult::kDuplicate:
       return "attempt_repeated";
   }
   return "unknown";
 }
 
-EnterResult Enter(GateState& gate,
+AdmitResult Enter(GateState& gate,
                   const Attempt& attempt,
                   uint64_t incarnation,
                   const Digest& wanted,
                   TimePoint now) {
   if (incarnation != gate.m_incarnation)
-    return EnterResult::kWrongIncarnation;
+    return AdmitResult::kWrongIncarnation;
   auto known = gate.m_attempts.find(attempt);
   if (known != gate.m_attempts.end()) {
     return known->second.m_state == GateState::Record::State::kVoid
-               ? EnterResult::kVoid
-               : EnterResult::kRepeated;
+               ? AdmitResult::kVoid
+               : AdmitResult::kDuplicate;
   }
   if (gate.m_leaving)
-    return EnterResult::kLeaving;
+    return AdmitResult::kLeaving;
   if (!gate.m_open)
-    return EnterResult::kClosed;
+    return AdmitResult::kClosed;
   if (!wanted.empty() && wanted != gate.m_digest)
-    return EnterResult::kWrongVersion;
+    return AdmitResult::kWrongVersion;
   if (gate.m_running >= gate.m_capacity)
-    return EnterResult::kFull;
+    return AdmitResult::kFull;
   ++gate.m_running;
   gate.m_attempts[attempt] = {GateState::Record::State::kRunning, now};
-  return EnterResult::kEntered;
+  return AdmitResult::kAdmitted;
 }
 
 void Leave(GateState& gate, const Attempt& attempt, TimePoint now) {
@@ -70,13 +70,13 @@
   gate.m_open = false;
 }
 
-void AskAgain(GateState& gate) {
+void RequireStatus(GateState& gate) {
   Shut(gate);
-  ++gate.m_doubt;
+  ++gate.m_status_epoch;
 }
 
-void Doubt(GateState& gate) {
-  AskAgain(gate);
+void InvalidateVersion(GateState& gate) {
+  RequireStatus(gate);
   ++gate.m_generation;
 }
 
@@ -86,7 +86,7 @@
   if (gate.m_digest == reported)
     return true;
   if (!reported.empty())
-    Doubt(gate);
+    InvalidateVersion(gate);
   return false;
 }
 
@@ -101,7 +101,7 @@
 void Forget(GateState& gate, TimePoint now) {
   std::erase_if(gate.m_attempts, [&](const auto& entry) {
     return entry.second.m_state != GateState::Record::State::kRunning &&
-           now - entry.second.m_since > kRemember;
+           now - entry.second.m_since > kAttemptRetention;
   });
 }
 
--- a/src/libverbenalead/decide/gate.h
+++ b/src/libverbenalead/decide/gate.h
@@ -36,7 +36,7 @@
   uint32_t m_running = 0;
   /// Incremented whenever it becomes uncertain what the engine serves. The gate
   /// opens only on an engine status requested after the last increment.
-  uint64_t m_doubt = 1;
+  uint64_t m_status_epoch = 1;
 
   struct Record {
     enum class State { kRunning, kDone, kVoid };
@@ -47,24 +47,24 @@
   std::map<Attempt, Record> m_attempts;
 };
 
-enum class EnterResult {
-  kEntered,
+enum class AdmitResult {
+  kAdmitted,
   kClosed,            ///< No version is in force, or a load is under way.
   kFull,              ///< m_capacity attempts are running.
   kLeaving,           ///< The target is shutting down.
   kWrongIncarnation,  ///< Addressed to another run of this target.
   kWrongVersion,      ///< Another version is in force.
   kVoid,              ///< Made void before it arrived.
-  kRepeated,          ///< Duplicate of an attempt that has already started.
+  kDuplicate,         ///< Duplicate of an attempt that has already started.
 };
 
-const char* ToString(EnterResult result);
+const char* ToString(AdmitResult result);
 
 /// Admits `attempt` or returns the reason for the refusal. A refused message is
-/// not run and won't be; with kRepeated, however, an earlier copy of the same
+/// not run and won't be; with kDuplicate, however, an earlier copy of the same
 /// attempt is running or has run. `wanted` is the version for which the request
 /// was placed, or empty for any version.
-EnterResult Enter(GateState& gate,
+AdmitResult Enter(GateState& gate,
                   const Attempt& attempt,
                   uint64_t incarnation,
                   const Digest& wanted,
@@ -83,12 +83,12 @@
 /// Shuts the gate until the engine has reported again which version it serves.
 /// Answers in progress continue: an engine that is slow to report its status
 /// still runs them.
-void AskAgain(GateState& gate);
+void RequireStatus(GateState& gate);
 
 /// Shuts the gate until the engine has reported again which version it serves,
 /// and withholds all answers that began before. Called after a load order, or
 /// if the engine serves another version than the one in force.
-void Doubt(GateState& gate);
+void InvalidateVersion(GateState& gate);
 
 /// Returns true if an answer that began under `generation` and reports version
 /// `reported` may be forwarded. An answer that names another version than the
@@ -109,14 +109,14 @@
 /// responding.
 VoidResult VoidAttempt(GateState& gate, const Attempt& attempt, TimePoint now);
 
-/// Erases the records of attempts that ended or became void more than kRemember
-/// ago. Running attempts are kept.
+/// Erases the records of attempts that ended or became void more than
+/// kAttemptRetention ago. Running attempts are kept.
 void Forget(GateState& gate, TimePoint now);
 
 /// Retention period of a void or ended attempt. A message that arrives later
 /// would have been in transit for this long. Connections are closed after
 /// seconds of silence, so a period of minutes is sufficient.
-constexpr Duration kRemember = std::chrono::minutes(10);
+constexpr Duration kAttemptRetention = std::chrono::minutes(10);
 
 }  // namespace verbenalead::decide
 
--- a/src/libverbenalead/decide/gate_test.cc
+++ b/src/libverbenalead/decide/gate_test.cc
@@ -31,21 +31,21 @@
   void RefusesAttemptsThatMustNotRun() {
     GateState gate = OpenGate(kOld);
     CPPUNIT_ASSERT(Enter(gate, {"a", 1}, 6, kOld, kStart) ==
-                   EnterResult::kWrongIncarnation);
+                   AdmitResult::kWrongIncarnation);
     CPPUNIT_ASSERT(Enter(gate, {"a", 1}, kIncarnation, kNew, kStart) ==
-                   EnterResult::kWrongVersion);
+                   AdmitResult::kWrongVersion);
     CPPUNIT_ASSERT(Enter(gate, {"a", 1}, kIncarnation, kOld, kStart) ==
-                   EnterResult::kEntered);
+                   AdmitResult::kAdmitted);
     CPPUNIT_ASSERT(Enter(gate, {"a", 1}, kIncarnation, kOld, kStart) ==
-                   EnterResult::kRepeated);
+                   AdmitResult::kDuplicate);
     CPPUNIT_ASSERT(Enter(gate, {"b", 1}, kIncarnation, {}, kStart) ==
-                   EnterResult::kEntered);
+                   AdmitResult::kAdmitted);
     CPPUNIT_ASSERT(Enter(gate, {"c", 1}, kIncarnation, {}, kStart) ==
-                   EnterResult::kFull);
+                   AdmitResult::kFull);
     Leave(gate, {"b", 1}, kStart);
     gate.m_leaving = true;
     CPPUNIT_ASSERT(Enter(gate, {"d", 1}, kIncarnation, {}, kStart) ==
-                   EnterResult::kLeaving);
+                   AdmitResult::kLeaving);
   }
 
   // Guards against running a call twice. The connection that carried the
@@ -57,7 +57,7 @@
     CPPUNIT_ASSERT(VoidAttempt(gate, {"a", 1}, kStart) ==
                    VoidResult::kNeverStarted);
     CPPUNIT_ASSERT(Enter(gate, {"a", 1}, kIncarnation, kOld, kStart) ==
-                   EnterResult::kVoid);
+                   AdmitResult::kVoid);
     CPPUNIT_ASSERT_EQUAL(uint32_t{0}, gate.m_running);
   }
 
@@ -87,9 +87,9 @@
     GateState gate = OpenGate(kOld);
     Enter(gate, {"running", 1}, kIncarnation, kOld, kStart);
     VoidAttempt(gate, {"void", 1}, kStart);
-    Forget(gate, kStart + kRemember);
+    Forget(gate, kStart + kAttemptRetention);
     CPPUNIT_ASSERT_EQUAL(size_t{2}, gate.m_attempts.size());
-    Forget(gate, kStart + kRemember + 1s);
+    Forget(gate, kStart + kAttemptRetention + 1s);
     CPPUNIT_ASSERT_EQUAL(size_t{1}, gate.m_attempts.size());
   }
 };
--- a/src/libverbenalead/decide/hedge.cc
+++ b/src/libverbenalead/decide/hedge.cc
@@ -18,14 +18,14 @@
 
 }  // namespace
 
-std::optional<Duration> SilenceBeforeHedge(const CallProgress& progress,
-                                           const model::Route& route) {
+std::optional<Duration> HedgeDelay(const CallProgress& progress,
+                                   const model::Route& route) {
   CallProgress running = progress;
   if (!running.m_begun) {
     ++running.m_sent;
     ++running.m_runs;
   }
-  if (!MayTryAgain(running, AttemptEnd::kBroken))
+  if (!MayRetry(running, AttemptEnd::kBroken))
     return std::nullopt;
   if (progress.m_begun)
     return kMaxEventSilence;
--- a/src/libverbenalead/decide/hedge.h
+++ b/src/libverbenalead/decide/hedge.h
@@ -18,8 +18,8 @@
 /// dropped instead, the caller would lose an answer that would have come. So
 /// the first replica keeps the call, and the hedge uses a slot and a retry only
 /// after a silence that is longer than the pauses of a healthy replica.
-std::optional<Duration> SilenceBeforeHedge(const CallProgress& progress,
-                                           const model::Route& route);
+std::optional<Duration> HedgeDelay(const CallProgress& progress,
+                                   const model::Route& route);
 
 }  // namespace verbenalead::decide
 
--- a/src/libverbenalead/decide/hedge_test.cc
+++ b/src/libverbenalead/decide/hedge_test.cc
@@ -32,27 +32,26 @@
   void HedgesBeforeCallersLeave() {
     const model::Route route = MakeRoute(model::CallKind::kStream);
     CallProgress progress = StreamProgress();
-    CPPUNIT_ASSERT(SilenceBeforeHedge(progress, route) < Duration(2s));
+    CPPUNIT_ASSERT(HedgeDelay(progress, route) < Duration(2s));
     progress.m_sent = progress.m_runs = 1;
     progress.m_begun = true;
-    CPPUNIT_ASSERT(SilenceBeforeHedge(progress, route) < Duration(2s));
-    CPPUNIT_ASSERT(SilenceBeforeHedge(progress, route) > Duration(500ms));
+    CPPUNIT_ASSERT(HedgeDelay(progress, route) < Duration(2s));
+    CPPUNIT_ASSERT(HedgeDelay(progress, route) > Duration(500ms));
   }
 
   void DoesNotHedgeIfTheCallMayNotRunAgain() {
     CallProgress once;
     once.m_max_attempts = 3;
-    CPPUNIT_ASSERT(
-        !SilenceBeforeHedge(once, MakeRoute(model::CallKind::kAtMostOnce)));
+    CPPUNIT_ASSERT(!HedgeDelay(once, MakeRoute(model::CallKind::kAtMostOnce)));
     const model::Route route = MakeRoute(model::CallKind::kStream);
     CallProgress progress = StreamProgress();
     progress.m_resumable = false;
-    CPPUNIT_ASSERT(!SilenceBeforeHedge(progress, route));
+    CPPUNIT_ASSERT(!HedgeDelay(progress, route));
     // The call may have run once and is on its way to the last replica that its
     // route allows.
     progress = StreamProgress();
     progress.m_sent = progress.m_runs = 1;
-    CPPUNIT_ASSERT(!SilenceBeforeHedge(progress, route));
+    CPPUNIT_ASSERT(!HedgeDelay(progress, route));
   }
 
   void RunsStayWithinTheRoutesLimit() {
@@ -66,7 +65,7 @@
       progress.m_runs = *rc::gen::inRange<uint32_t>(progress.m_begun, 5);
       progress.m_sent = progress.m_runs + *rc::gen::inRange<uint32_t>(0, 5);
       const uint32_t first = progress.m_begun ? 0 : 1;
-      if (SilenceBeforeHedge(progress, MakeRoute(progress.m_kind))) {
+      if (HedgeDelay(progress, MakeRoute(progress.m_kind))) {
         RC_ASSERT(progress.m_runs + first + 1 <= progress.m_max_attempts);
         RC_ASSERT(progress.m_sent + first + 1 <= 4u);
       }
--- a/src/libverbenalead/decide/late_call_shedding.h
+++ b/src/libverbenalead/decide/late_call_shedding.h
@@ -16,24 +16,26 @@
 /// time, did not get that slot. While calls that could be on time are refused
 /// here, there is no slot for late ones, and their callers are refused without
 /// a wait.
-struct LateCalls {
+struct LateCallShedding {
   /// When a call that could have been on time was last refused.
-  std::optional<TimePoint> m_refused_at;
+  std::optional<TimePoint> m_on_time_refused_at;
 
-  friend bool operator==(const LateCalls&, const LateCalls&) = default;
+  friend bool operator==(const LateCallShedding&,
+                         const LateCallShedding&) = default;
 };
 
 /// A pool that refused an on-time call within this time counts as still full.
-constexpr Duration kFullFor = 1s;
+constexpr Duration kSheddingHold = 1s;
 
 /// Records that a call that could have been on time was refused for lack of a
 /// slot.
-inline void NoteRefusedInTime(LateCalls& late, TimePoint now) {
-  late.m_refused_at = now;
+inline void NoteOnTimeRefusal(LateCallShedding& late, TimePoint now) {
+  late.m_on_time_refused_at = now;
 }
 
-inline bool TurnsLateAway(const LateCalls& late, TimePoint now) {
-  return late.m_refused_at && now - *late.m_refused_at < kFullFor;
+inline bool ShedsLateCalls(const LateCallShedding& late, TimePoint now) {
+  return late.m_on_time_refused_at &&
+         now - *late.m_on_time_refused_at < kSheddingHold;
 }
 
 }  // namespace verbenalead::decide
--- a/src/libverbenalead/decide/load_permits.cc
+++ b/src/libverbenalead/decide/load_permits.cc
@@ -9,8 +9,8 @@
 
 namespace json = boost::json;
 
-Result<Permit> ReadPermit(const json::object& object) {
-  Permit permit;
+Result<LoadPermit> ReadPermit(const json::object& object) {
+  LoadPermit permit;
   BOOST_LEAF_AUTO(digest, model::TextField(object, "digest"));
   BOOST_LEAF_ASSIGN(permit.m_digest, ParseDigest(digest));
   BOOST_LEAF_ASSIGN(permit.m_plan, model::NumberField(object, "plan"));
@@ -24,7 +24,7 @@
 
 }  // namespace
 
-std::string ToJson(const PermitBoard& board) {
+std::string ToJson(const LoadPermits& board) {
   json::object out;
   for (const auto& [host, permit] : board.m_permits) {
     out[host] = json::object{{"digest", ToString(permit.m_digest)},
@@ -37,9 +37,9 @@
   return json::serialize(out);
 }
 
-Result<PermitBoard> ParsePermitBoard(std::string_view text, uint64_t revision) {
+Result<LoadPermits> ParseLoadPermits(std::string_view text, uint64_t revision) {
   BOOST_LEAF_AUTO(object, model::ParseObject(text, "permits"));
-  PermitBoard board;
+  LoadPermits board;
   board.m_revision = revision;
   for (const auto& item : object) {
     if (!item.value().is_object())
--- a/src/libverbenalead/decide/load_permits.h
+++ b/src/libverbenalead/decide/load_permits.h
@@ -14,18 +14,18 @@
 /// The load permits of one pool, stored as one item of the platform's table.
 /// Each write is conditional on the revision that was read: if two hosts try to
 /// acquire the last free permit, the table rejects the second write.
-struct PermitBoard {
+struct LoadPermits {
   uint64_t m_revision = 0;
   /// Permits by host.
-  std::map<std::string, Permit> m_permits;
+  std::map<std::string, LoadPermit> m_permits;
 
-  friend bool operator==(const PermitBoard&, const PermitBoard&) = default;
+  friend bool operator==(const LoadPermits&, const LoadPermits&) = default;
 };
 
 /// Returns the permits encoded as the value of their table item. The revision
 /// isn't part of the value.
-std::string ToJson(const PermitBoard& board);
-Result<PermitBoard> ParsePermitBoard(std::string_view json, uint64_t revision);
+std::string ToJson(const LoadPermits& board);
+Result<LoadPermits> ParseLoadPermits(std::string_view json, uint64_t revision);
 
 }  // namespace verbenalead::decide
 
--- a/src/libverbenalead/decide/load_plan.cc
+++ b/src/libverbenalead/decide/load_plan.cc
@@ -73,9 +73,9 @@
                              (kMaxDrainTime - kMinDrainTime) * spare_share);
 }
 
-TimePoint LoadTurn(const LoadPlan& plan,
-                   const std::string& replica,
-                   std::vector<std::string> replicas) {
+TimePoint ScheduledLoadTime(const LoadPlan& plan,
+                            const std::string& replica,
+                            std::vector<std::string> replicas) {
   std::sort(replicas.begin(), replicas.end());
   const auto found = std::find(replicas.begin(), replicas.end(), replica);
   if (found == replicas.end() || replicas.size() < 2)
--- a/src/libverbenalead/decide/load_plan.h
+++ b/src/libverbenalead/decide/load_plan.h
@@ -72,9 +72,9 @@
 /// find no replica. The load times are spread evenly over the window of `plan`,
 /// in an order that each host computes from the same list. The hosts need not
 /// coordinate, and a host that fails does not delay the others.
-TimePoint LoadTurn(const LoadPlan& plan,
-                   const std::string& replica,
-                   std::vector<std::string> replicas);
+TimePoint ScheduledLoadTime(const LoadPlan& plan,
+                            const std::string& replica,
+                            std::vector<std::string> replicas);
 
 /// How long running calls may continue at a replica that stops taking calls in
 /// order to load.
--- a/src/libverbenalead/decide/load_plan_test.cc
+++ b/src/libverbenalead/decide/load_plan_test.cc
@@ -54,7 +54,7 @@
     const auto plan = PlanLoad(kTimes, {{2, Declared(0s, 3300ms)}}, 1);
     std::vector<TimePoint> load_times;
     for (const std::string& replica : replicas)
-      load_times.push_back(LoadTurn(*plan, replica, replicas));
+      load_times.push_back(ScheduledLoadTime(*plan, replica, replicas));
     for (const TimePoint load_time : load_times) {
       const auto out = static_cast<size_t>(std::count_if(
           load_times.begin(), load_times.end(), [load_time](TimePoint other) {
@@ -128,7 +128,7 @@
       const auto plan = PlanLoad(kTimes, {{2, Declared(0s, 3s)}}, 1);
       std::map<TimePoint, int> load_times;
       for (const std::string& replica : replicas) {
-        const TimePoint load_time = LoadTurn(*plan, replica, replicas);
+        const TimePoint load_time = ScheduledLoadTime(*plan, replica, replicas);
         RC_ASSERT(load_time <= kStart + kTimes.m_bound);
         RC_ASSERT(++load_times[load_time] == 1);
       }
--- a/src/libverbenalead/decide/organisation_queue.h
+++ b/src/libverbenalead/decide/organisation_queue.h
@@ -33,7 +33,7 @@
   std::set<WaitingCall> m_calls;
   /// Units of work that wait, by urgency.
   std::array<double, kUrgencies> m_units{};
-  /// Units of work admitted, by urgency, decayed with kArrivalsFadeIn.
+  /// Units of work admitted, by urgency, decayed with kRateDecayTime.
   std::array<double, kUrgencies> m_arrived{};
 };
 
--- a/src/libverbenalead/decide/origin_fetch_report.h
+++ b/src/libverbenalead/decide/origin_fetch_report.h
@@ -10,23 +10,26 @@
 
 /// Announcement of one host about its fetches from the origin, sent to the
 /// other hosts so that they do not fetch the same chunks.
-struct DrawReport {
+struct OriginFetchReport {
   std::string m_host;
   /// Chunks that it is fetching from the origin.
   std::vector<uint32_t> m_under_way;
   /// Chunks whose fetch from the origin has just completed.
-  std::vector<uint32_t> m_drawn;
+  std::vector<uint32_t> m_origin_fetched;
 
-  friend bool operator==(const DrawReport&, const DrawReport&) = default;
+  friend bool operator==(const OriginFetchReport&,
+                         const OriginFetchReport&) = default;
 };
 
 /// Whether the report names only chunks that exist in a version of `chunks`
 /// chunks.
-inline bool IsWithin(const DrawReport& report, uint32_t chunks) {
+inline bool HasOnlyKnownChunks(const OriginFetchReport& report,
+                               uint32_t chunks) {
   const auto known = [chunks](uint32_t chunk) { return chunk < chunks; };
   return std::all_of(report.m_under_way.begin(), report.m_under_way.end(),
                      known) &&
-         std::all_of(report.m_drawn.begin(), report.m_drawn.end(), known);
+         std::all_of(report.m_origin_fetched.begin(),
+                     report.m_origin_fetched.end(), known);
 }
 
 }  // namespace verbenalead::decide
--- a/src/libverbenalead/decide/origin_fetches.cc
+++ b/src/libverbenalead/decide/origin_fetches.cc
@@ -26,7 +26,7 @@
 constexpr int kMaxWaitsWithoutFetch = 3;
 
 bool OriginReady(const TransferState& state, TimePoint now) {
-  return state.m_origin_fetching < state.m_limits.m_max_origin &&
+  return state.m_origin_fetching < state.m_limits.m_max_own_origin_fetches &&
          now >= state.m_origin_retry_at;
 }
 
@@ -47,8 +47,8 @@
 
 uint32_t OriginFetchesElsewhere(const TransferState& state, TimePoint now) {
   uint32_t count = 0;
-  for (const auto& [host, report] : state.m_draws_elsewhere) {
-    if (now - report.first < state.m_limits.m_draw_hold)
+  for (const auto& [host, report] : state.m_announced_fetches) {
+    if (now - report.first < state.m_limits.m_announcement_ttl)
       count += report.second;
   }
   return count;
@@ -57,7 +57,7 @@
 uint32_t OriginFetchRoom(const TransferState& state, TimePoint now) {
   const uint32_t under_way =
       state.m_origin_fetching + OriginFetchesElsewhere(state, now);
-  const uint32_t most = state.m_limits.m_draws_at_once;
+  const uint32_t most = state.m_limits.m_max_origin_fetches;
   return most - std::min(most, under_way);
 }
 
@@ -65,7 +65,7 @@
                       uint32_t chunk,
                       TimePoint now,
                       TransferActions& actions) {
-  state.m_last_draw = now;
+  state.m_last_origin_start = now;
   StartFetch(state, chunk, {}, now, actions);
 }
 
@@ -76,17 +76,18 @@
 /// overdue at many hosts, and all of these fetch them when it returns, each
 /// chunk by the first two hosts in rank or more, so that for a long time the
 /// origin's link completes no chunk. While no origin fetch succeeds, only
-/// DrawInOrder starts fetches, which follows ranks and announcements. A host
-/// that is held back by wrong announcements, or by those of fetches that fail,
-/// still tries once in kMaxWaitsWithoutFetch wait limits.
+/// StartOriginFetchesInOrder starts fetches, which follows ranks and
+/// announcements. A host that is held back by wrong announcements, or by those
+/// of fetches that fail, still tries once in kMaxWaitsWithoutFetch wait limits.
 bool MayFetchByTime(const TransferState& state, TimePoint now) {
   const TransferLimits& limits = state.m_limits;
-  if (limits.m_draws_at_once == 0)
+  if (limits.m_max_origin_fetches == 0)
     return true;
-  const TimePoint last = std::max(state.m_last_draw, state.m_started);
+  const TimePoint last = std::max(state.m_last_origin_start, state.m_started);
   if (now - last >= kMaxWaitsWithoutFetch * limits.m_patience)
     return true;
-  const TimePoint drawn = std::max(state.m_last_drawn, state.m_started);
+  const TimePoint drawn =
+      std::max(state.m_last_origin_success, state.m_started);
   return now - drawn < limits.m_patience && OriginFetchRoom(state, now) > 0;
 }
 
@@ -96,7 +97,7 @@
                             const TransferState::Chunk& chunk,
                             TimePoint now) {
   return now - chunk.m_open_since.value_or(now) >=
-         chunk.m_rank * (state.m_limits.m_draw_hold / 2);
+         chunk.m_rank * (state.m_limits.m_announcement_ttl / 2);
 }
 
 void BackOffFromOrigin(TransferState& state,
@@ -105,7 +106,7 @@
   const uint32_t doublings = std::min<uint32_t>(state.m_origin_failures, 6);
   ++state.m_origin_failures;
   const Duration longest =
-      std::min<Duration>(state.m_limits.m_max_origin_back_off,
+      std::min<Duration>(state.m_limits.m_max_origin_backoff,
                          kMinOriginBackOff * (1 << doublings));
   std::uniform_int_distribution<int64_t> jitter(longest.count() / 2,
                                                 longest.count());
@@ -123,25 +124,26 @@
 void WaitForFirstRanks(TransferState& state, uint32_t chunk, TimePoint now) {
   TransferState::Chunk& entry = state.m_chunks[chunk];
   const Duration wait_limit = state.m_limits.m_patience;
-  entry.m_draw_base =
+  entry.m_origin_ranks_from =
       now - entry.m_rank * wait_limit +
       kWaitsPerFirstRank * std::min(entry.m_rank, kFirstRanks) * wait_limit;
-  FileChunk(state, chunk);
+  ScheduleChunk(state, chunk);
 }
 
 void HoldOriginFetch(TransferState& state, uint32_t chunk, TimePoint until) {
   if (chunk >= state.m_chunks.size())
     return;
   TransferState::Chunk& entry = state.m_chunks[chunk];
-  entry.m_held_until = std::max(entry.m_held_until, until);
+  entry.m_announced_until = std::max(entry.m_announced_until, until);
   // Hosts that were held back for a long time must not start together.
   entry.m_open_since.reset();
-  FileChunk(state, chunk);
+  ScheduleChunk(state, chunk);
 }
 
 }  // namespace
 
-uint32_t SpareDraws(const TransferState& state, std::mt19937_64& random) {
+uint32_t ShareOfSpareFetches(const TransferState& state,
+                             std::mt19937_64& random) {
   const TransferLimits& limits = state.m_limits;
   if (limits.m_preference != TransferPreference::kTimeFirst ||
       limits.m_origin_budget_percent <= 100)
@@ -153,20 +155,22 @@
   return static_cast<uint32_t>(spare / hosts) + one_more;
 }
 
-void DrawDue(TransferState& state, TimePoint now, TransferActions& actions) {
+void StartDueOriginFetches(TransferState& state,
+                           TimePoint now,
+                           TransferActions& actions) {
   while (OriginReady(state, now) && !state.m_draws.empty() &&
          state.m_draws.begin()->first <= now && MayFetchByTime(state, now))
     StartOriginFetch(state, state.m_draws.begin()->second, now, actions);
 }
 
-void DrawInOrder(TransferState& state,
-                 TimePoint now,
-                 TransferActions& actions) {
+void StartOriginFetchesInOrder(TransferState& state,
+                               TimePoint now,
+                               TransferActions& actions) {
   uint32_t room = OriginFetchRoom(state, now);
   for (uint32_t chunk = 0; chunk < state.m_chunks.size() && room > 0; ++chunk) {
     TransferState::Chunk& entry = state.m_chunks[chunk];
-    if (entry.m_place != TransferState::Place::kDraws || entry.m_drawn ||
-        entry.m_held_until > now) {
+    if (entry.m_place != TransferState::Place::kDraws ||
+        entry.m_origin_fetched || entry.m_announced_until > now) {
       entry.m_open_since.reset();
       continue;
     }
@@ -178,28 +182,31 @@
   }
 }
 
-void DrawSpare(TransferState& state, TimePoint now, TransferActions& actions) {
+void StartSpareOriginFetches(TransferState& state,
+                             TimePoint now,
+                             TransferActions& actions) {
   const uint32_t missing =
       static_cast<uint32_t>(state.m_chunks.size()) - state.m_have_count;
   if (missing > kMaxMissingForSpareFetch || !state.m_draws.empty())
     return;
-  while (state.m_spare_draws > 0 && OriginReady(state, now)) {
+  while (state.m_spare_fetches > 0 && OriginReady(state, now)) {
     const auto longest = LongestWaitingFetch(state, now);
     if (!longest)
       return;
-    --state.m_spare_draws;
+    --state.m_spare_fetches;
     EndFetch(state, longest->m_chunk);
     actions.m_cancels.push_back(*longest);
     StartFetch(state, longest->m_chunk, {}, now, actions);
   }
 }
 
-void NoteDrawn(TransferState& state, TimePoint now) {
-  const TimePoint before = std::max(state.m_last_drawn, state.m_started);
-  state.m_last_drawn = now;
+void RecordOriginSuccess(TransferState& state, TimePoint now) {
+  const TimePoint before =
+      std::max(state.m_last_origin_success, state.m_started);
+  state.m_last_origin_success = now;
   state.m_origin_failures = 0;
   state.m_origin_retry_at = std::min(state.m_origin_retry_at, now);
-  if (state.m_limits.m_draws_at_once == 0 ||
+  if (state.m_limits.m_max_origin_fetches == 0 ||
       now - before < state.m_limits.m_patience)
     return;
   // The origin is available again. Overdue chunks get new scheduled times in
@@ -209,38 +216,40 @@
     TransferState::Chunk& entry = state.m_chunks[chunk];
     if (entry.m_place != TransferState::Place::kDraws)
       continue;
-    entry.m_draw_base = std::max(entry.m_draw_base, due);
-    FileChunk(state, chunk);
+    entry.m_origin_ranks_from = std::max(entry.m_origin_ranks_from, due);
+    ScheduleChunk(state, chunk);
     due += state.m_limits.m_origin_interval;
   }
 }
 
-void DrawFailed(TransferState& state,
-                uint32_t chunk,
-                bool corrupt,
-                TimePoint now,
-                std::mt19937_64& random) {
+void RecordOriginFailure(TransferState& state,
+                         uint32_t chunk,
+                         bool corrupt,
+                         TimePoint now,
+                         std::mt19937_64& random) {
   BackOffFromOrigin(state, now, random);
   if (!corrupt)
     WaitForFirstRanks(state, chunk, now);
 }
 
-void HostDraws(TransferState& state, const DrawReport& report, TimePoint now) {
+void RecordOriginFetches(TransferState& state,
+                         const OriginFetchReport& report,
+                         TimePoint now) {
   if (report.m_under_way.empty()) {
-    state.m_draws_elsewhere.erase(report.m_host);
+    state.m_announced_fetches.erase(report.m_host);
   } else {
-    state.m_draws_elsewhere[report.m_host] = {
+    state.m_announced_fetches[report.m_host] = {
         now, static_cast<uint32_t>(report.m_under_way.size())};
   }
   for (uint32_t chunk : report.m_under_way)
-    HoldOriginFetch(state, chunk, now + state.m_limits.m_draw_hold);
-  for (uint32_t chunk : report.m_drawn) {
+    HoldOriginFetch(state, chunk, now + state.m_limits.m_announcement_ttl);
+  for (uint32_t chunk : report.m_origin_fetched) {
     HoldOriginFetch(state, chunk, now + state.m_limits.m_patience);
     if (chunk < state.m_chunks.size())
-      state.m_chunks[chunk].m_drawn = true;
+      state.m_chunks[chunk].m_origin_fetched = true;
   }
-  if (!report.m_drawn.empty())
-    NoteDrawn(state, now);
+  if (!report.m_origin_fetched.empty())
+    RecordOriginSuccess(state, now);
 }
 
 }  // namespace verbenalead::decide
--- a/src/libverbenalead/decide/origin_fetches_test.cc
+++ b/src/libverbenalead/decide/origin_fetches_test.cc
@@ -7,8 +7,8 @@
 namespace {
 
 /// Which host fetches which chunk from the origin, and when.
-class TransferDrawsTest : public TransferFixture {
-  CPPUNIT_TEST_SUITE(TransferDrawsTest);
+class OriginFetchesTest : public TransferFixture {
+  CPPUNIT_TEST_SUITE(OriginFetchesTest);
   CPPUNIT_TEST(ReturnedOriginIsNotAskedByAllAtOnce);
   CPPUNIT_TEST(AnnouncedOriginFetchIsNotDuplicated);
   CPPUNIT_TEST(ReportWithUnknownChunksIsDetected);
@@ -29,7 +29,7 @@
   // soon.
   void ReturnedOriginIsNotAskedByAllAtOnce() {
     m_limits.m_patience = 1s;
-    m_limits.m_max_origin_back_off = 500ms;
+    m_limits.m_max_origin_backoff = 500ms;
     std::vector<TransferMember> members;
     for (int host = 0; host < 20; ++host)
       members.push_back({"host-" + std::to_string(host), "a", "a"});
@@ -44,7 +44,7 @@
         if (OriginFetches(state, now).empty())
           continue;
         if (now < back) {
-          ChunkFailed(state, 0, false, now, m_random);
+          RecordChunkFailure(state, 0, false, now, m_random);
         } else {
           ++fetched;
           first = std::min(first, now);
@@ -63,25 +63,26 @@
     TransferState next = SecondRankedHost();
     TimePoint now = kStart;
     for (; now < kStart + 3s; now += 250ms) {
-      HostDraws(next, {"x", {0, 77}, {}}, now);
+      RecordOriginFetches(next, {"x", {0, 77}, {}}, now);
       CPPUNIT_ASSERT(OriginFetches(next, now).empty());
     }
-    NeighbourHas(next, FirstRankedHost(next), {0}, now);
+    RecordNeighbourChunks(next, FirstRankedHost(next), {0}, now);
     CPPUNIT_ASSERT(OriginFetches(next, now + 10s).empty());
   }
 
   void ReportWithUnknownChunksIsDetected() {
-    CPPUNIT_ASSERT(IsWithin({"x", {0, 2}, {1}}, 3));
-    CPPUNIT_ASSERT(IsWithin({}, 0));
-    CPPUNIT_ASSERT(!IsWithin({"x", {3}, {}}, 3));
-    CPPUNIT_ASSERT(!IsWithin({"x", {}, {0, 3}}, 3));
+    CPPUNIT_ASSERT(HasOnlyKnownChunks({"x", {0, 2}, {1}}, 3));
+    CPPUNIT_ASSERT(HasOnlyKnownChunks({}, 0));
+    CPPUNIT_ASSERT(!HasOnlyKnownChunks({"x", {3}, {}}, 3));
+    CPPUNIT_ASSERT(!HasOnlyKnownChunks({"x", {}, {0, 3}}, 3));
   }
 
   // A chunk never arrives: the host that announced its origin fetch has died.
   void AbandonedOriginFetchIsTakenOver() {
     TransferState next = SecondRankedHost();
-    HostDraws(next, {"x", {0}, {}}, kStart + 900ms);
-    const TimePoint timed_out = kStart + 900ms + 3 * m_limits.m_draw_hold / 2;
+    RecordOriginFetches(next, {"x", {0}, {}}, kStart + 900ms);
+    const TimePoint timed_out =
+        kStart + 900ms + 3 * m_limits.m_announcement_ttl / 2;
     CPPUNIT_ASSERT(OriginFetches(next, timed_out - 1ms).empty());
     CPPUNIT_ASSERT_EQUAL(size_t{1}, OriginFetches(next, timed_out).size());
   }
@@ -93,7 +94,7 @@
     TimePoint now = kStart;
     while (OriginFetches(next, now).empty() && now < kStart + 60s) {
       now += 250ms;
-      HostDraws(next, {"x", {0}, {}}, now);
+      RecordOriginFetches(next, {"x", {0}, {}}, now);
     }
     CPPUNIT_ASSERT(now <= kStart + 5 * m_limits.m_patience);
   }
@@ -101,13 +102,13 @@
   // The same with a limit on concurrent origin fetches: hosts that cannot reach
   // the origin use up the whole limit.
   void FailingOriginFetchesLeaveRoomForOthers() {
-    m_limits.m_draws_at_once = 2;
+    m_limits.m_max_origin_fetches = 2;
     TransferState next = SecondRankedHost();
     TimePoint now = kStart;
     while (OriginFetches(next, now).empty() && now < kStart + 60s) {
       now += 250ms;
-      HostDraws(next, {"x", {0}, {}}, now);
-      HostDraws(next, {"y", {0}, {}}, now);
+      RecordOriginFetches(next, {"x", {0}, {}}, now);
+      RecordOriginFetches(next, {"y", {0}, {}}, now);
     }
     CPPUNIT_ASSERT(now <= kStart + 5 * m_limits.m_patience);
   }
@@ -117,19 +118,19 @@
   // the time.
   void ChunksAreFetchedInOrderUpToTheLimit() {
     m_limits.m_origin_interval = 100ms;
-    m_limits.m_draws_at_once = 3;
-    m_limits.m_max_origin = 10;
+    m_limits.m_max_origin_fetches = 3;
+    m_limits.m_max_own_origin_fetches = 10;
     TransferState state = Start(kSelf, {kSelf}, 10);
     CPPUNIT_ASSERT(OriginFetches(state, kStart) ==
                    std::vector<uint32_t>({0, 1, 2}));
-    ChunkArrived(state, 1, kStart + 10ms);
+    RecordChunkArrival(state, 1, kStart + 10ms);
     CPPUNIT_ASSERT(OriginFetches(state, kStart + 10ms) ==
                    std::vector<uint32_t>{3});
     // Another host announces a fetch, and then its completion.
-    ChunkArrived(state, 0, kStart + 20ms);
-    HostDraws(state, {"x", {4}, {}}, kStart + 20ms);
+    RecordChunkArrival(state, 0, kStart + 20ms);
+    RecordOriginFetches(state, {"x", {4}, {}}, kStart + 20ms);
     CPPUNIT_ASSERT(OriginFetches(state, kStart + 20ms).empty());
-    HostDraws(state, {"x", {}, {4}}, kStart + 30ms);
+    RecordOriginFetches(state, {"x", {}, {4}}, kStart + 30ms);
     CPPUNIT_ASSERT(OriginFetches(state, kStart + 30ms) ==
                    std::vector<uint32_t>{5});
   }
@@ -139,10 +140,10 @@
   // wait for their scheduled time.
   void NextHostSoonFetchesAChunkOfADeadHost() {
     m_limits.m_origin_interval = 10s;
-    m_limits.m_draws_at_once = 2;
+    m_limits.m_max_origin_fetches = 2;
     TransferState next = SecondRankedHost();
     CPPUNIT_ASSERT(OriginFetches(next, kStart).empty());
-    const TimePoint soon = kStart + m_limits.m_draw_hold / 2;
+    const TimePoint soon = kStart + m_limits.m_announcement_ttl / 2;
     CPPUNIT_ASSERT(OriginFetches(next, soon - 1ms).empty());
     CPPUNIT_ASSERT_EQUAL(size_t{1}, OriginFetches(next, soon).size());
   }
@@ -150,13 +151,13 @@
   // New weights arrive half a second later than possible: the origin is
   // available again, but hosts whose fetches failed are still in backoff.
   void AnyCompletedOriginFetchEndsTheBackoff() {
-    m_limits.m_draws_at_once = 1;
+    m_limits.m_max_origin_fetches = 1;
     m_limits.m_origin_interval = 100ms;
     TransferState state = Start(kSelf, {kSelf}, 2);
     CPPUNIT_ASSERT_EQUAL(size_t{1}, OriginFetches(state, kStart).size());
-    ChunkFailed(state, 0, false, kStart, m_random);
+    RecordChunkFailure(state, 0, false, kStart, m_random);
     CPPUNIT_ASSERT(OriginFetches(state, kStart + 10ms).empty());
-    HostDraws(state, {"x", {}, {1}}, kStart + 20ms);
+    RecordOriginFetches(state, {"x", {}, {1}}, kStart + 20ms);
     CPPUNIT_ASSERT(OriginFetches(state, kStart + 20ms) ==
                    std::vector<uint32_t>{0});
   }
@@ -165,22 +166,22 @@
   // the only copy of a chunk became corrupt, and its host still listed it as
   // stored.
   void CorruptedFirstCopyIsFetchedAgain() {
-    m_limits.m_draws_at_once = 8;
+    m_limits.m_max_origin_fetches = 8;
     const std::vector<TransferMember> members = {kSelf, kSameDataCenter,
                                                  kSameRegion};
     TransferState fetcher = Start(kSelf, members, 1);
     TimePoint now = kStart;
     while (OriginFetches(fetcher, now).empty())
       now += 10ms;
-    ChunkArrived(fetcher, 0, now);
+    RecordChunkArrival(fetcher, 0, now);
     CPPUNIT_ASSERT(IsComplete(fetcher));
-    ChunkLost(fetcher, 0, now);
+    RecordChunkLoss(fetcher, 0, now);
     CPPUNIT_ASSERT(!IsComplete(fetcher));
     CPPUNIT_ASSERT_EQUAL(size_t{1}, OriginFetches(fetcher, now).size());
     // A neighbour that has the chunk is preferred to the origin.
-    ChunkArrived(fetcher, 0, now);
-    NeighbourHas(fetcher, "b", {0}, now);
-    ChunkLost(fetcher, 0, now);
+    RecordChunkArrival(fetcher, 0, now);
+    RecordNeighbourChunks(fetcher, "b", {0}, now);
+    RecordChunkLoss(fetcher, 0, now);
     CPPUNIT_ASSERT(OriginFetches(fetcher, now).empty());
     CPPUNIT_ASSERT_EQUAL(size_t{1}, fetcher.m_fetching.size());
   }
@@ -189,25 +190,27 @@
   // open for seconds while other hosts tried again and again to fetch it, so
   // that the waiting time of all hosts had expired at once.
   void ReleasedChunkIsNotFetchedByAllAtOnce() {
-    m_limits.m_draws_at_once = 1;
+    m_limits.m_max_origin_fetches = 1;
     TransferState next = SecondRankedHost();
     CPPUNIT_ASSERT(OriginFetches(next, kStart).empty());
     TimePoint now = kStart + 10ms;
     for (; now < kStart + 800ms; now += 250ms) {
-      HostDraws(next, {"x", {0}, {}}, now);
+      RecordOriginFetches(next, {"x", {0}, {}}, now);
       CPPUNIT_ASSERT(OriginFetches(next, now).empty());
     }
-    HostDraws(next, {"x", {}, {}}, now);
-    const TimePoint open = now - 250ms + m_limits.m_draw_hold;
+    RecordOriginFetches(next, {"x", {}, {}}, now);
+    const TimePoint open = now - 250ms + m_limits.m_announcement_ttl;
     CPPUNIT_ASSERT(OriginFetches(next, open).empty());
     CPPUNIT_ASSERT(
-        OriginFetches(next, open + m_limits.m_draw_hold / 2 - 1ms).empty());
+        OriginFetches(next, open + m_limits.m_announcement_ttl / 2 - 1ms)
+            .empty());
     CPPUNIT_ASSERT_EQUAL(
-        size_t{1}, OriginFetches(next, open + m_limits.m_draw_hold / 2).size());
+        size_t{1},
+        OriginFetches(next, open + m_limits.m_announcement_ttl / 2).size());
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(TransferDrawsTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(OriginFetchesTest);
 
 }  // namespace
 }  // namespace verbenalead::decide
--- a/src/libverbenalead/decide/overload_test.cc
+++ b/src/libverbenalead/decide/overload_test.cc
@@ -13,11 +13,11 @@
 
 /// Results of all calls, and of the tenth with the longest prompts.
 struct Outcome {
-  FakeCount m_all;
-  FakeCount m_longest;
+  CallOutcomes m_all;
+  CallOutcomes m_longest;
 };
 
-void Add(FakeCount& sum, const FakeCount& count) {
+void Add(CallOutcomes& sum, const CallOutcomes& count) {
   sum.m_asked += count.m_asked;
   sum.m_on_time += count.m_on_time;
   sum.m_late += count.m_late;
@@ -82,9 +82,9 @@
     for (const double calls : {215.0, 290.0}) {
       FakeLoad load;
       load.m_calls_per_second = calls;
-      load.m_turns_late_away = false;
+      load.m_shed_late_calls = false;
       const Outcome before = Play("retries wait too", load);
-      load.m_turns_late_away = true;
+      load.m_shed_late_calls = true;
       const Outcome after = Play("retries refused at once", load);
       CPPUNIT_ASSERT(after.m_all.OnTime() > before.m_all.OnTime());
       CPPUNIT_ASSERT(after.m_all.Late() < before.m_all.Late());
--- a/src/libverbenalead/decide/permit.h
+++ b/src/libverbenalead/decide/permit.h
@@ -10,7 +10,7 @@
 
 /// Permission for one serving host to shut its gate and load a version. The
 /// permits of a pool limit how many of its hosts are unavailable at once.
-struct Permit {
+struct LoadPermit {
   /// The version to load or, with m_failed, the version whose load failed.
   Digest m_digest;
   /// Revision of the pool's spec for which the permit was acquired.
@@ -25,7 +25,7 @@
   /// With m_failed: why the load failed.
   std::string m_reason;
 
-  friend bool operator==(const Permit&, const Permit&) = default;
+  friend bool operator==(const LoadPermit&, const LoadPermit&) = default;
 };
 
 }  // namespace verbenalead::decide
--- a/src/libverbenalead/decide/permit_tracker.cc
+++ b/src/libverbenalead/decide/permit_tracker.cc
@@ -3,9 +3,9 @@
 namespace verbenalead::decide {
 namespace {
 
-bool HasLapsed(const PermitWatch& watch,
+bool HasLapsed(const PermitTracker& watch,
                const std::string& host,
-               const Permit& permit,
+               const LoadPermit& permit,
                TimePoint now) {
   auto seen = watch.m_seen.find(host);
   return seen != watch.m_seen.end() &&
@@ -13,44 +13,44 @@
          now - seen->second.m_since > kPermitLease;
 }
 
-bool StopsPlan(const Permit& permit, const RolloutPlan& plan) {
+bool StopsPlan(const LoadPermit& permit, const RolloutPlan& plan) {
   return permit.m_failed && permit.m_digest == plan.m_digest &&
          permit.m_plan == plan.m_revision;
 }
 
 }  // namespace
 
-void Observe(PermitWatch& watch, const PermitBoard& board, TimePoint now) {
+void Observe(PermitTracker& watch, const LoadPermits& board, TimePoint now) {
   std::erase_if(watch.m_seen, [&](const auto& seen) {
     return !board.m_permits.contains(seen.first);
   });
   for (const auto& [host, permit] : board.m_permits) {
-    auto [seen, added] =
-        watch.m_seen.try_emplace(host, PermitWatch::Seen{permit.m_number, now});
+    auto [seen, added] = watch.m_seen.try_emplace(
+        host, PermitTracker::Seen{permit.m_number, now});
     if (!added && seen->second.m_number != permit.m_number)
       seen->second = {permit.m_number, now};
   }
 }
 
-void Forget(PermitWatch& watch) {
+void Forget(PermitTracker& watch) {
   watch.m_seen.clear();
 }
 
-PermitDecision Decide(const PermitBoard& board,
-                      const PermitWatch& watch,
-                      const std::string& host,
-                      uint64_t owner,
-                      const RolloutPlan& plan,
-                      TimePoint now) {
+PermitDecision DecidePermit(const LoadPermits& board,
+                            const PermitTracker& watch,
+                            const std::string& host,
+                            uint64_t owner,
+                            const RolloutPlan& plan,
+                            TimePoint now) {
   if (plan.m_paused)
-    return {PermitAnswer::kPaused, "paused"};
+    return {PermitVerdict::kPaused, "paused"};
   uint32_t taken = 0;
   for (const auto& [holder, permit] : board.m_permits) {
     // A version that fails on one engine is likely to fail on the next one. If
     // the rollout continued, it would shut one gate after another. Unlike a
     // permit, a failure doesn't lapse.
     if (StopsPlan(permit, plan)) {
-      return {PermitAnswer::kStopped,
+      return {PermitVerdict::kStopped,
               "stopped: " + holder + ": " + permit.m_reason};
     }
     if (holder != host && !HasLapsed(watch, holder, permit, now))
@@ -64,14 +64,16 @@
   // the newer one.
   if (own != board.m_permits.end() && own->second.m_owner > owner &&
       !HasLapsed(watch, host, own->second, now))
-    return {PermitAnswer::kFull, "a newer process of this host has a permit"};
+    return {PermitVerdict::kFull, "a newer process of this host has a permit"};
   const bool held = own != board.m_permits.end() && !own->second.m_failed;
   if (!held && taken >= MaxUnavailable(plan))
-    return {PermitAnswer::kFull, std::to_string(taken) + " hosts load"};
-  return {PermitAnswer::kGranted, ""};
+    return {PermitVerdict::kFull, std::to_string(taken) + " hosts load"};
+  return {PermitVerdict::kGranted, ""};
 }
 
-void EraseLapsed(PermitBoard& board, const PermitWatch& watch, TimePoint now) {
+void EraseLapsed(LoadPermits& board,
+                 const PermitTracker& watch,
+                 TimePoint now) {
   std::erase_if(board.m_permits, [&](const auto& item) {
     return HasLapsed(watch, item.first, item.second, now);
   });
--- a/src/libverbenalead/decide/permit_tracker.h
+++ b/src/libverbenalead/decide/permit_tracker.h
@@ -13,7 +13,7 @@
 /// Records how long one process has observed each permit without a renewal.
 /// Times are from the process's own monotonic clock, so that the expiry of a
 /// permit never depends on comparing the clocks of two hosts.
-struct PermitWatch {
+struct PermitTracker {
   struct Seen {
     uint64_t m_number = 0;
     /// When m_number was first observed.
@@ -24,15 +24,15 @@
 
 /// How long the holder may act on a permit, counted from the time at which the
 /// holder sent the write of the permit or of its renewal.
-constexpr Duration kPermitHold = std::chrono::seconds(10);
+constexpr Duration kPermitHoldTime = std::chrono::seconds(10);
 /// A permit that a host observes without renewal for this long has lapsed.
-/// kPermitHold is shorter by a third, so that the holder stops acting on the
-/// permit first even if its clock runs slow by a third.
+/// kPermitHoldTime is shorter by a third, so that the holder stops acting on
+/// the permit first even if its clock runs slow by a third.
 constexpr Duration kPermitLease = std::chrono::seconds(15);
-/// Interval between renewals; allows three attempts within kPermitHold.
-constexpr Duration kPermitRenewal = std::chrono::seconds(3);
+/// Interval between renewals; allows three attempts within kPermitHoldTime.
+constexpr Duration kPermitRenewalInterval = std::chrono::seconds(3);
 
-enum class PermitAnswer {
+enum class PermitVerdict {
   kGranted,
   kPaused,
   kFull,     ///< The maximum number of hosts, or a newer process, is loading.
@@ -40,28 +40,28 @@
 };
 
 struct PermitDecision {
-  PermitAnswer m_answer = PermitAnswer::kFull;
+  PermitVerdict m_answer = PermitVerdict::kFull;
   std::string m_reason;
 };
 
 /// Updates `watch` from `board`, which was read at `now`.
-void Observe(PermitWatch& watch, const PermitBoard& board, TimePoint now);
+void Observe(PermitTracker& watch, const LoadPermits& board, TimePoint now);
 /// Clears all observations. Called when the permits could not be read: holders
 /// could not renew during that time either, so the lease of each permit starts
 /// again at the next read.
-void Forget(PermitWatch& watch);
+void Forget(PermitTracker& watch);
 
 /// Decides whether process `owner` of `host` may acquire a permit or keep the
 /// permit that it holds.
-PermitDecision Decide(const PermitBoard& board,
-                      const PermitWatch& watch,
-                      const std::string& host,
-                      uint64_t owner,
-                      const RolloutPlan& plan,
-                      TimePoint now);
+PermitDecision DecidePermit(const LoadPermits& board,
+                            const PermitTracker& watch,
+                            const std::string& host,
+                            uint64_t owner,
+                            const RolloutPlan& plan,
+                            TimePoint now);
 
 /// Erases the lapsed permits from `board`.
-void EraseLapsed(PermitBoard& board, const PermitWatch& watch, TimePoint now);
+void EraseLapsed(LoadPermits& board, const PermitTracker& watch, TimePoint now);
 
 }  // namespace verbenalead::decide
 
--- a/src/libverbenalead/decide/place_bench.cc
+++ b/src/libverbenalead/decide/place_bench.cc
@@ -13,8 +13,8 @@
 constexpr int kRounds = 200000;
 constexpr uint64_t kPrefixes = 1000;
 
-PlaceState MakePool(TimePoint now) {
-  PlaceState state;
+TargetSelectionState MakePool(TimePoint now) {
+  TargetSelectionState state;
   for (int i = 0; i < kTargets; ++i) {
     model::TargetReport report;
     report.m_name = "target-" + std::to_string(i);
@@ -29,7 +29,7 @@
 
 void Measure(bool by_prefix) {
   const TimePoint now = Now();
-  PlaceState state = MakePool(now);
+  TargetSelectionState state = MakePool(now);
   Random random;
   const std::set<std::string> tried;
   uint64_t placed = 0;
@@ -46,7 +46,7 @@
       continue;
     ++placed;
     AttemptSent(state, placement->m_target, call, now);
-    AttemptEnded(state, placement->m_target, call, TargetSign::kGood, 100ms,
+    AttemptEnded(state, placement->m_target, call, TargetFeedback::kGood, 100ms,
                  now);
   }
   std::printf(
--- a/src/libverbenalead/decide/pool_call.h
+++ b/src/libverbenalead/decide/pool_call.h
@@ -14,16 +14,16 @@
   uint64_t m_ticket = 0;
   /// The call can still meet its latency objective. Late calls are queued
   /// behind on-time ones.
-  bool m_fresh = true;
+  bool m_can_be_on_time = true;
   int m_urgency = 0;
   uint32_t m_prompt_tokens = 0;
   /// Time by which its prompt, and all prompts before it, must have been read
   /// for the call to be on time; TimePoint::max() if unknown.
-  TimePoint m_read_by = TimePoint::max();
+  TimePoint m_read_deadline = TimePoint::max();
   /// Expected run time; zero if unknown.
   Duration m_length{};
   /// Replicas to which the call has already been sent.
-  std::set<std::string> m_tried;
+  std::set<std::string> m_attempted_replicas;
 };
 
 }  // namespace verbenalead::decide
--- a/src/libverbenalead/decide/prefix_index.cc
+++ b/src/libverbenalead/decide/prefix_index.cc
@@ -7,12 +7,12 @@
 
 void EvictExpired(PrefixIndex& index, TimePoint now) {
   const bool full = index.m_holders.size() >= kMaxPrefixes;
-  if (!full && now - index.m_swept_at < kPrefixForgotten)
+  if (!full && now - index.m_expired_at < kPrefixLifetime)
     return;
-  index.m_swept_at = now;
+  index.m_expired_at = now;
   for (auto entry = index.m_holders.begin(); entry != index.m_holders.end();) {
     std::erase_if(entry->second, [&](const PrefixHolder& holder) {
-      return now - holder.m_known_at > kPrefixForgotten;
+      return now - holder.m_known_at > kPrefixLifetime;
     });
     entry =
         entry->second.empty() ? index.m_holders.erase(entry) : std::next(entry);
@@ -25,10 +25,10 @@
 
 }  // namespace
 
-void NotePrefix(PrefixIndex& index,
-                uint64_t prefix,
-                uint64_t target,
-                TimePoint when) {
+void RecordPrefix(PrefixIndex& index,
+                  uint64_t prefix,
+                  uint64_t target,
+                  TimePoint when) {
   EvictExpired(index, when);
   std::vector<PrefixHolder>& holders = index.m_holders[prefix];
   for (PrefixHolder& holder : holders) {
@@ -40,10 +40,10 @@
   holders.push_back({target, when});
 }
 
-void NoteEviction(PrefixIndex& index,
-                  uint64_t prefix,
-                  uint64_t target,
-                  TimePoint when) {
+void RecordEviction(PrefixIndex& index,
+                    uint64_t prefix,
+                    uint64_t target,
+                    TimePoint when) {
   auto found = index.m_holders.find(prefix);
   if (found == index.m_holders.end())
     return;
@@ -52,7 +52,7 @@
   });
 }
 
-void ForgetTarget(PrefixIndex& index, uint64_t target) {
+void RemoveTargetPrefixes(PrefixIndex& index, uint64_t target) {
   for (auto& [prefix, holders] : index.m_holders) {
     std::erase_if(holders, [&](const PrefixHolder& holder) {
       return holder.m_target == target;
@@ -60,8 +60,8 @@
   }
 }
 
-const std::vector<PrefixHolder>* HoldersOf(const PrefixIndex& index,
-                                           uint64_t prefix) {
+const std::vector<PrefixHolder>* FindHolders(const PrefixIndex& index,
+                                             uint64_t prefix) {
   auto found = index.m_holders.find(prefix);
   return found == index.m_holders.end() ? nullptr : &found->second;
 }
@@ -74,7 +74,7 @@
   return std::any_of(holders->begin(), holders->end(),
                      [&](const PrefixHolder& holder) {
                        return holder.m_target == target &&
-                              now - holder.m_known_at <= kPrefixForgotten;
+                              now - holder.m_known_at <= kPrefixLifetime;
                      });
 }
 
--- a/src/libverbenalead/decide/prefix_index.h
+++ b/src/libverbenalead/decide/prefix_index.h
@@ -27,33 +27,33 @@
 /// lasting until an eviction event.
 struct PrefixIndex {
   std::unordered_map<uint64_t, std::vector<PrefixHolder>> m_holders;
-  TimePoint m_swept_at{};
+  TimePoint m_expired_at{};
 };
 
 /// Lifetime of an entry of the index: under load, an engine replaces the
 /// contents of its cache within a few minutes.
-constexpr Duration kPrefixForgotten = std::chrono::minutes(2);
+constexpr Duration kPrefixLifetime = std::chrono::minutes(2);
 /// Maximum number of prefixes in the index: about 5 MB for each pool.
 constexpr size_t kMaxPrefixes = 50000;
 
 /// Records that `prefix` was in the cache of `target` at `when`. Evidence older
 /// than the recorded one is ignored.
-void NotePrefix(PrefixIndex& index,
-                uint64_t prefix,
-                uint64_t target,
-                TimePoint when);
-/// Records that `target` evicted `prefix` at `when`. Ignored if the prefix has
-/// been used at the target since then, as the use has cached it again.
-void NoteEviction(PrefixIndex& index,
+void RecordPrefix(PrefixIndex& index,
                   uint64_t prefix,
                   uint64_t target,
                   TimePoint when);
+/// Records that `target` evicted `prefix` at `when`. Ignored if the prefix has
+/// been used at the target since then, as the use has cached it again.
+void RecordEviction(PrefixIndex& index,
+                    uint64_t prefix,
+                    uint64_t target,
+                    TimePoint when);
 /// Removes all entries of `target`, whose cache was lost in a restart.
-void ForgetTarget(PrefixIndex& index, uint64_t target);
+void RemoveTargetPrefixes(PrefixIndex& index, uint64_t target);
 /// The targets that probably have `prefix` in their caches, or nullptr. Expired
 /// entries may be among them.
-const std::vector<PrefixHolder>* HoldersOf(const PrefixIndex& index,
-                                           uint64_t prefix);
+const std::vector<PrefixHolder>* FindHolders(const PrefixIndex& index,
+                                             uint64_t prefix);
 /// Whether `target` has an unexpired entry in `holders`, which may be nullptr.
 bool Holds(const std::vector<PrefixHolder>* holders,
            uint64_t target,
--- a/src/libverbenalead/decide/quarantine.cc
+++ b/src/libverbenalead/decide/quarantine.cc
@@ -20,7 +20,9 @@
   });
 }
 
-void StoreCrash(QuarantineState& state, const CrashNote& note, TimePoint now) {
+void StoreCrash(QuarantineState& state,
+                const CrashRecord& note,
+                TimePoint now) {
   if (state.m_crashes.size() >= kMaxKeys)
     EvictExpired(state, now);
   if (state.m_crashes.size() >= kMaxKeys)
@@ -31,11 +33,11 @@
 
 }  // namespace
 
-void NoteCrash(QuarantineState& state,
-               uint64_t key,
-               const std::string& target,
-               TimePoint now) {
-  const CrashNote note{key, target, now};
+void RecordCrash(QuarantineState& state,
+                 uint64_t key,
+                 const std::string& target,
+                 TimePoint now) {
+  const CrashRecord note{key, target, now};
   StoreCrash(state, note, now);
   if (state.m_news.size() < kMaxKeys)
     state.m_news.push_back(note);
@@ -53,7 +55,7 @@
     state.m_cleared[key] = now;
 }
 
-bool IsSetAside(const QuarantineState& state, uint64_t key, TimePoint now) {
+bool IsQuarantined(const QuarantineState& state, uint64_t key, TimePoint now) {
   auto found = state.m_crashes.find(key);
   if (found == state.m_crashes.end())
     return false;
@@ -64,14 +66,14 @@
   return static_cast<size_t>(recent) >= state.m_limits.m_crashes;
 }
 
-std::vector<CrashNote> News(QuarantineState& state) {
+std::vector<CrashRecord> News(QuarantineState& state) {
   return std::exchange(state.m_news, {});
 }
 
 void Merge(QuarantineState& state,
-           const std::vector<CrashNote>& notes,
+           const std::vector<CrashRecord>& notes,
            TimePoint now) {
-  for (const CrashNote& note : notes) {
+  for (const CrashRecord& note : notes) {
     const auto cleared = state.m_cleared.find(note.m_key);
     if (cleared == state.m_cleared.end() ||
         now - cleared->second > state.m_limits.m_hold)
--- a/src/libverbenalead/decide/quarantine.h
+++ b/src/libverbenalead/decide/quarantine.h
@@ -12,13 +12,13 @@
 namespace verbenalead::decide {
 
 /// Record of the crash of a target while it ran a request.
-struct CrashNote {
+struct CrashRecord {
   /// Key of the request: model::Call::fingerprint() or RequestKey().
   uint64_t m_key = 0;
   std::string m_target;
   TimePoint m_at{};
 
-  friend auto operator<=>(const CrashNote&, const CrashNote&) = default;
+  friend auto operator<=>(const CrashRecord&, const CrashRecord&) = default;
 };
 
 /// When a request is quarantined, and for how long.
@@ -50,7 +50,7 @@
   /// Time of the last crash, by key of the request and name of the target.
   std::map<uint64_t, std::map<std::string, TimePoint>> m_crashes;
   /// Crashes seen by this entry that have not been sent to the other entries.
-  std::vector<CrashNote> m_news;
+  std::vector<CrashRecord> m_news;
   /// Requests that succeeded after a target had crashed under them, and when. A
   /// crash record that another entry sends late doesn't count against them.
   std::map<uint64_t, TimePoint> m_cleared;
@@ -64,10 +64,10 @@
 
 /// Records that `target` crashed while it ran the request with `key`, and
 /// queues the record for the other entries.
-void NoteCrash(QuarantineState& state,
-               uint64_t key,
-               const std::string& target,
-               TimePoint now);
+void RecordCrash(QuarantineState& state,
+                 uint64_t key,
+                 const std::string& target,
+                 TimePoint now);
 /// Key that identifies a request when it is sent again; the same in every
 /// process.
 uint64_t RequestKey(const std::string& organisation,
@@ -80,14 +80,14 @@
 /// ran it.
 void NoteSuccess(QuarantineState& state, uint64_t key, TimePoint now);
 /// Whether the request with `key` is in quarantine and must not run.
-bool IsSetAside(const QuarantineState& state, uint64_t key, TimePoint now);
+bool IsQuarantined(const QuarantineState& state, uint64_t key, TimePoint now);
 /// Returns and clears the crash records to send to the other entries.
-std::vector<CrashNote> News(QuarantineState& state);
+std::vector<CrashRecord> News(QuarantineState& state);
 /// Merges crash records of another entry, which may arrive in any order and
 /// more than once. They are not forwarded: each entry sends its own records to
 /// all other entries.
 void Merge(QuarantineState& state,
-           const std::vector<CrashNote>& notes,
+           const std::vector<CrashRecord>& notes,
            TimePoint now);
 
 }  // namespace verbenalead::decide
--- a/src/libverbenalead/decide/quarantine_test.cc
+++ b/src/libverbenalead/decide/quarantine_test.cc
@@ -25,24 +25,24 @@
   // their crash records, both entries must refuse it.
   void QuarantinedAtEveryEntry() {
     QuarantineState a, b;
-    NoteCrash(a, 7, "t1", kStart);
-    NoteCrash(b, 7, "t2", kStart);
-    CPPUNIT_ASSERT(!IsSetAside(a, 7, kStart));
+    RecordCrash(a, 7, "t1", kStart);
+    RecordCrash(b, 7, "t2", kStart);
+    CPPUNIT_ASSERT(!IsQuarantined(a, 7, kStart));
     const auto from_a = News(a);
     Merge(a, News(b), kStart);
     Merge(b, from_a, kStart);
-    CPPUNIT_ASSERT(IsSetAside(a, 7, kStart));
-    CPPUNIT_ASSERT(IsSetAside(b, 7, kStart));
-    CPPUNIT_ASSERT(!IsSetAside(a, 8, kStart));
+    CPPUNIT_ASSERT(IsQuarantined(a, 7, kStart));
+    CPPUNIT_ASSERT(IsQuarantined(b, 7, kStart));
+    CPPUNIT_ASSERT(!IsQuarantined(a, 8, kStart));
     CPPUNIT_ASSERT(News(a).empty());
   }
 
   void CrashesOfOneTargetQuarantineNothing() {
     QuarantineState state;
     for (uint64_t key = 0; key < 100; ++key) {
-      NoteCrash(state, key, "t1", kStart);
-      NoteCrash(state, key, "t1", kStart + 1s);
-      CPPUNIT_ASSERT(!IsSetAside(state, key, kStart + 1s));
+      RecordCrash(state, key, "t1", kStart);
+      RecordCrash(state, key, "t1", kStart + 1s);
+      CPPUNIT_ASSERT(!IsQuarantined(state, key, kStart + 1s));
     }
   }
 
@@ -50,26 +50,26 @@
   // two hosts fail while they run it, but it succeeded in between.
   void SuccessClearsTheRequest() {
     QuarantineState state;
-    NoteCrash(state, 7, "t1", kStart);
+    RecordCrash(state, 7, "t1", kStart);
     NoteSuccess(state, 7, kStart);
-    NoteCrash(state, 7, "t2", kStart + 1s);
-    CPPUNIT_ASSERT(!IsSetAside(state, 7, kStart + 1s));
+    RecordCrash(state, 7, "t2", kStart + 1s);
+    CPPUNIT_ASSERT(!IsQuarantined(state, 7, kStart + 1s));
   }
 
   void QuarantineExpires() {
     QuarantineState state;
-    NoteCrash(state, 7, "t1", kStart);
-    NoteCrash(state, 7, "t2", kStart);
-    CPPUNIT_ASSERT(IsSetAside(state, 7, kStart + QuarantineLimits().m_hold));
+    RecordCrash(state, 7, "t1", kStart);
+    RecordCrash(state, 7, "t2", kStart);
+    CPPUNIT_ASSERT(IsQuarantined(state, 7, kStart + QuarantineLimits().m_hold));
     CPPUNIT_ASSERT(
-        !IsSetAside(state, 7, kStart + QuarantineLimits().m_hold + 1s));
+        !IsQuarantined(state, 7, kStart + QuarantineLimits().m_hold + 1s));
   }
 
   void MergeIsCommutativeAndIdempotent() {
     const bool passed = rc::check("entries agree", [] {
       const auto numbers = *rc::gen::container<std::vector<uint8_t>>(
           30, rc::gen::arbitrary<uint8_t>());
-      std::vector<CrashNote> notes;
+      std::vector<CrashRecord> notes;
       for (uint8_t number : numbers)
         notes.push_back({number % 4u, "t" + std::to_string(number / 4 % 3),
                          kStart + std::chrono::seconds(number)});
--- a/src/libverbenalead/decide/reader_failover.cc
+++ b/src/libverbenalead/decide/reader_failover.cc
@@ -32,19 +32,19 @@
 
 }  // namespace
 
-Reading NextReading(ReadingTurn& turn,
-                    bool has_reader,
-                    size_t rank,
-                    TimePoint now) {
+Reading NextReadSource(ReaderFailover& turn,
+                       bool has_reader,
+                       size_t rank,
+                       TimePoint now) {
   if (has_reader) {
     turn.m_had_reader = true;
     return Reading::kFromPeer;
   }
   if (turn.m_had_reader) {
     turn.m_had_reader = false;
-    turn.m_own_from = now + TakeoverDelay(rank);
+    turn.m_read_from = now + TakeoverDelay(rank);
   }
-  return now < turn.m_own_from ? Reading::kWaiting : Reading::kOwn;
+  return now < turn.m_read_from ? Reading::kWaiting : Reading::kFromStore;
 }
 
 Duration PauseAfterFailure(size_t rank, double spread) {
--- a/src/libverbenalead/decide/reader_failover.h
+++ b/src/libverbenalead/decide/reader_failover.h
@@ -15,7 +15,7 @@
   /// over.
   kWaiting,
   /// From the store.
-  kOwn,
+  kFromStore,
 };
 
 /// Decides which entry of a data centre reads the store after the reading entry
@@ -28,20 +28,20 @@
 /// saturated and all responses late, so that all entries continued to read.
 /// Configurations and departures of replicas arrived after 3 to 11 s instead of
 /// 2 s.
-struct ReadingTurn {
+struct ReaderFailover {
   bool m_had_reader = false;
   /// From when this entry reads the store itself, if no other entry reads it by
   /// then. Set when the reader is lost.
-  TimePoint m_own_from{};
+  TimePoint m_read_from{};
 };
 
 /// From where to get the tables now. `has_reader`: another entry of the data
 /// centre reads the store on behalf of this one. `rank`: how many entries of
 /// the data centre come before this one in the order of takeover.
-Reading NextReading(ReadingTurn& turn,
-                    bool has_reader,
-                    size_t rank,
-                    TimePoint now);
+Reading NextReadSource(ReaderFailover& turn,
+                       bool has_reader,
+                       size_t rank,
+                       TimePoint now);
 
 /// Minimum pause of a reading entry after a request that the store did not
 /// answer.
--- a/src/libverbenalead/decide/reader_failover_test.cc
+++ b/src/libverbenalead/decide/reader_failover_test.cc
@@ -14,8 +14,8 @@
 constexpr Duration kTakeoverLatency = 120ms;
 constexpr Duration kTick = 50ms;
 
-class ReadingTurnTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(ReadingTurnTest);
+class ReaderFailoverTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(ReaderFailoverTest);
   CPPUNIT_TEST(OneEntryTakesOverFromLostReader);
   CPPUNIT_TEST(AllReadWithoutAnnouncements);
   CPPUNIT_TEST(ReadsImmediatelyAfterStart);
@@ -56,18 +56,19 @@
   }
 
   void ReadsImmediatelyAfterStart() {
-    ReadingTurn failover;
-    CPPUNIT_ASSERT(NextReading(failover, false, 9, kStart) == Reading::kOwn);
+    ReaderFailover failover;
+    CPPUNIT_ASSERT(NextReadSource(failover, false, 9, kStart) ==
+                   Reading::kFromStore);
   }
 
   void ReturnsToPeerReader() {
-    ReadingTurn failover;
-    NextReading(failover, true, 9, kStart);
-    CPPUNIT_ASSERT(NextReading(failover, false, 9, kStart) ==
+    ReaderFailover failover;
+    NextReadSource(failover, true, 9, kStart);
+    CPPUNIT_ASSERT(NextReadSource(failover, false, 9, kStart) ==
                    Reading::kWaiting);
-    CPPUNIT_ASSERT(NextReading(failover, true, 9, kStart + kTick) ==
+    CPPUNIT_ASSERT(NextReadSource(failover, true, 9, kStart + kTick) ==
                    Reading::kFromPeer);
-    CPPUNIT_ASSERT(NextReading(failover, false, 9, kStart + 1s) ==
+    CPPUNIT_ASSERT(NextReadSource(failover, false, 9, kStart + 1s) ==
                    Reading::kWaiting);
   }
 
@@ -76,17 +77,17 @@
   /// the reader. `announced`: the others learn of the first entry that takes
   /// over.
   size_t CountReaders(bool announced) {
-    std::vector<ReadingTurn> failovers(14);
+    std::vector<ReaderFailover> failovers(14);
     std::vector<bool> has_read(14);
-    for (ReadingTurn& failover : failovers)
-      NextReading(failover, true, 0, kStart);
+    for (ReaderFailover& failover : failovers)
+      NextReadSource(failover, true, 0, kStart);
     TimePoint first{};
     for (TimePoint now = kStart; now < kStart + 1s; now += kTick) {
       const bool has_reader =
           announced && first != TimePoint() && now >= first + kTakeoverLatency;
       for (size_t entry = 0; entry < failovers.size(); ++entry) {
-        if (NextReading(failovers[entry], has_reader, entry + 1, now) !=
-            Reading::kOwn)
+        if (NextReadSource(failovers[entry], has_reader, entry + 1, now) !=
+            Reading::kFromStore)
           continue;
         has_read[entry] = true;
         if (first == TimePoint())
@@ -98,7 +99,7 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(ReadingTurnTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(ReaderFailoverTest);
 
 }  // namespace
 }  // namespace verbenalead::decide
--- a/src/libverbenalead/decide/replica_pool.cc
+++ b/src/libverbenalead/decide/replica_pool.cc
@@ -56,12 +56,12 @@
 
 bool Usable(const ReplicaPool& pool, const ReplicaState& state, TimePoint now) {
   return !state.m_replica.m_leaving && state.m_loading_until <= now &&
-         state.m_avoid_until <= now &&
+         state.m_backoff_until <= now &&
          state.m_weights >= pool.m_required_weights;
 }
 
 uint32_t Load(const ReplicaState& state) {
-  return state.m_in_flight + state.m_elsewhere;
+  return state.m_in_flight + state.m_other_entries_calls;
 }
 
 /// Time that the replica needs to read its unread prompts, as a share of
@@ -69,7 +69,8 @@
 double UnreadShare(const ReplicaPool& pool, const ReplicaState& state) {
   if (pool.m_prefill_rate <= 0)
     return 0;
-  return static_cast<double>(state.m_unread + state.m_unread_elsewhere) /
+  return static_cast<double>(state.m_unread_tokens +
+                             state.m_other_entries_unread_tokens) /
          pool.m_prefill_rate / kMaxUnreadSeconds;
 }
 
@@ -97,11 +98,11 @@
                      TimePoint now) {
   const double calls = Load(state) + kWaitingCost * state.m_waiting;
   double cost =
-      calls / state.m_replica.m_slots + kFailureCost * state.m_failure_share +
+      calls / state.m_replica.m_slots + kFailureCost * state.m_failure_rate +
       kUnreadCost * UnreadShare(pool, state) + ClosingCost(state, call, now);
   if (state.m_replica.m_data_center != pool.m_data_center)
     cost += kRemoteCost;
-  if (state.m_silent_until > now)
+  if (state.m_unresponsive_until > now)
     cost += kSilentTargetCost;
   return cost;
 }
@@ -112,27 +113,28 @@
                    const ReplicaState& state,
                    const PoolCall& call,
                    TimePoint now) {
-  if (!call.m_fresh || pool.m_prefill_rate <= 0 ||
-      call.m_read_by == TimePoint::max())
+  if (!call.m_can_be_on_time || pool.m_prefill_rate <= 0 ||
+      call.m_read_deadline == TimePoint::max())
     return true;
-  const uint64_t tokens =
-      state.m_unread + state.m_unread_elsewhere + call.m_prompt_tokens;
+  const uint64_t tokens = state.m_unread_tokens +
+                          state.m_other_entries_unread_tokens +
+                          call.m_prompt_tokens;
   const auto reading =
       std::chrono::duration_cast<Duration>(std::chrono::duration<double>(
           static_cast<double>(tokens) / pool.m_prefill_rate));
-  return now + reading <= call.m_read_by;
+  return now + reading <= call.m_read_deadline;
 }
 
 void BackOff(ReplicaState& state, TimePoint now) {
   const uint32_t doublings =
-      std::min(kMaxDoublings, state.m_failures_in_row - 1);
-  state.m_avoid_until =
+      std::min(kMaxDoublings, state.m_consecutive_failures - 1);
+  state.m_backoff_until =
       now + std::min(kMinBackoff * (1 << doublings), kMaxBackoff);
 }
 
 void CountOutcome(ReplicaState& state, bool failed) {
-  state.m_failure_share +=
-      kFailureWeight * ((failed ? 1 : 0) - state.m_failure_share);
+  state.m_failure_rate +=
+      kFailureWeight * ((failed ? 1 : 0) - state.m_failure_rate);
 }
 
 uint64_t NewestWeights(const model::Replica& replica) {
@@ -148,14 +150,14 @@
     // entry's calls are kept, because each call is released when its attempt
     // ends.
     const uint32_t in_flight = state.m_in_flight;
-    const uint64_t unread = state.m_unread;
+    const uint64_t unread = state.m_unread_tokens;
     const uint32_t asked = state.m_asked;
-    const uint64_t asked_unread = state.m_asked_unread;
+    const uint64_t asked_unread = state.m_requested_unread_tokens;
     state = ReplicaState();
     state.m_in_flight = in_flight;
-    state.m_unread = unread;
+    state.m_unread_tokens = unread;
     state.m_asked = asked;
-    state.m_asked_unread = asked_unread;
+    state.m_requested_unread_tokens = asked_unread;
     state.m_weights = NewestWeights(replica);
   }
   // Leaving is final for an incarnation: an older row that arrives late must
@@ -164,7 +166,7 @@
   state.m_replica = replica;
   state.m_replica.m_leaving |= leaving;
   state.m_weights = std::max(state.m_weights, NewestWeights(replica));
-  state.m_missing_until = TimePoint();
+  state.m_keep_until = TimePoint();
 }
 
 }  // namespace
@@ -193,33 +195,32 @@
     Update(state, replica);
   }
   for (auto& [id, state] : pool.m_replicas) {
-    if (!present.contains(id) && state.m_missing_until == TimePoint())
-      state.m_missing_until = keep_missing_until;
+    if (!present.contains(id) && state.m_keep_until == TimePoint())
+      state.m_keep_until = keep_missing_until;
   }
   std::erase_if(pool.m_replicas, [&](const auto& entry) {
-    return !present.contains(entry.first) &&
-           entry.second.m_missing_until <= now;
+    return !present.contains(entry.first) && entry.second.m_keep_until <= now;
   });
 }
 
-void DropMissing(ReplicaPool& pool, TimePoint now) {
+void RemoveExpiredReplicas(ReplicaPool& pool, TimePoint now) {
   std::erase_if(pool.m_replicas, [now](const auto& entry) {
-    const TimePoint until = entry.second.m_missing_until;
+    const TimePoint until = entry.second.m_keep_until;
     return until != TimePoint() && until <= now;
   });
 }
 
-std::optional<std::string> TakePlace(ReplicaPool& pool,
-                                     const PoolCall& call,
-                                     TimePoint now,
-                                     std::mt19937_64& random) {
+std::optional<std::string> AcquireSlot(ReplicaPool& pool,
+                                       const PoolCall& call,
+                                       TimePoint now,
+                                       std::mt19937_64& random) {
   std::uniform_real_distribution<double> noise(0, kTieBreakNoise);
   ReplicaState* best = nullptr;
   double best_cost = 0;
   for (auto& [id, state] : pool.m_replicas) {
-    if (!Usable(pool, state, now) || call.m_tried.contains(id) ||
+    if (!Usable(pool, state, now) || call.m_attempted_replicas.contains(id) ||
         !HasRoom(state.m_replica.m_slots, pool.m_prefill_rate, Load(state),
-                 state.m_unread + state.m_unread_elsewhere) ||
+                 state.m_unread_tokens + state.m_other_entries_unread_tokens) ||
         !CanReadInTime(pool, state, call, now))
       continue;
     const double cost = PlacementCost(pool, state, call, now) + noise(random);
@@ -231,19 +232,19 @@
   if (!best)
     return std::nullopt;
   ++best->m_in_flight;
-  best->m_unread += call.m_prompt_tokens;
+  best->m_unread_tokens += call.m_prompt_tokens;
   return best->m_replica.m_id;
 }
 
-std::vector<std::string> WaitingPlaces(const ReplicaPool& pool,
-                                       const PoolCall& call,
-                                       size_t count,
-                                       TimePoint now,
-                                       std::mt19937_64& random) {
+std::vector<std::string> ReplicasToWaitAt(const ReplicaPool& pool,
+                                          const PoolCall& call,
+                                          size_t count,
+                                          TimePoint now,
+                                          std::mt19937_64& random) {
   std::uniform_real_distribution<double> noise(0, kTieBreakNoise);
   std::vector<std::pair<double, std::string>> places;
   for (const auto& [id, state] : pool.m_replicas) {
-    if (Usable(pool, state, now) && !call.m_tried.contains(id)) {
+    if (Usable(pool, state, now) && !call.m_attempted_replicas.contains(id)) {
       places.emplace_back(PlacementCost(pool, state, call, now) + noise(random),
                           id);
     }
@@ -258,14 +259,14 @@
   return best;
 }
 
-bool TakeGranted(ReplicaPool& pool,
-                 const std::string& replica,
-                 uint32_t prompt_tokens) {
+bool AddGrantedSlot(ReplicaPool& pool,
+                    const std::string& replica,
+                    uint32_t prompt_tokens) {
   const auto found = pool.m_replicas.find(replica);
   if (found == pool.m_replicas.end())
     return false;
   ++found->second.m_in_flight;
-  found->second.m_unread += prompt_tokens;
+  found->second.m_unread_tokens += prompt_tokens;
   return true;
 }
 
@@ -273,21 +274,21 @@
   pool.m_waiting.push_back(std::move(call));
 }
 
-void StopWaiting(ReplicaPool& pool, uint64_t ticket) {
+void RemoveWaitingCall(ReplicaPool& pool, uint64_t ticket) {
   std::erase_if(pool.m_waiting, [ticket](const PoolCall& call) {
     return call.m_ticket == ticket;
   });
 }
 
-std::vector<PoolStart> StartWaiting(ReplicaPool& pool,
-                                    TimePoint now,
-                                    std::mt19937_64& random) {
-  std::vector<PoolStart> starts;
+std::vector<StartedCall> StartWaitingCalls(ReplicaPool& pool,
+                                           TimePoint now,
+                                           std::mt19937_64& random) {
+  std::vector<StartedCall> starts;
   for (const bool fresh : {true, false}) {
     auto call = pool.m_waiting.begin();
     while (call != pool.m_waiting.end()) {
-      const auto replica = call->m_fresh == fresh
-                               ? TakePlace(pool, *call, now, random)
+      const auto replica = call->m_can_be_on_time == fresh
+                               ? AcquireSlot(pool, *call, now, random)
                                : std::nullopt;
       if (!replica) {
         ++call;
@@ -300,36 +301,36 @@
   return starts;
 }
 
-void NoteBegun(ReplicaPool& pool,
-               const std::string& replica,
-               uint32_t prompt_tokens) {
+void NotePromptRead(ReplicaPool& pool,
+                    const std::string& replica,
+                    uint32_t prompt_tokens) {
   const auto found = pool.m_replicas.find(replica);
   if (found == pool.m_replicas.end())
     return;
-  uint64_t& unread = found->second.m_unread;
+  uint64_t& unread = found->second.m_unread_tokens;
   unread -= std::min<uint64_t>(unread, prompt_tokens);
 }
 
-void NoteAsked(ReplicaPool& pool,
-               const std::string& replica,
-               uint32_t prompt_tokens) {
+void NoteSlotRequestSent(ReplicaPool& pool,
+                         const std::string& replica,
+                         uint32_t prompt_tokens) {
   const auto found = pool.m_replicas.find(replica);
   if (found == pool.m_replicas.end())
     return;
   ++found->second.m_asked;
-  found->second.m_asked_unread += prompt_tokens;
+  found->second.m_requested_unread_tokens += prompt_tokens;
 }
 
-void NoteAnswer(ReplicaPool& pool,
-                const std::string& replica,
-                uint32_t prompt_tokens) {
+void NoteSlotRequestDone(ReplicaPool& pool,
+                         const std::string& replica,
+                         uint32_t prompt_tokens) {
   const auto found = pool.m_replicas.find(replica);
   if (found == pool.m_replicas.end())
     return;
   ReplicaState& state = found->second;
   state.m_asked -= std::min<uint32_t>(state.m_asked, 1);
-  state.m_asked_unread -=
-      std::min<uint64_t>(state.m_asked_unread, prompt_tokens);
+  state.m_requested_unread_tokens -=
+      std::min<uint64_t>(state.m_requested_unread_tokens, prompt_tokens);
 }
 
 void Release(ReplicaPool& pool,
@@ -344,26 +345,26 @@
     --state.m_in_flight;
   switch (end) {
     case AttemptEnd::kGood:
-      state.m_failures_in_row = 0;
+      state.m_consecutive_failures = 0;
       CountOutcome(state, false);
       return;
     case AttemptEnd::kFailed:
-      state.m_failures_in_row = 0;
+      state.m_consecutive_failures = 0;
       CountOutcome(state, true);
       return;
     case AttemptEnd::kNotRun:
-      state.m_avoid_until = now + kFullBackoff;
+      state.m_backoff_until = now + kFullBackoff;
       return;
-    case AttemptEnd::kWrongHost:
-      state.m_avoid_until = now + kWrongHostBackoff;
+    case AttemptEnd::kWrongReplica:
+      state.m_backoff_until = now + kWrongHostBackoff;
       return;
     case AttemptEnd::kUnreachable:
     case AttemptEnd::kBroken:
-      ++state.m_failures_in_row;
+      ++state.m_consecutive_failures;
       CountOutcome(state, true);
       // A single lost answer does not justify leaving the replica's slots
       // empty.
-      if (end == AttemptEnd::kUnreachable || state.m_failures_in_row > 1)
+      if (end == AttemptEnd::kUnreachable || state.m_consecutive_failures > 1)
         BackOff(state, now);
       return;
     case AttemptEnd::kAbandoned:
@@ -383,7 +384,7 @@
     if (!Usable(pool, state, now))
       continue;
     load.m_places += state.m_replica.m_slots;
-    load.m_taken += std::min(Load(state), state.m_replica.m_slots);
+    load.m_used_slots += std::min(Load(state), state.m_replica.m_slots);
   }
   return load;
 }
--- a/src/libverbenalead/decide/replica_pool.h
+++ b/src/libverbenalead/decide/replica_pool.h
@@ -16,22 +16,23 @@
 
 /// How an attempt ended, as evidence about the health of its replica.
 enum class AttemptEnd {
-  kGood,         ///< It answered.
-  kFailed,       ///< It answered with an error.
-  kNotRun,       ///< It is healthy but full, and rejected the call.
-  kWrongHost,    ///< Another replica has the address, or the weights differ.
-  kUnreachable,  ///< No connection was established.
-  kBroken,       ///< The connection broke, or no answer came in time.
-  kAbandoned,    ///< The caller left; the result is unknown.
+  kGood,          ///< It answered.
+  kFailed,        ///< It answered with an error.
+  kNotRun,        ///< It is healthy but full, and rejected the call.
+  kWrongReplica,  ///< Another replica has the address, or the weights differ.
+  kUnreachable,   ///< No connection was established.
+  kBroken,        ///< The connection broke, or no answer came in time.
+  kAbandoned,     ///< The caller left; the result is unknown.
 };
 
 /// Replicas of one service as one entry sees them, and the calls that wait for
 /// a slot at one of them.
 ///
-///     auto replica = TakePlace(pool, call, now, random);
+///     auto replica = AcquireSlot(pool, call, now, random);
 ///     ...
 ///     Release(pool, *replica, AttemptEnd::kGood, now);
-///     for (const PoolStart& start : StartWaiting(pool, now, random)) ...
+///     for (const StartedCall& start : StartWaitingCalls(pool, now, random))
+///     ...
 ///
 /// Load: a pool at or above its capacity. Harm: a call beyond those that a
 /// replica runs at once would wait in the replica's own queue and couldn't move
@@ -58,11 +59,11 @@
              uint32_t calls,
              uint64_t unread);
 
-struct PoolStart {
+struct StartedCall {
   uint64_t m_ticket = 0;
   std::string m_replica;
 
-  friend bool operator==(const PoolStart&, const PoolStart&) = default;
+  friend bool operator==(const StartedCall&, const StartedCall&) = default;
 };
 
 /// Updates the pool from the list of live replicas. A replica that is not
@@ -76,51 +77,52 @@
 /// Removes replicas that are not listed once the time for which they were kept
 /// is over. Must be called periodically: the list may stay unchanged, and
 /// SetReplicas() uncalled, for many seconds.
-void DropMissing(ReplicaPool& pool, TimePoint now);
+void RemoveExpiredReplicas(ReplicaPool& pool, TimePoint now);
 
 /// Acquires a slot for `call` at the replica that suits it best, and returns
 /// the replica's id; absent if no slot is free.
-std::optional<std::string> TakePlace(ReplicaPool& pool,
-                                     const PoolCall& call,
-                                     TimePoint now,
-                                     std::mt19937_64& random);
-/// Up to `count` replicas at whose targets `call` should wait for a slot, the
-/// best first. They need not have a free slot.
-std::vector<std::string> WaitingPlaces(const ReplicaPool& pool,
+std::optional<std::string> AcquireSlot(ReplicaPool& pool,
                                        const PoolCall& call,
-                                       size_t count,
                                        TimePoint now,
                                        std::mt19937_64& random);
+/// Up to `count` replicas at whose targets `call` should wait for a slot, the
+/// best first. They need not have a free slot.
+std::vector<std::string> ReplicasToWaitAt(const ReplicaPool& pool,
+                                          const PoolCall& call,
+                                          size_t count,
+                                          TimePoint now,
+                                          std::mt19937_64& random);
 /// Counts a slot that the target of `replica` has granted to a waiting call.
 /// Returns false if the replica is no longer known.
-bool TakeGranted(ReplicaPool& pool,
-                 const std::string& replica,
-                 uint32_t prompt_tokens);
+bool AddGrantedSlot(ReplicaPool& pool,
+                    const std::string& replica,
+                    uint32_t prompt_tokens);
 /// Adds `call` to the waiting calls.
 void Wait(ReplicaPool& pool, PoolCall call);
 /// Removes a waiting call: it got a slot from a target, its caller left, or its
 /// wait limit passed.
-void StopWaiting(ReplicaPool& pool, uint64_t ticket);
+void RemoveWaitingCall(ReplicaPool& pool, uint64_t ticket);
 /// Acquires free slots for waiting calls, on-time calls first, and returns the
 /// calls that got one.
-std::vector<PoolStart> StartWaiting(ReplicaPool& pool,
-                                    TimePoint now,
-                                    std::mt19937_64& random);
+std::vector<StartedCall> StartWaitingCalls(ReplicaPool& pool,
+                                           TimePoint now,
+                                           std::mt19937_64& random);
 
 /// Records that a call with `prompt_tokens` has begun to answer, so that its
 /// prompt has been read.
-void NoteBegun(ReplicaPool& pool,
-               const std::string& replica,
-               uint32_t prompt_tokens);
-
-/// NoteAsked() records that the target of `replica` was asked for a slot,
-/// NoteAnswer() that it answered or that its answer is no longer awaited.
-void NoteAsked(ReplicaPool& pool,
-               const std::string& replica,
-               uint32_t prompt_tokens);
-void NoteAnswer(ReplicaPool& pool,
-                const std::string& replica,
-                uint32_t prompt_tokens);
+void NotePromptRead(ReplicaPool& pool,
+                    const std::string& replica,
+                    uint32_t prompt_tokens);
+
+/// NoteSlotRequestSent() records that the target of `replica` was asked for a
+/// slot, NoteSlotRequestDone() that it answered or that its answer is no longer
+/// awaited.
+void NoteSlotRequestSent(ReplicaPool& pool,
+                         const std::string& replica,
+                         uint32_t prompt_tokens);
+void NoteSlotRequestDone(ReplicaPool& pool,
+                         const std::string& replica,
+                         uint32_t prompt_tokens);
 
 /// Releases a slot and updates the health of the replica from how the attempt
 /// ended.
@@ -135,7 +137,7 @@
 /// Slots of all usable replicas, and how many of them are in use.
 struct PoolLoad {
   uint32_t m_places = 0;
-  uint32_t m_taken = 0;
+  uint32_t m_used_slots = 0;
 };
 PoolLoad LoadOf(const ReplicaPool& pool, TimePoint now);
 
--- a/src/libverbenalead/decide/replica_pool_test.cc
+++ b/src/libverbenalead/decide/replica_pool_test.cc
@@ -34,7 +34,7 @@
 PoolCall MakeCall(uint64_t ticket, bool fresh = true) {
   PoolCall call;
   call.m_ticket = ticket;
-  call.m_fresh = fresh;
+  call.m_can_be_on_time = fresh;
   return call;
 }
 
@@ -63,25 +63,25 @@
     ReplicaPool pool = MakePool({MakeReplica("a"), MakeReplica("b")});
     std::map<std::string, uint32_t> taken;
     for (uint32_t call = 0; call < 2 * kSlots; ++call)
-      ++taken[TakePlace(pool, MakeCall(call), kStart, m_random).value()];
+      ++taken[AcquireSlot(pool, MakeCall(call), kStart, m_random).value()];
     CPPUNIT_ASSERT_EQUAL(kSlots, taken["a"]);
     CPPUNIT_ASSERT_EQUAL(kSlots, taken["b"]);
-    CPPUNIT_ASSERT(!TakePlace(pool, MakeCall(9), kStart, m_random));
+    CPPUNIT_ASSERT(!AcquireSlot(pool, MakeCall(9), kStart, m_random));
   }
 
   void CountsCallsOfOtherEntries() {
     ReplicaPool pool = MakePool({MakeReplica("a")});
-    pool.m_replicas["a"].m_elsewhere = kSlots;
-    CPPUNIT_ASSERT(!TakePlace(pool, MakeCall(1), kStart, m_random));
+    pool.m_replicas["a"].m_other_entries_calls = kSlots;
+    CPPUNIT_ASSERT(!AcquireSlot(pool, MakeCall(1), kStart, m_random));
   }
 
   void PrefersItsDataCentreUntilItIsFuller() {
     ReplicaPool pool = MakePool({MakeReplica("a"), MakeReplica("b", "far")});
     CPPUNIT_ASSERT_EQUAL(std::string("a"),
-                         *TakePlace(pool, MakeCall(1), kStart, m_random));
-    pool.m_replicas["a"].m_elsewhere = kSlots - 1;
+                         *AcquireSlot(pool, MakeCall(1), kStart, m_random));
+    pool.m_replicas["a"].m_other_entries_calls = kSlots - 1;
     CPPUNIT_ASSERT_EQUAL(std::string("b"),
-                         *TakePlace(pool, MakeCall(2), kStart, m_random));
+                         *AcquireSlot(pool, MakeCall(2), kStart, m_random));
   }
 
   // Guards against filling a replica at once that is empty after it has loaded
@@ -93,20 +93,20 @@
     pool.m_prefill_rate = kPrefillRate;
     PoolCall call = MakeCall(1);
     call.m_prompt_tokens = 100;
-    CPPUNIT_ASSERT(TakePlace(pool, call, kStart, m_random));
-    CPPUNIT_ASSERT(TakePlace(pool, call, kStart, m_random));
-    CPPUNIT_ASSERT(!TakePlace(pool, call, kStart, m_random));
-    NoteBegun(pool, "a", 100);
-    CPPUNIT_ASSERT(TakePlace(pool, call, kStart, m_random));
+    CPPUNIT_ASSERT(AcquireSlot(pool, call, kStart, m_random));
+    CPPUNIT_ASSERT(AcquireSlot(pool, call, kStart, m_random));
+    CPPUNIT_ASSERT(!AcquireSlot(pool, call, kStart, m_random));
+    NotePromptRead(pool, "a", 100);
+    CPPUNIT_ASSERT(AcquireSlot(pool, call, kStart, m_random));
   }
 
   void LateCallsQueueBehindOnTimeOnes() {
     ReplicaPool pool = MakePool({MakeReplica("a")});
-    pool.m_replicas["a"].m_elsewhere = kSlots - 1;
+    pool.m_replicas["a"].m_other_entries_calls = kSlots - 1;
     Wait(pool, MakeCall(1, false));
     Wait(pool, MakeCall(2, true));
-    const auto starts = StartWaiting(pool, kStart, m_random);
-    CPPUNIT_ASSERT(starts == std::vector<PoolStart>({{2, "a"}}));
+    const auto starts = StartWaitingCalls(pool, kStart, m_random);
+    CPPUNIT_ASSERT(starts == std::vector<StartedCall>({{2, "a"}}));
     CPPUNIT_ASSERT_EQUAL(size_t{1}, pool.m_waiting.size());
   }
 
@@ -115,9 +115,9 @@
     leaving.m_leaving = true;
     ReplicaPool pool = MakePool({MakeReplica("a"), leaving});
     pool.m_replicas["a"].m_loading_until = kStart + 1s;
-    CPPUNIT_ASSERT(!TakePlace(pool, MakeCall(1), kStart, m_random));
+    CPPUNIT_ASSERT(!AcquireSlot(pool, MakeCall(1), kStart, m_random));
     CPPUNIT_ASSERT(!HasUsableReplica(pool, kStart));
-    CPPUNIT_ASSERT(TakePlace(pool, MakeCall(1), kStart + 1s, m_random));
+    CPPUNIT_ASSERT(AcquireSlot(pool, MakeCall(1), kStart + 1s, m_random));
   }
 
   // Guards against a pause of half a second in a stream whose replica cut it
@@ -127,18 +127,18 @@
   void LongCallsAvoidReplicasAboutToLoad() {
     ReplicaPool pool = MakePool({MakeReplica("a"), MakeReplica("b")});
     pool.m_replicas["a"].m_closing_until = kStart + 1s;
-    pool.m_replicas["b"].m_elsewhere = 2;
+    pool.m_replicas["b"].m_other_entries_calls = 2;
     PoolCall call = MakeCall(1);
     call.m_length = 2s;
     CPPUNIT_ASSERT_EQUAL(std::string("b"),
-                         *TakePlace(pool, call, kStart, m_random));
+                         *AcquireSlot(pool, call, kStart, m_random));
     call.m_length = 100ms;
     CPPUNIT_ASSERT_EQUAL(std::string("a"),
-                         *TakePlace(pool, call, kStart, m_random));
-    pool.m_replicas["b"].m_elsewhere = kSlots;
+                         *AcquireSlot(pool, call, kStart, m_random));
+    pool.m_replicas["b"].m_other_entries_calls = kSlots;
     call.m_length = 2s;
     CPPUNIT_ASSERT_EQUAL(std::string("a"),
-                         *TakePlace(pool, call, kStart, m_random));
+                         *AcquireSlot(pool, call, kStart, m_random));
   }
 
   // Guards against first events after 0.7 s: a target does not answer, and
@@ -147,35 +147,35 @@
   // replica still gets calls.
   void ReplicaOfASilentTargetIsUsedLast() {
     ReplicaPool pool = MakePool({MakeReplica("a"), MakeReplica("b")});
-    pool.m_replicas["a"].m_silent_until = kStart + 1s;
-    pool.m_replicas["b"].m_elsewhere = 1;
+    pool.m_replicas["a"].m_unresponsive_until = kStart + 1s;
+    pool.m_replicas["b"].m_other_entries_calls = 1;
     CPPUNIT_ASSERT_EQUAL(std::string("b"),
-                         *TakePlace(pool, MakeCall(1), kStart, m_random));
-    pool.m_replicas["b"].m_elsewhere = kSlots;
+                         *AcquireSlot(pool, MakeCall(1), kStart, m_random));
+    pool.m_replicas["b"].m_other_entries_calls = kSlots;
     CPPUNIT_ASSERT_EQUAL(std::string("a"),
-                         *TakePlace(pool, MakeCall(2), kStart, m_random));
+                         *AcquireSlot(pool, MakeCall(2), kStart, m_random));
   }
 
   void OldWeightsGetNoCalls() {
     ReplicaPool pool = MakePool({MakeReplica("a")});
     pool.m_required_weights = 2;
-    CPPUNIT_ASSERT(!TakePlace(pool, MakeCall(1), kStart, m_random));
+    CPPUNIT_ASSERT(!AcquireSlot(pool, MakeCall(1), kStart, m_random));
     pool.m_replicas["a"].m_weights = 2;
-    CPPUNIT_ASSERT(TakePlace(pool, MakeCall(1), kStart, m_random));
+    CPPUNIT_ASSERT(AcquireSlot(pool, MakeCall(1), kStart, m_random));
   }
 
   // A single lost answer must not leave a replica's slots empty. Two in a row,
   // or a connection that can't be established, do so for a while.
   void OneLostAnswerKeepsTheReplicaInUse() {
     ReplicaPool pool = MakePool({MakeReplica("a")});
-    TakePlace(pool, MakeCall(1), kStart, m_random);
+    AcquireSlot(pool, MakeCall(1), kStart, m_random);
     Release(pool, "a", AttemptEnd::kBroken, kStart);
-    CPPUNIT_ASSERT(TakePlace(pool, MakeCall(2), kStart, m_random));
+    CPPUNIT_ASSERT(AcquireSlot(pool, MakeCall(2), kStart, m_random));
     Release(pool, "a", AttemptEnd::kBroken, kStart);
-    CPPUNIT_ASSERT(!TakePlace(pool, MakeCall(3), kStart, m_random));
-    CPPUNIT_ASSERT(TakePlace(pool, MakeCall(3), kStart + 3s, m_random));
+    CPPUNIT_ASSERT(!AcquireSlot(pool, MakeCall(3), kStart, m_random));
+    CPPUNIT_ASSERT(AcquireSlot(pool, MakeCall(3), kStart + 3s, m_random));
     Release(pool, "a", AttemptEnd::kUnreachable, kStart + 3s);
-    CPPUNIT_ASSERT(!TakePlace(pool, MakeCall(4), kStart + 3s, m_random));
+    CPPUNIT_ASSERT(!AcquireSlot(pool, MakeCall(4), kStart + 3s, m_random));
   }
 
   void AFailingReplicaGetsFewCalls() {
@@ -185,8 +185,8 @@
       Release(pool, "a", AttemptEnd::kFailed, kStart);
     }
     for (uint32_t call = 0; call < kSlots; ++call)
-      CPPUNIT_ASSERT_EQUAL(std::string("b"),
-                           *TakePlace(pool, MakeCall(call), kStart, m_random));
+      CPPUNIT_ASSERT_EQUAL(std::string("b"), *AcquireSlot(pool, MakeCall(call),
+                                                          kStart, m_random));
   }
 
   // A replica crashes and restarts under its old id. It holds no weights, and
@@ -198,7 +198,7 @@
     restarted.m_started_ms = 2;
     restarted.m_weights.clear();
     SetReplicas(pool, {restarted}, TimePoint(), kStart);
-    CPPUNIT_ASSERT(!TakePlace(pool, MakeCall(1), kStart, m_random));
+    CPPUNIT_ASSERT(!AcquireSlot(pool, MakeCall(1), kStart, m_random));
   }
 
   void LeavingIsFinal() {
@@ -206,7 +206,7 @@
     leaving.m_leaving = true;
     ReplicaPool pool = MakePool({leaving});
     SetReplicas(pool, {MakeReplica("a")}, TimePoint(), kStart);
-    CPPUNIT_ASSERT(!TakePlace(pool, MakeCall(1), kStart, m_random));
+    CPPUNIT_ASSERT(!AcquireSlot(pool, MakeCall(1), kStart, m_random));
   }
 
   // Guards against losing live replicas when their rows expired during an
@@ -231,9 +231,9 @@
   void DropsMissingReplicaWithoutUpdates() {
     ReplicaPool pool = MakePool({MakeReplica("a"), MakeReplica("b")});
     SetReplicas(pool, {MakeReplica("b")}, kStart + 2s, kStart);
-    DropMissing(pool, kStart + 1999ms);
+    RemoveExpiredReplicas(pool, kStart + 1999ms);
     CPPUNIT_ASSERT_EQUAL(size_t{2}, pool.m_replicas.size());
-    DropMissing(pool, kStart + 2s);
+    RemoveExpiredReplicas(pool, kStart + 2s);
     CPPUNIT_ASSERT_EQUAL(size_t{1}, pool.m_replicas.size());
     CPPUNIT_ASSERT(pool.m_replicas.contains("b"));
   }
@@ -253,7 +253,7 @@
         now += 20ms;
         if (step <= 1) {
           const PoolCall call = MakeCall(++ticket, step == 0);
-          if (const auto place = TakePlace(pool, call, now, m_random)) {
+          if (const auto place = AcquireSlot(pool, call, now, m_random)) {
             running.push_back(*place);
           } else {
             Wait(pool, call);
@@ -267,12 +267,13 @@
               now);
           running.pop_back();
         } else if (step == 3) {
-          for (const PoolStart& start : StartWaiting(pool, now, m_random)) {
+          for (const StartedCall& start :
+               StartWaitingCalls(pool, now, m_random)) {
             RC_ASSERT(waiting.erase(start.m_ticket) == 1u);
             running.push_back(start.m_replica);
           }
         } else if (step == 4 && !waiting.empty()) {
-          StopWaiting(pool, *waiting.begin());
+          RemoveWaitingCall(pool, *waiting.begin());
           waiting.erase(waiting.begin());
         }
         for (const auto& [id, replica] : pool.m_replicas)
--- a/src/libverbenalead/decide/replica_state.h
+++ b/src/libverbenalead/decide/replica_state.h
@@ -17,13 +17,13 @@
   /// Of these, the calls for which the target has been asked for a slot and has
   /// not answered yet, and their prompt tokens.
   uint32_t m_asked = 0;
-  uint64_t m_asked_unread = 0;
+  uint64_t m_requested_unread_tokens = 0;
   /// Calls of the other entries, as last reported.
-  uint32_t m_elsewhere = 0;
+  uint32_t m_other_entries_calls = 0;
   /// Prompt tokens of the calls that have not begun to answer, of this entry
   /// and of the other entries.
-  uint64_t m_unread = 0;
-  uint64_t m_unread_elsewhere = 0;
+  uint64_t m_unread_tokens = 0;
+  uint64_t m_other_entries_unread_tokens = 0;
   /// Calls of all entries that wait for a slot at the replica, as last
   /// reported.
   uint32_t m_waiting = 0;
@@ -36,17 +36,17 @@
   TimePoint m_loading_until{};
   /// Its target did not answer: until this time the known load of the replica
   /// may be outdated.
-  TimePoint m_silent_until{};
+  TimePoint m_unresponsive_until{};
   /// Until this time it gets no calls, because an attempt failed or was
   /// rejected.
-  TimePoint m_avoid_until{};
-  uint32_t m_failures_in_row = 0;
+  TimePoint m_backoff_until{};
+  uint32_t m_consecutive_failures = 0;
   /// Moving average of the share of calls that failed, 0 to 1.
-  double m_failure_share = 0;
+  double m_failure_rate = 0;
   /// Set when its row disappears from the store: the replica is kept until this
   /// time, since after an outage of the store a row may have expired although
   /// its replica lives.
-  TimePoint m_missing_until{};
+  TimePoint m_keep_until{};
 };
 
 }  // namespace verbenalead::decide
--- a/src/libverbenalead/decide/report_change.cc
+++ b/src/libverbenalead/decide/report_change.cc
@@ -26,16 +26,16 @@
 
 }  // namespace
 
-std::string MarkOf(const model::TargetReport& report) {
+std::string ReportMarkOf(const model::TargetReport& report) {
   return HashOf(UrgentPart(report)) + kSeparator + HashOf(report);
 }
 
-ReportNews NewsOf(const std::string& mark, const std::string& seen) {
+ReportChange NewsOf(const std::string& mark, const std::string& seen) {
   if (mark == seen)
-    return ReportNews::kNone;
+    return ReportChange::kNone;
   const bool same_urgent_part = mark.substr(0, mark.find(kSeparator)) ==
                                 seen.substr(0, seen.find(kSeparator));
-  return same_urgent_part ? ReportNews::kLater : ReportNews::kUrgent;
+  return same_urgent_part ? ReportChange::kDeferrable : ReportChange::kUrgent;
 }
 
 }  // namespace verbenalead::decide
--- a/src/libverbenalead/decide/report_change.h
+++ b/src/libverbenalead/decide/report_change.h
@@ -9,16 +9,16 @@
 
 /// How urgently an entry needs a target's report, given the report that it has
 /// seen.
-enum class ReportNews {
-  kNone,    ///< The entry has seen this report.
-  kLater,   ///< Load or byte counts changed: may wait until the poll ends.
-  kUrgent,  ///< What the target accepts, serves or loads has changed.
+enum class ReportChange {
+  kNone,        ///< The entry has seen this report.
+  kDeferrable,  ///< Load or byte counts changed: may wait until the poll ends.
+  kUrgent,      ///< What the target accepts, serves or loads has changed.
 };
 
 /// Mark that identifies the content of `report`; the entry sends it with its
 /// next poll. Transfer progress counts as urgent in steps of a tenth of a
 /// version.
-std::string MarkOf(const model::TargetReport& report);
+std::string ReportMarkOf(const model::TargetReport& report);
 
 /// How urgent a report with `mark` is for an entry that has seen one with
 /// `seen`.
@@ -29,7 +29,7 @@
 /// allowed for control traffic. The count may be late: an entry knows its own
 /// attempts at once, and those of other entries from the responses that pass
 /// through it.
-ReportNews NewsOf(const std::string& mark, const std::string& seen);
+ReportChange NewsOf(const std::string& mark, const std::string& seen);
 
 }  // namespace verbenalead::decide
 
--- a/src/libverbenalead/decide/report_change_test.cc
+++ b/src/libverbenalead/decide/report_change_test.cc
@@ -13,8 +13,8 @@
   return report;
 }
 
-class ReportNewsTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(ReportNewsTest);
+class ReportChangeTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(ReportChangeTest);
   CPPUNIT_TEST(LoadChangeIsNotUrgent);
   CPPUNIT_TEST(AvailabilityChangeIsUrgent);
   CPPUNIT_TEST(ProgressIsUrgentByTenths);
@@ -24,36 +24,39 @@
   // Under load, the count of running attempts changes all the time. A report
   // for each change would exceed the limit for control traffic.
   void LoadChangeIsNotUrgent() {
-    const std::string seen = MarkOf(Report());
-    CPPUNIT_ASSERT(NewsOf(MarkOf(Report()), seen) == ReportNews::kNone);
+    const std::string seen = ReportMarkOf(Report());
+    CPPUNIT_ASSERT(NewsOf(ReportMarkOf(Report()), seen) == ReportChange::kNone);
     model::TargetReport busy = Report();
     busy.m_running = 7;
     busy.m_peer_bytes = 1 << 20;
-    CPPUNIT_ASSERT(NewsOf(MarkOf(busy), seen) == ReportNews::kLater);
+    CPPUNIT_ASSERT(NewsOf(ReportMarkOf(busy), seen) ==
+                   ReportChange::kDeferrable);
   }
 
   void AvailabilityChangeIsUrgent() {
-    const std::string seen = MarkOf(Report());
+    const std::string seen = ReportMarkOf(Report());
     model::TargetReport leaving = Report();
     leaving.m_leaving = true;
     model::TargetReport closed = Report();
     closed.m_open = false;
     for (const model::TargetReport& report : {leaving, closed})
-      CPPUNIT_ASSERT(NewsOf(MarkOf(report), seen) == ReportNews::kUrgent);
-    CPPUNIT_ASSERT(NewsOf(seen, "") == ReportNews::kUrgent);
+      CPPUNIT_ASSERT(NewsOf(ReportMarkOf(report), seen) ==
+                     ReportChange::kUrgent);
+    CPPUNIT_ASSERT(NewsOf(seen, "") == ReportChange::kUrgent);
   }
 
   void ProgressIsUrgentByTenths() {
-    const std::string seen = MarkOf(Report());
+    const std::string seen = ReportMarkOf(Report());
     model::TargetReport report = Report();
     report.m_chunks_held = 9;
-    CPPUNIT_ASSERT(NewsOf(MarkOf(report), seen) == ReportNews::kLater);
+    CPPUNIT_ASSERT(NewsOf(ReportMarkOf(report), seen) ==
+                   ReportChange::kDeferrable);
     report.m_chunks_held = 10;
-    CPPUNIT_ASSERT(NewsOf(MarkOf(report), seen) == ReportNews::kUrgent);
+    CPPUNIT_ASSERT(NewsOf(ReportMarkOf(report), seen) == ReportChange::kUrgent);
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(ReportNewsTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(ReportChangeTest);
 
 }  // namespace
 }  // namespace verbenalead::decide
--- a/src/libverbenalead/decide/retry.cc
+++ b/src/libverbenalead/decide/retry.cc
@@ -11,7 +11,7 @@
       return model::Outcome::kRefused;
     case AttemptEnd::kFailed:
       return model::Outcome::kFailed;
-    case AttemptEnd::kDoubtful:
+    case AttemptEnd::kInDoubt:
       return model::Outcome::kUnknown;
   }
   return model::Outcome::kUnknown;
@@ -20,26 +20,26 @@
 /// Whether the call can be retried safely: the attempt did not run, or it may
 /// have run, but the call is idempotent and no part of an answer has been sent
 /// to the caller. A failure that the target reported is not retried.
-bool IsSafe(const model::Call& call, const EndedAttempt& attempt) {
+bool IsSafe(const model::Call& call, const FinishedAttempt& attempt) {
   if (attempt.m_end == AttemptEnd::kNotRun)
     return true;
-  return call.idempotent() && attempt.m_end == AttemptEnd::kDoubtful &&
-         !attempt.m_answer_begun;
+  return call.idempotent() && attempt.m_end == AttemptEnd::kInDoubt &&
+         !attempt.m_answer_started;
 }
 
 }  // namespace
 
-RetryDecision AfterAttempt(const model::Call& call,
-                           const EndedAttempt& attempt,
-                           RetryBudget& budget,
-                           TimePoint now) {
+RetryDecision DecideRetry(const model::Call& call,
+                          const FinishedAttempt& attempt,
+                          RetryBudget& budget,
+                          TimePoint now) {
   RetryDecision decision;
   decision.m_outcome = OutcomeOf(attempt.m_end);
   const bool may_retry =
       attempt.m_number < kMaxAttempts && now < call.deadline();
   if (!may_retry || !IsSafe(call, attempt))
     return decision;
-  decision.m_retry = attempt.m_turned_away || TakeRetry(budget);
+  decision.m_retry = attempt.m_refused_without_run || TryTakeRetryToken(budget);
   decision.m_over_budget = !decision.m_retry;
   return decision;
 }
--- a/src/libverbenalead/decide/retry.h
+++ b/src/libverbenalead/decide/retry.h
@@ -15,7 +15,7 @@
   kCompleted,  ///< The whole answer arrived.
   kNotRun,     ///< The attempt did not run and never will.
   kFailed,     ///< The target reported that the attempt ran and failed.
-  kDoubtful,   ///< The attempt may have run.
+  kInDoubt,    ///< The attempt may have run.
 };
 
 /// Whether to retry a call after an attempt has ended.
@@ -33,25 +33,25 @@
 constexpr uint32_t kMaxAttempts = 3;
 
 /// Facts about an ended attempt that decide on a retry.
-struct EndedAttempt {
-  AttemptEnd m_end = AttemptEnd::kDoubtful;
+struct FinishedAttempt {
+  AttemptEnd m_end = AttemptEnd::kInDoubt;
   /// Number of attempts of the call so far, including this one.
   uint32_t m_number = 1;
   /// Some bytes of the answer have been sent to the caller, so that the answer
   /// of a second attempt can't be appended.
-  bool m_answer_begun = false;
+  bool m_answer_started = false;
   /// The target refused the call at once, without running it. Sending the call
   /// to the next target costs a round trip and no work, so this retry is not
   /// charged to the budget.
-  bool m_turned_away = false;
+  bool m_refused_without_run = false;
 };
 
 /// Decides whether to retry `call` after `attempt`. A retry takes a token from
-/// `budget`, except after a refusal (m_turned_away).
-RetryDecision AfterAttempt(const model::Call& call,
-                           const EndedAttempt& attempt,
-                           RetryBudget& budget,
-                           TimePoint now);
+/// `budget`, except after a refusal (m_refused_without_run).
+RetryDecision DecideRetry(const model::Call& call,
+                          const FinishedAttempt& attempt,
+                          RetryBudget& budget,
+                          TimePoint now);
 
 }  // namespace verbenalead::decide
 
--- a/src/libverbenalead/decide/retry_budget.h
+++ b/src/libverbenalead/decide/retry_budget.h
@@ -31,7 +31,7 @@
 }
 
 /// Takes the token of one retry. Returns whether the budget had one.
-inline bool TakeRetry(RetryBudget& budget) {
+inline bool TryTakeRetryToken(RetryBudget& budget) {
   if (budget.m_tokens < 1)
     return false;
   budget.m_tokens -= 1;
--- a/src/libverbenalead/decide/retry_window.cc
+++ b/src/libverbenalead/decide/retry_window.cc
@@ -30,10 +30,10 @@
   ++PartAt(window, PartNumber(allowance, now)).m_calls;
 }
 
-bool TakeRepeat(RetryWindow& window,
-                const RetryAllowance& allowance,
-                uint32_t entries,
-                TimePoint now) {
+bool TryTakeRetry(RetryWindow& window,
+                  const RetryAllowance& allowance,
+                  uint32_t entries,
+                  TimePoint now) {
   const int64_t number = PartNumber(allowance, now);
   RetryWindow::Part& current = PartAt(window, number);
   uint32_t calls = 0;
@@ -43,7 +43,7 @@
     if (part.m_number < 0 || age < 0 ||
         age > static_cast<int64_t>(RetryWindow::kParts))
       continue;
-    retries += part.m_repeats;
+    retries += part.m_retries;
     if (age < static_cast<int64_t>(RetryWindow::kParts))
       calls += part.m_calls;
   }
@@ -52,7 +52,7 @@
                     allowance.m_slack / std::max<uint32_t>(1, entries));
   if (retries + 1 > allowed)
     return false;
-  ++current.m_repeats;
+  ++current.m_retries;
   return true;
 }
 
--- a/src/libverbenalead/decide/retry_window.h
+++ b/src/libverbenalead/decide/retry_window.h
@@ -35,7 +35,7 @@
   struct Part {
     int64_t m_number = -1;
     uint32_t m_calls = 0;
-    uint32_t m_repeats = 0;
+    uint32_t m_retries = 0;
   };
   /// Ring of one part more than a window has, so that a retry is counted for at
   /// least a whole window.
@@ -47,10 +47,10 @@
                TimePoint now);
 /// Counts one more retry if the allowance permits it, and returns whether it
 /// does. `entries` is the maximum number of entries.
-bool TakeRepeat(RetryWindow& window,
-                const RetryAllowance& allowance,
-                uint32_t entries,
-                TimePoint now);
+bool TryTakeRetry(RetryWindow& window,
+                  const RetryAllowance& allowance,
+                  uint32_t entries,
+                  TimePoint now);
 
 }  // namespace verbenalead::decide
 
--- a/src/libverbenalead/decide/retry_window_test.cc
+++ b/src/libverbenalead/decide/retry_window_test.cc
@@ -24,7 +24,7 @@
     const RetryAllowance allowance{0.2, 100, 10s};
     RetryWindow window;
     int granted = 0;
-    while (TakeRepeat(window, allowance, kEntries, kStart))
+    while (TryTakeRetry(window, allowance, kEntries, kStart))
       ++granted;
     CPPUNIT_ASSERT_EQUAL(20, granted);
   }
@@ -32,10 +32,10 @@
   void RetriesExpireAfterWindow() {
     const RetryAllowance allowance{0.2, 100, 10s};
     RetryWindow window;
-    while (TakeRepeat(window, allowance, kEntries, kStart)) {
+    while (TryTakeRetry(window, allowance, kEntries, kStart)) {
     }
-    CPPUNIT_ASSERT(!TakeRepeat(window, allowance, kEntries, kStart + 9s));
-    CPPUNIT_ASSERT(TakeRepeat(window, allowance, kEntries, kStart + 12s));
+    CPPUNIT_ASSERT(!TryTakeRetry(window, allowance, kEntries, kStart + 9s));
+    CPPUNIT_ASSERT(TryTakeRetry(window, allowance, kEntries, kStart + 12s));
   }
 
   // Guards against a retry storm after the failure of replicas: every entry
@@ -56,7 +56,7 @@
         RetryWindow& window = entries[static_cast<size_t>(step) % kEntries];
         CountCall(window, allowance, now);
         calls.push_back(now);
-        while (TakeRepeat(window, allowance, kEntries, now))
+        while (TryTakeRetry(window, allowance, kEntries, now))
           retries.push_back(now);
       }
       const auto within = [&](const std::vector<TimePoint>& times,
--- a/src/libverbenalead/decide/rollout.cc
+++ b/src/libverbenalead/decide/rollout.cc
@@ -47,10 +47,10 @@
                   const GateState& gate,
                   TimePoint now) {
   RolloutAction action;
-  if (now < state.m_next_ask)
+  if (now < state.m_next_status_query)
     return action;
-  action.m_kind = Kind::kAskEngine;
-  action.m_doubt = gate.m_doubt;
+  action.m_kind = Kind::kQueryEngine;
+  action.m_status_epoch = gate.m_status_epoch;
   return action;
 }
 
@@ -67,23 +67,23 @@
 bool ChangeOwnPermit(RolloutState& state,
                      const RolloutPlan& plan,
                      Purpose purpose,
-                     PermitBoard& board) {
+                     LoadPermits& board) {
   auto own = board.m_permits.find(state.m_host);
   if (purpose == Purpose::kRelease) {
     // A permit of an earlier run of this host is erased, too; one of a later
     // run has to stay.
-    state.m_posted =
+    state.m_permit_may_be_stored =
         own != board.m_permits.end() && own->second.m_owner <= state.m_owner;
-    if (state.m_posted)
+    if (state.m_permit_may_be_stored)
       board.m_permits.erase(own);
-    return state.m_posted;
+    return state.m_permit_may_be_stored;
   }
   if (purpose == Purpose::kRecordFailure && own != board.m_permits.end() &&
       own->second.m_owner > state.m_owner) {
-    state.m_publish_failure = false;
+    state.m_failure_unrecorded = false;
     return false;
   }
-  Permit permit;
+  LoadPermit permit;
   permit.m_digest = plan.m_digest;
   permit.m_plan = plan.m_revision;
   permit.m_owner = state.m_owner;
@@ -108,23 +108,23 @@
                             Purpose purpose,
                             TimePoint now,
                             bool& denied) {
-  if (!state.m_board)
+  if (!state.m_load_permits)
     return now < state.m_next_read ? RolloutAction() : Do(Kind::kReadPermits);
-  PermitBoard next = *state.m_board;
+  LoadPermits next = *state.m_load_permits;
   ++next.m_revision;
   if (purpose == Purpose::kAcquire) {
-    const PermitDecision decision =
-        Decide(next, state.m_watch, state.m_host, state.m_owner, plan, now);
-    if (decision.m_answer != PermitAnswer::kGranted) {
+    const PermitDecision decision = DecidePermit(
+        next, state.m_permit_tracker, state.m_host, state.m_owner, plan, now);
+    if (decision.m_answer != PermitVerdict::kGranted) {
       denied = true;
       state.m_reason = decision.m_reason;
-      state.m_board.reset();
+      state.m_load_permits.reset();
       state.m_next_read =
           now + std::max<Duration>(kMinReadInterval, kReadIntervalPerHost *
                                                          int64_t{plan.m_hosts});
       return {};
     }
-    EraseLapsed(next, state.m_watch, now);
+    EraseLapsed(next, state.m_permit_tracker, now);
   }
   if (!ChangeOwnPermit(state, plan, purpose, next)) {
     state.m_permit = false;
@@ -137,7 +137,7 @@
     state.m_permit = false;
   state.m_writing = next;
   RolloutAction action = Do(Kind::kWritePermits);
-  action.m_board = std::move(next);
+  action.m_load_permits = std::move(next);
   return action;
 }
 
@@ -150,11 +150,11 @@
                             const RolloutPlan& plan,
                             TimePoint now) {
   state.m_failed = {};
-  state.m_crossed = 0;
-  state.m_publish_failure = false;
+  state.m_stale_orders = 0;
+  state.m_failure_unrecorded = false;
   state.m_shut_for_load = false;
   Wait(state, RolloutStage::kInForce, "");
-  if (!state.m_posted)
+  if (!state.m_permit_may_be_stored)
     return {};
   bool denied = false;
   return ChangePermits(state, plan, Purpose::kRelease, now, denied);
@@ -170,36 +170,36 @@
     bool denied = false;
     RolloutAction action =
         ChangePermits(state, plan, Purpose::kAcquire, now, denied);
-    gate.m_closing = state.m_shut_at && !denied;
+    gate.m_closing = state.m_notice_end && !denied;
     return action;
   }
-  if (state.m_fence == 0)
-    return Do(Kind::kMintFence);
+  if (state.m_fencing_token == 0)
+    return Do(Kind::kMintFencingToken);
   gate.m_closing = true;
-  if (!state.m_shut_at) {
-    state.m_shut_at = now + kShutNotice;
-    state.m_rechecked = false;
+  if (!state.m_notice_end) {
+    state.m_notice_end = now + kShutNotice;
+    state.m_permits_rechecked = false;
   }
-  if (now < *state.m_shut_at)
+  if (now < *state.m_notice_end)
     return Wait(state, RolloutStage::kLoading, "");
-  if (!state.m_rechecked) {
+  if (!state.m_permits_rechecked) {
     // During the notice, a load may have failed at another host, or an operator
     // may have paused the rollout. The permits are read again while the gate
     // is still open, so that the host continues to serve in these cases.
-    state.m_rechecked = true;
+    state.m_permits_rechecked = true;
     state.m_permit = false;
-    state.m_board.reset();
+    state.m_load_permits.reset();
     return {};
   }
-  state.m_shut_at.reset();
+  state.m_notice_end.reset();
   // The permit was checked in this step. A process that is suspended after this
   // point has its gate shut and appears to its callers as an unresponsive host.
   // A process that was suspended earlier finds its permit expired in the check
   // above and acquires it again.
-  state.m_last_open = gate.m_digest;
+  state.m_previous_version = gate.m_digest;
   state.m_loading = plan.m_digest;
   state.m_shut_for_load = true;
-  state.m_confirmed = false;
+  state.m_permit_confirmed = false;
   Shut(gate);
   return Wait(state, RolloutStage::kLoading, "");
 }
@@ -212,10 +212,10 @@
   Wait(state, RolloutStage::kLoading, "");
   if (gate.m_running > 0)
     return {};
-  if (state.m_fence == 0)
-    return Do(Kind::kMintFence);
+  if (state.m_fencing_token == 0)
+    return Do(Kind::kMintFencingToken);
   const bool held =
-      state.m_permit && state.m_confirmed && now < state.m_permit_until;
+      state.m_permit && state.m_permit_confirmed && now < state.m_permit_until;
   if (state.m_shut_for_load && !held) {
     // Draining may have taken long, or this process may have been suspended. If
     // its permit has lapsed and was acquired by another host, no order is sent
@@ -227,45 +227,46 @@
       return action;
     state.m_permit = false;
     state.m_shut_for_load = false;
-    AskAgain(gate);
+    RequireStatus(gate);
     return {};
   }
   RolloutAction order = Do(Kind::kOrder);
   order.m_digest = plan.m_digest;
-  order.m_fence = state.m_fence;
+  order.m_fencing_token = state.m_fencing_token;
   // A fencing number is never reused, so that an order whose answer was lost
   // can't be mistaken for the next order.
-  state.m_fence = 0;
-  state.m_ordered = plan.m_digest;
-  state.m_ordered_plan = plan.m_revision;
+  state.m_fencing_token = 0;
+  state.m_ordered_version = plan.m_digest;
+  state.m_ordered_revision = plan.m_revision;
   return order;
 }
 
 void EvaluateOrder(RolloutState& state,
                    const RolloutPlan& plan,
                    TimePoint now) {
-  if (state.m_ordered.empty())
+  if (state.m_ordered_version.empty())
     return;
-  const bool serves_other =
-      state.m_engine != state.m_ordered && state.m_ordered == plan.m_digest;
+  const bool serves_other = state.m_engine != state.m_ordered_version &&
+                            state.m_ordered_version == plan.m_digest;
   const bool stale_order = serves_other && state.m_order_reason.empty() &&
-                           ++state.m_crossed <= kMaxStaleOrders;
+                           ++state.m_stale_orders <= kMaxStaleOrders;
   if (serves_other && !stale_order) {
     state.m_failed = plan.m_digest;
-    state.m_failed_plan = state.m_ordered_plan;
+    state.m_failed_plan = state.m_ordered_revision;
     state.m_retry_at = now + kLoadRetryDelay;
-    state.m_publish_failure |= state.m_permit;
+    state.m_failure_unrecorded |= state.m_permit;
     state.m_failure = state.m_order_reason.empty()
                           ? "the engine serves another version"
                           : state.m_order_reason;
     Wait(state, RolloutStage::kFailed, state.m_failure);
   }
-  state.m_ordered = {};
+  state.m_ordered_version = {};
 }
 
 bool MayReopen(const RolloutState& state, const RolloutPlan& plan) {
-  return !state.m_engine.empty() && (plan.m_declared.contains(state.m_engine) ||
-                                     state.m_engine == state.m_last_open);
+  return !state.m_engine.empty() &&
+         (plan.m_declared.contains(state.m_engine) ||
+          state.m_engine == state.m_previous_version);
 }
 
 }  // namespace
@@ -284,7 +285,7 @@
       return "in force";
     case RolloutStage::kFailed:
       return "failed";
-    case RolloutStage::kDeposed:
+    case RolloutStage::kSuperseded:
       return "deposed";
   }
   return "unknown";
@@ -303,19 +304,20 @@
                        TimePoint now) {
   // PrepareToShut() sets m_closing again as long as a load is about to start.
   if (!gate.m_closing)
-    state.m_shut_at.reset();
+    state.m_notice_end.reset();
   gate.m_closing = false;
-  if (state.m_deposed) {
+  if (state.m_superseded) {
     Shut(gate);
-    return Wait(state, RolloutStage::kDeposed, "a newer process gives orders");
+    return Wait(state, RolloutStage::kSuperseded,
+                "a newer process gives orders");
   }
-  if (gate.m_doubt != state.m_settled)
+  if (gate.m_status_epoch != state.m_settled)
     return Ask(state, gate, now);
   if (plan.m_digest.empty())
     return Wait(state, RolloutStage::kIdle, "");
   if (gate.m_open && gate.m_digest == plan.m_digest)
     return FinishRollout(state, plan, now);
-  if (state.m_publish_failure) {
+  if (state.m_failure_unrecorded) {
     bool denied = false;
     return ChangePermits(state, plan, Purpose::kRecordFailure, now, denied);
   }
@@ -324,7 +326,7 @@
     // version may continue to be served while the newly declared one is
     // fetched.
     state.m_loading = plan.m_digest;
-    AskAgain(gate);
+    RequireStatus(gate);
     return {};
   }
   if (HasFailed(state, plan) && (gate.m_open || now < state.m_retry_at))
@@ -354,16 +356,16 @@
 }
 
 void PermitsRead(RolloutState& state,
-                 std::optional<PermitBoard> board,
+                 std::optional<LoadPermits> board,
                  TimePoint now) {
   if (board) {
-    Observe(state.m_watch, *board, now);
+    Observe(state.m_permit_tracker, *board, now);
   } else {
-    Forget(state.m_watch);
+    Forget(state.m_permit_tracker);
     state.m_next_read = now + kTableRetryDelay;
     state.m_reason = "the table can't be read";
   }
-  state.m_board = std::move(board);
+  state.m_load_permits = std::move(board);
 }
 
 void PermitsWritten(RolloutState& state,
@@ -374,27 +376,28 @@
   if (result != WriteResult::kCommitted) {
     // Reading the permits again shows whether the write took effect. If it did,
     // the next attempt renews the acquired permit.
-    state.m_board.reset();
-    state.m_posted = true;
+    state.m_load_permits.reset();
+    state.m_permit_may_be_stored = true;
     if (result == WriteResult::kDoubt)
       state.m_next_read = now + kTableRetryDelay;
     return;
   }
-  state.m_board = std::move(state.m_writing);
-  auto own = state.m_board->m_permits.find(state.m_host);
-  state.m_posted = own != state.m_board->m_permits.end();
-  state.m_permit = state.m_posted && !own->second.m_failed;
-  state.m_publish_failure = false;
-  state.m_permit_until = sent + kPermitHold;
-  state.m_confirmed = state.m_permit && !gate.m_open && gate.m_running == 0;
+  state.m_load_permits = std::move(state.m_writing);
+  auto own = state.m_load_permits->m_permits.find(state.m_host);
+  state.m_permit_may_be_stored = own != state.m_load_permits->m_permits.end();
+  state.m_permit = state.m_permit_may_be_stored && !own->second.m_failed;
+  state.m_failure_unrecorded = false;
+  state.m_permit_until = sent + kPermitHoldTime;
+  state.m_permit_confirmed =
+      state.m_permit && !gate.m_open && gate.m_running == 0;
 }
 
-void FenceMinted(RolloutState& state, uint64_t fence) {
-  state.m_fence = fence;
+void FencingTokenMinted(RolloutState& state, uint64_t fence) {
+  state.m_fencing_token = fence;
 }
 
-void Deposed(RolloutState& state, GateState& gate) {
-  state.m_deposed = true;
+void Superseded(RolloutState& state, GateState& gate) {
+  state.m_superseded = true;
   // The permit is no longer renewed, so that it lapses and other hosts can
   // continue the rollout.
   state.m_permit = false;
@@ -405,30 +408,30 @@
                 GateState& gate,
                 const std::string& reason) {
   state.m_order_reason = reason;
-  Doubt(gate);
+  InvalidateVersion(gate);
 }
 
-void EngineAnswered(RolloutState& state,
-                    GateState& gate,
-                    const RolloutPlan& plan,
-                    std::optional<Digest> serves,
-                    uint64_t doubt,
-                    TimePoint now) {
+void EngineStatusReceived(RolloutState& state,
+                          GateState& gate,
+                          const RolloutPlan& plan,
+                          std::optional<Digest> serves,
+                          uint64_t doubt,
+                          TimePoint now) {
   if (!serves) {
-    AskAgain(gate);
-    state.m_next_ask = now + kStatusRetryDelay;
+    RequireStatus(gate);
+    state.m_next_status_query = now + kStatusRetryDelay;
     return;
   }
   state.m_engine = *serves;
   if (gate.m_open && gate.m_digest != state.m_engine)
-    Doubt(gate);
-  // A status requested before the last increment of m_doubt doesn't show the
-  // engine's state after the event that caused it.
-  if (gate.m_doubt != doubt)
+    InvalidateVersion(gate);
+  // A status requested before the last increment of m_status_epoch doesn't show
+  // the engine's state after the event that caused it.
+  if (gate.m_status_epoch != doubt)
     return;
   state.m_settled = doubt;
   EvaluateOrder(state, plan, now);
-  if (gate.m_open || state.m_deposed)
+  if (gate.m_open || state.m_superseded)
     return;
   if (MayReopen(state, plan)) {
     state.m_shut_for_load = false;
@@ -436,25 +439,25 @@
   }
 }
 
-void EngineSeen(const RolloutState& state,
-                GateState& gate,
-                std::optional<Digest> serves) {
-  if (!gate.m_open || state.m_deposed)
+void EnginePolled(const RolloutState& state,
+                  GateState& gate,
+                  std::optional<Digest> serves) {
+  if (!gate.m_open || state.m_superseded)
     return;
   if (!serves)
-    AskAgain(gate);
+    RequireStatus(gate);
   else if (*serves != gate.m_digest)
-    Doubt(gate);
+    InvalidateVersion(gate);
 }
 
 bool RenewalDue(const RolloutState& state, TimePoint now) {
   return state.m_permit &&
-         now >= state.m_permit_until - kPermitHold + kPermitRenewal;
+         now >= state.m_permit_until - kPermitHoldTime + kPermitRenewalInterval;
 }
 
-std::optional<PermitBoard> Renewed(RolloutState& state,
-                                   const PermitBoard& board) {
-  PermitBoard next = board;
+std::optional<LoadPermits> WithPermitRenewed(RolloutState& state,
+                                             const LoadPermits& board) {
+  LoadPermits next = board;
   ++next.m_revision;
   auto own = next.m_permits.find(state.m_host);
   if (own == next.m_permits.end() || own->second.m_owner != state.m_owner) {
@@ -466,9 +469,10 @@
 }
 
 void RenewalWritten(RolloutState& state, TimePoint sent) {
-  state.m_board.reset();
+  state.m_load_permits.reset();
   if (state.m_permit)
-    state.m_permit_until = std::max(state.m_permit_until, sent + kPermitHold);
+    state.m_permit_until =
+        std::max(state.m_permit_until, sent + kPermitHoldTime);
 }
 
 }  // namespace verbenalead::decide
