--- a/src/libverbenalead/decide/rollout.h
+++ b/src/libverbenalead/decide/rollout.h
@@ -34,60 +34,61 @@
 
   /// The version that the engine last reported to serve.
   Digest m_engine;
-  /// The value of GateState::m_doubt that the last engine status resolved. If
-  /// the two differ, the engine has to be queried before any other step.
+  /// The value of GateState::m_status_epoch that the last engine status
+  /// resolved. If the two differ, the engine has to be queried before any other
+  /// step.
   uint64_t m_settled = 0;
-  TimePoint m_next_ask{};
+  TimePoint m_next_status_query{};
 
   Digest m_fetched;
   TimePoint m_next_fetch{};
 
   /// The permits as last read or written; nullopt if they have to be read.
-  std::optional<PermitBoard> m_board;
+  std::optional<LoadPermits> m_load_permits;
   /// The permits as sent in the write in progress.
-  std::optional<PermitBoard> m_writing;
+  std::optional<LoadPermits> m_writing;
   TimePoint m_next_read{};
-  PermitWatch m_watch;
+  PermitTracker m_permit_tracker;
   /// This process holds a permit, on which it may act until m_permit_until.
   bool m_permit = false;
   TimePoint m_permit_until{};
   /// The end of the notice to entries that the gate is about to shut.
-  std::optional<TimePoint> m_shut_at;
+  std::optional<TimePoint> m_notice_end;
   /// After the end of that notice, the permits were discarded to be read again.
-  bool m_rechecked = false;
+  bool m_permits_rechecked = false;
   /// The permit was renewed after the gate was shut and drained.
-  bool m_confirmed = false;
+  bool m_permit_confirmed = false;
   /// The table may hold a permit of this host, possibly of an earlier run.
-  bool m_posted = true;
+  bool m_permit_may_be_stored = true;
   /// A failed load has to be recorded in the pool's permits.
-  bool m_publish_failure = false;
+  bool m_failure_unrecorded = false;
 
   /// The rollout has shut the gate to load m_loading.
   bool m_shut_for_load = false;
   Digest m_loading;
   /// The version in force before the gate was shut.
-  Digest m_last_open;
+  Digest m_previous_version;
   /// The fencing number for the next order; 0 if it has to be minted.
-  uint64_t m_fence = 0;
+  uint64_t m_fencing_token = 0;
   /// The version of the last order, until the engine has reported which version
   /// it serves after it.
-  Digest m_ordered;
+  Digest m_ordered_version;
   /// Revision of the pool's spec at the time of the order. A failure is
   /// recorded for this revision, so that it doesn't stop a rollout that an
   /// operator has started since.
-  uint64_t m_ordered_plan = 0;
+  uint64_t m_ordered_revision = 0;
   /// Why the order failed; empty if the engine reported success.
   std::string m_order_reason;
 
   /// Number of consecutive orders that the engine reported as done while it
   /// serves another version.
-  uint32_t m_crossed = 0;
+  uint32_t m_stale_orders = 0;
   /// The version and spec revision of the last failed load.
   Digest m_failed;
   uint64_t m_failed_plan = 0;
   std::string m_failure;
   TimePoint m_retry_at{};
-  bool m_deposed = false;
+  bool m_superseded = false;
 };
 
 RolloutState StartRollout(const std::string& host, uint64_t owner);
@@ -102,7 +103,7 @@
 void FetchFailed(RolloutState& state, const std::string& reason, TimePoint now);
 /// `board` is nullopt if the table could not be read.
 void PermitsRead(RolloutState& state,
-                 std::optional<PermitBoard> board,
+                 std::optional<LoadPermits> board,
                  TimePoint now);
 enum class WriteResult {
   kCommitted,
@@ -116,34 +117,34 @@
                     WriteResult result,
                     TimePoint sent,
                     TimePoint now);
-void FenceMinted(RolloutState& state, uint64_t fence);
+void FencingTokenMinted(RolloutState& state, uint64_t fence);
 /// Reports that another process has since minted a fencing number for this
 /// host. That process now controls the engine; this process must neither send
 /// orders nor serve again.
-void Deposed(RolloutState& state, GateState& gate);
+void Superseded(RolloutState& state, GateState& gate);
 /// Reports the end of an order. `reason` is empty if the engine reported a
 /// successful load. In both cases the engine's status is queried before the
 /// gate opens.
 void OrderEnded(RolloutState& state,
                 GateState& gate,
                 const std::string& reason);
-/// Reports the engine's status for a kAskEngine action. `serves` is the version
-/// that the engine serves, or nullopt if it did not answer. `doubt` is the
-/// action's m_doubt.
-void EngineAnswered(RolloutState& state,
-                    GateState& gate,
-                    const RolloutPlan& plan,
-                    std::optional<Digest> serves,
-                    uint64_t doubt,
-                    TimePoint now);
+/// Reports the engine's status for a kQueryEngine action. `serves` is the
+/// version that the engine serves, or nullopt if it did not answer. `doubt` is
+/// the action's m_status_epoch.
+void EngineStatusReceived(RolloutState& state,
+                          GateState& gate,
+                          const RolloutPlan& plan,
+                          std::optional<Digest> serves,
+                          uint64_t doubt,
+                          TimePoint now);
 
 /// Reports an engine status from periodic polling, outside the steps of
 /// NextStep(). Shuts the gate if the engine did not answer or serves another
 /// version than the one in force. Never opens the gate, because the status
-/// isn't tied to a value of GateState::m_doubt and may be out of date.
-void EngineSeen(const RolloutState& state,
-                GateState& gate,
-                std::optional<Digest> serves);
+/// isn't tied to a value of GateState::m_status_epoch and may be out of date.
+void EnginePolled(const RolloutState& state,
+                  GateState& gate,
+                  std::optional<Digest> serves);
 
 /// Returns true if the permit has to be renewed now. Renewals run in parallel
 /// with the action in progress.
@@ -151,8 +152,8 @@
 /// Returns `board` with this host's permit renewed. Returns nullopt if another
 /// host erased the permit after it lapsed, or if another process of this host
 /// has acquired it.
-std::optional<PermitBoard> Renewed(RolloutState& state,
-                                   const PermitBoard& board);
+std::optional<LoadPermits> WithPermitRenewed(RolloutState& state,
+                                             const LoadPermits& board);
 /// Reports that the renewal sent at `sent` was written.
 void RenewalWritten(RolloutState& state, TimePoint sent);
 
--- a/src/libverbenalead/decide/rollout_action.h
+++ b/src/libverbenalead/decide/rollout_action.h
@@ -16,18 +16,19 @@
     kNone,          ///< No action is due; call NextStep() again soon.
     kFetch,         ///< Fetch m_digest into the store.
     kReadPermits,   ///< Read the pool's permits from the table.
-    kWritePermits,  ///< Write m_board if its revision is one above the item's.
-    kMintFence,     ///< Mint this host's next fencing number in the table.
-    kOrder,         ///< Order the engine to load m_digest with token m_fence.
-    kAskEngine,     ///< Query which version the engine serves.
+    kWritePermits,  ///< Write m_load_permits if its revision is one above the
+                    ///< item's.
+    kMintFencingToken,  ///< Mint this host's next fencing number in the table.
+    kOrder,  ///< Order the engine to load m_digest with token m_fencing_token.
+    kQueryEngine,  ///< Query which version the engine serves.
   };
   Kind m_kind = Kind::kNone;
   Digest m_digest;
-  uint64_t m_fence = 0;
-  PermitBoard m_board;
-  /// For kAskEngine: the value of GateState::m_doubt at the time of the query,
-  /// to be passed to EngineAnswered().
-  uint64_t m_doubt = 0;
+  uint64_t m_fencing_token = 0;
+  LoadPermits m_load_permits;
+  /// For kQueryEngine: the value of GateState::m_status_epoch at the time of
+  /// the query, to be passed to EngineStatusReceived().
+  uint64_t m_status_epoch = 0;
 };
 
 }  // namespace verbenalead::decide
--- a/src/libverbenalead/decide/rollout_load_test.cc
+++ b/src/libverbenalead/decide/rollout_load_test.cc
@@ -130,7 +130,7 @@
 
   double Utilisation() const {
     const PoolLoad load = LoadOf(m_pool, m_now);
-    return static_cast<double>(load.m_taken) / load.m_places;
+    return static_cast<double>(load.m_used_slots) / load.m_places;
   }
 
   /// Starts the load once all streams have ended, at the latest at `end`.
@@ -149,13 +149,13 @@
 
   void Begin(size_t number) {
     ++m_outcome.m_asked;
-    m_streams[number].m_call.m_read_by = m_now + 400ms;
+    m_streams[number].m_call.m_read_deadline = m_now + 400ms;
     Place(number, m_now + 300ms);
   }
 
   void Place(size_t number, TimePoint until) {
     Stream& stream = m_streams[number];
-    const auto replica = TakePlace(m_pool, stream.m_call, m_now, m_random);
+    const auto replica = AcquireSlot(m_pool, stream.m_call, m_now, m_random);
     if (!replica) {
       if (m_now + kLook <= until)
         At(m_now + kLook, [this, number, until] { Place(number, until); });
@@ -166,11 +166,11 @@
     }
     stream.m_replica = *replica;
     stream.m_placed_at = m_now;
-    stream.m_call.m_tried.insert(*replica);
+    stream.m_call.m_attempted_replicas.insert(*replica);
     ++stream.m_progress.m_sent;
     ++stream.m_progress.m_runs;
     At(m_now + 150ms,
-       [this, replica = *replica] { NoteBegun(m_pool, replica, 900); });
+       [this, replica = *replica] { NotePromptRead(m_pool, replica, 900); });
     const uint64_t run = ++stream.m_run;
     At(m_now + 150ms + stream.m_remaining, [this, number, run] {
       if (m_streams[number].m_run == run)
@@ -192,15 +192,15 @@
       ++stream.m_run;
       stream.m_replica.clear();
       Release(m_pool, id, AttemptEnd::kAbandoned, m_now);
-      if (!MayTryAgain(stream.m_progress, AttemptEnd::kBroken)) {
+      if (!MayRetry(stream.m_progress, AttemptEnd::kBroken)) {
         ++m_outcome.m_lost;
         continue;
       }
       stream.m_remaining -= std::min<Duration>(
           stream.m_remaining, m_now - stream.m_placed_at - 150ms);
       ++m_outcome.m_interrupted;
-      PrepareRepeat(stream.m_call, kPrefillRate, m_now);
-      Place(number, m_now + RepeatWait(stream.m_progress));
+      PrepareRetry(stream.m_call, kPrefillRate, m_now);
+      Place(number, m_now + RetryWait(stream.m_progress));
     }
   }
 
@@ -276,18 +276,18 @@
     SetReplicas(pool, {replica}, TimePoint(), TimePoint() + 9s);
     PoolCall call;
     call.m_prompt_tokens = 900;
-    call.m_read_by = TimePoint() + 9s;
+    call.m_read_deadline = TimePoint() + 9s;
     std::mt19937_64 random(7);
     const TimePoint now = TimePoint() + 10s;
-    CPPUNIT_ASSERT(!TakePlace(pool, call, now, random));
-    PrepareRepeat(call, kPrefillRate, now);
-    CPPUNIT_ASSERT(!call.m_fresh);
-    CPPUNIT_ASSERT(TakePlace(pool, call, now, random));
+    CPPUNIT_ASSERT(!AcquireSlot(pool, call, now, random));
+    PrepareRetry(call, kPrefillRate, now);
+    CPPUNIT_ASSERT(!call.m_can_be_on_time);
+    CPPUNIT_ASSERT(AcquireSlot(pool, call, now, random));
     // A call that can still be on time remains marked as on time.
-    call.m_fresh = true;
-    call.m_read_by = now + 100ms;
-    PrepareRepeat(call, kPrefillRate, now);
-    CPPUNIT_ASSERT(call.m_fresh);
+    call.m_can_be_on_time = true;
+    call.m_read_deadline = now + 100ms;
+    PrepareRetry(call, kPrefillRate, now);
+    CPPUNIT_ASSERT(call.m_can_be_on_time);
   }
 };
 
--- a/src/libverbenalead/decide/rollout_stage.h
+++ b/src/libverbenalead/decide/rollout_stage.h
@@ -11,7 +11,7 @@
   kLoading,
   kInForce,
   kFailed,
-  kDeposed,  ///< A newer process controls this engine.
+  kSuperseded,  ///< A newer process controls this engine.
 };
 
 const char* ToString(RolloutStage stage);
--- a/src/libverbenalead/decide/rollout_test.cc
+++ b/src/libverbenalead/decide/rollout_test.cc
@@ -32,7 +32,7 @@
 /// each element is the version from which the byte was loaded.
 struct FakeEngine {
   bool m_checks_fence = false;
-  uint64_t m_fence = 0;
+  uint64_t m_fencing_token = 0;
   std::vector<Digest> m_bytes;
 
   /// Returns the version of all bytes, or an empty digest if there are none or
@@ -53,7 +53,7 @@
 struct Order {
   int m_engine = 0;
   Digest m_digest;
-  uint64_t m_fence = 0;
+  uint64_t m_fencing_token = 0;
 };
 
 constexpr size_t kBytes = 2;
@@ -66,8 +66,8 @@
   bool m_minted = false;
   bool m_frozen = false;
   TimePoint m_last_step{};
-  /// The process took no step for longer than kPermitHold, and the gate that
-  /// the rollout shut has not opened since.
+  /// The process took no step for longer than kPermitHoldTime, and the gate
+  /// that the rollout shut has not opened since.
   bool m_suspended_while_shut = false;
   /// The order whose answer has not arrived yet.
   std::optional<RolloutAction> m_order;
@@ -80,7 +80,7 @@
 struct Simulation {
   TimePoint m_now{};
   RolloutPlan m_plan;
-  PermitBoard m_board;
+  LoadPermits m_load_permits;
   bool m_table_up = true;
   std::map<int, std::pair<uint64_t, uint64_t>> m_fences;  // host: number, owner
   std::vector<FakeEngine> m_engines{kHosts};
@@ -135,26 +135,27 @@
   auto& [number, owner] = simulation.m_fences[process.m_host];
   const uint64_t own = process.m_gate.m_incarnation;
   if (process.m_minted && owner != own) {
-    Deposed(process.m_state, process.m_gate);
+    Superseded(process.m_state, process.m_gate);
     return;
   }
   process.m_minted = true;
   owner = own;
-  FenceMinted(process.m_state, ++number);
+  FencingTokenMinted(process.m_state, ++number);
 }
 
 void Write(Simulation& simulation,
            Process& process,
-           const PermitBoard& board,
+           const LoadPermits& board,
            bool lose_answer) {
   if (!simulation.m_table_up) {
     PermitsWritten(process.m_state, process.m_gate, WriteResult::kDoubt,
                    simulation.m_now, simulation.m_now);
     return;
   }
-  const bool committed = board.m_revision == simulation.m_board.m_revision + 1;
+  const bool committed =
+      board.m_revision == simulation.m_load_permits.m_revision + 1;
   if (committed)
-    simulation.m_board = board;
+    simulation.m_load_permits = board;
   WriteResult result =
       committed ? WriteResult::kCommitted : WriteResult::kConflict;
   if (lose_answer)
@@ -167,9 +168,10 @@
 /// order has ended: all bytes are loaded or the engine rejected the order.
 bool LoadByte(Simulation& simulation, Order& order, size_t at) {
   FakeEngine& engine = simulation.m_engines[order.m_engine];
-  if (engine.m_checks_fence && order.m_fence < engine.m_fence)
+  if (engine.m_checks_fence && order.m_fencing_token < engine.m_fencing_token)
     return true;
-  engine.m_fence = std::max(engine.m_fence, order.m_fence);
+  engine.m_fencing_token =
+      std::max(engine.m_fencing_token, order.m_fencing_token);
   engine.m_bytes.resize(kBytes);
   engine.m_bytes[at] = order.m_digest;
   return at + 1 == kBytes;
@@ -189,30 +191,31 @@
     case Kind::kReadPermits:
       PermitsRead(process.m_state,
                   simulation.m_table_up
-                      ? std::optional<PermitBoard>(simulation.m_board)
+                      ? std::optional<LoadPermits>(simulation.m_load_permits)
                       : std::nullopt,
                   simulation.m_now);
       break;
     case Kind::kWritePermits:
-      Write(simulation, process, action.m_board, lose_answer);
+      Write(simulation, process, action.m_load_permits, lose_answer);
       break;
-    case Kind::kMintFence:
+    case Kind::kMintFencingToken:
       Mint(simulation, process);
       break;
     case Kind::kOrder:
       RC_ASSERT(!process.m_gate.m_open);
       RC_ASSERT(process.m_gate.m_running == 0U);
-      RC_ASSERT(!process.m_state.m_shut_for_load ||
-                simulation.m_board.m_permits.contains(process.m_state.m_host));
+      RC_ASSERT(
+          !process.m_state.m_shut_for_load ||
+          simulation.m_load_permits.m_permits.contains(process.m_state.m_host));
       process.m_order = action;
       ++simulation.m_loads;
       simulation.m_orders.push_back(
-          {process.m_host, action.m_digest, action.m_fence});
+          {process.m_host, action.m_digest, action.m_fencing_token});
       break;
-    case Kind::kAskEngine:
-      EngineAnswered(process.m_state, process.m_gate, simulation.m_plan,
-                     simulation.m_engines[process.m_host].Whole(),
-                     action.m_doubt, simulation.m_now);
+    case Kind::kQueryEngine:
+      EngineStatusReceived(process.m_state, process.m_gate, simulation.m_plan,
+                           simulation.m_engines[process.m_host].Whole(),
+                           action.m_status_epoch, simulation.m_now);
       break;
   }
 }
@@ -220,24 +223,25 @@
 void Renew(Simulation& simulation, Process& process) {
   if (!simulation.m_table_up || !RenewalDue(process.m_state, simulation.m_now))
     return;
-  const auto next = Renewed(process.m_state, simulation.m_board);
+  const auto next =
+      WithPermitRenewed(process.m_state, simulation.m_load_permits);
   if (!next)
     return;
-  simulation.m_board = *next;
+  simulation.m_load_permits = *next;
   RenewalWritten(process.m_state, simulation.m_now);
 }
 
 void Poll(Simulation& simulation, Process& process) {
   if (process.m_frozen)
     return;
-  EngineSeen(process.m_state, process.m_gate,
-             simulation.m_engines[process.m_host].Whole());
+  EnginePolled(process.m_state, process.m_gate,
+               simulation.m_engines[process.m_host].Whole());
 }
 
 void Step(Simulation& simulation, Process& process, bool lose_answer) {
   if (process.m_frozen)
     return;
-  if (simulation.m_now - process.m_last_step > kPermitHold)
+  if (simulation.m_now - process.m_last_step > kPermitHoldTime)
     process.m_suspended_while_shut = true;
   process.m_last_step = simulation.m_now;
   if (process.m_gate.m_open || !process.m_state.m_shut_for_load)
@@ -252,10 +256,11 @@
 uint32_t ShutByRollout(const Simulation& simulation) {
   uint32_t shut = 0;
   for (const Process& process : simulation.m_processes) {
-    const bool paused = simulation.m_now - process.m_last_step > kPermitHold;
+    const bool paused =
+        simulation.m_now - process.m_last_step > kPermitHoldTime;
     if (process.m_state.m_shut_for_load && !process.m_gate.m_open &&
         !process.m_suspended_while_shut && !paused &&
-        IsNewest(simulation, process) && !process.m_state.m_deposed)
+        IsNewest(simulation, process) && !process.m_state.m_superseded)
       ++shut;
   }
   return shut;
@@ -304,7 +309,8 @@
       simulation.m_orders.erase(simulation.m_orders.begin() +
                                 static_cast<std::ptrdiff_t>(at));
     for (Process& process : simulation.m_processes) {
-      if (process.m_order && process.m_order->m_fence == order.m_fence &&
+      if (process.m_order &&
+          process.m_order->m_fencing_token == order.m_fencing_token &&
           process.m_host == order.m_engine) {
         OrderEnded(process.m_state, process.m_gate, half ? "broken" : "");
         process.m_order.reset();
@@ -384,7 +390,7 @@
   void run(const EmptyModel&, Simulation& simulation) const override {
     FakeEngine& engine = simulation.m_engines[m_number % kHosts];
     engine.m_bytes.clear();
-    engine.m_fence = 0;
+    engine.m_fencing_token = 0;
   }
   void show(std::ostream& os) const override { os << "Restart " << m_number; }
 };
@@ -423,7 +429,7 @@
       const Attempt attempt{"r" + std::to_string(m_number), 1};
       if (process.m_request ||
           Enter(process.m_gate, attempt, process.m_gate.m_incarnation, {},
-                simulation.m_now) != EnterResult::kEntered)
+                simulation.m_now) != AdmitResult::kAdmitted)
         continue;
       process.m_request = attempt;
       process.m_request_generation = process.m_gate.m_generation;
@@ -516,7 +522,7 @@
     RC_ASSERT(simulation.m_engines[process.m_host].Whole() ==
               simulation.m_plan.m_digest);
   }
-  RC_ASSERT(simulation.m_board.m_permits.empty());
+  RC_ASSERT(simulation.m_load_permits.m_permits.empty());
 }
 
 class RolloutTest : public CppUnit::TestFixture {
--- a/src/libverbenalead/decide/route_table.cc
+++ b/src/libverbenalead/decide/route_table.cc
@@ -45,8 +45,8 @@
   return found == m_services.end() ? nullptr : found->second;
 }
 
-const std::string& DrawService(const model::Route& route,
-                               std::mt19937_64& random) {
+const std::string& SelectService(const model::Route& route,
+                                 std::mt19937_64& random) {
   uint64_t total = 0;
   for (const model::ServiceShare& share : route.m_services)
     total += share.m_weight;
--- a/src/libverbenalead/decide/route_table.h
+++ b/src/libverbenalead/decide/route_table.h
@@ -40,8 +40,8 @@
 
 /// Selects the service for a call on `route` at random, in proportion to the
 /// weights of its services.
-const std::string& DrawService(const model::Route& route,
-                               std::mt19937_64& random);
+const std::string& SelectService(const model::Route& route,
+                                 std::mt19937_64& random);
 
 }  // namespace verbenalead::decide
 
--- a/src/libverbenalead/decide/route_table_test.cc
+++ b/src/libverbenalead/decide/route_table_test.cc
@@ -53,22 +53,22 @@
     const model::Route route = MakeRoute("h", "/");
     int selected = 0;
     for (int i = 0; i < 4000; ++i)
-      selected += DrawService(route, random) == "a" ? 1 : 0;
+      selected += SelectService(route, random) == "a" ? 1 : 0;
     CPPUNIT_ASSERT(selected > 2850 && selected < 3150);
   }
 
   void WeightsBindAtDeclaredTime() {
     const TimePoint start = TimePoint() + 3600s;
-    WeightsWatch watch;
+    DeclaredVersions watch;
     Declare(watch, 2, start + 8s);
     Declare(watch, 3, start + 10s);
     Declare(watch, 3, start + 99s);  // A later declaration is ignored.
     CPPUNIT_ASSERT_EQUAL(uint64_t{0}, Binding(watch, start + 7s));
     CPPUNIT_ASSERT_EQUAL(uint64_t{2}, Binding(watch, start + 8s));
     CPPUNIT_ASSERT_EQUAL(uint64_t{3}, Binding(watch, start + 10s));
-    CPPUNIT_ASSERT(BindsAgainst(watch, 1) == start + 8s);
-    CPPUNIT_ASSERT(BindsAgainst(watch, 2) == start + 10s);
-    CPPUNIT_ASSERT(BindsAgainst(watch, 3) == TimePoint::max());
+    CPPUNIT_ASSERT(ForbiddenFrom(watch, 1) == start + 8s);
+    CPPUNIT_ASSERT(ForbiddenFrom(watch, 2) == start + 10s);
+    CPPUNIT_ASSERT(ForbiddenFrom(watch, 3) == TimePoint::max());
   }
 };
 
--- a/src/libverbenalead/decide/routing_test.cc
+++ b/src/libverbenalead/decide/routing_test.cc
@@ -83,7 +83,7 @@
   }
 
   void UrgentGoesFirstWithinItsOrganisation() {
-    AdmitState state;
+    AdmissionState state;
     Tick(state, 1, kStart);
     Arrive(state, 1, MakeCall("a", 3, 9s), kStart);
     Arrive(state, 2, MakeCall("a", 3, 9s), kStart);
@@ -96,7 +96,7 @@
   // call has a timeout of 2 s, and two calls of 1 s each wait before it: it
   // must be refused on arrival, with the time after which to retry.
   void UnmeetableDeadlineIsRefusedOnArrival() {
-    AdmitState state;
+    AdmissionState state;
     Tick(state, 1, kStart);
     Arrive(state, 1, MakeCall("a", 3, 9s), kStart);
     Finish(state, kTokens, 1s, kStart);
@@ -105,7 +105,7 @@
     Arrive(state, 4, MakeCall("a", 3, 9s), kStart);
     const auto actions = Arrive(state, 5, MakeCall("a", 3, 2s), kStart);
     CPPUNIT_ASSERT_EQUAL(size_t{1}, actions.size());
-    CPPUNIT_ASSERT(actions[0].m_kind == AdmitAction::Kind::kRefuse);
+    CPPUNIT_ASSERT(actions[0].m_kind == AdmissionAction::Kind::kRefuse);
     CPPUNIT_ASSERT_EQUAL(std::string("deadline_cannot_be_met"),
                          actions[0].m_reason);
     CPPUNIT_ASSERT(actions[0].m_retry_after >= 1s);
@@ -115,7 +115,7 @@
   // targets hang, so that no call ends and none starts. The waiting call must
   // be refused at its deadline.
   void NothingWaitsPastItsDeadline() {
-    AdmitState state;
+    AdmissionState state;
     Tick(state, 1, kStart);
     Arrive(state, 1, MakeCall("a", 3, 60s), kStart);
     Arrive(state, 2, MakeCall("a", 3, 1s), kStart);
@@ -160,12 +160,12 @@
   // gets more calls because it reports itself idle. It must be ejected, and
   // reinstated after a successful probe.
   void SlowTargetIsEjectedAndReinstated() {
-    PlaceState state = TwoTargets();
+    TargetSelectionState state = TwoTargets();
     const model::Call call = MakeCall("a", 3, 9s);
     for (int i = 0; i < 20; ++i)
-      RunAttempt(state, "fast", call, TargetSign::kGood, 100ms, kStart);
+      RunAttempt(state, "fast", call, TargetFeedback::kGood, 100ms, kStart);
     for (int i = 0; i < 4; ++i)
-      RunAttempt(state, "slow", call, TargetSign::kGood, 1s, kStart);
+      RunAttempt(state, "slow", call, TargetFeedback::kGood, 1s, kStart);
     Random random;
     for (int i = 0; i < 10; ++i) {
       const auto placed = Place(state, call, {}, {}, kStart, random);
@@ -179,7 +179,7 @@
     AttemptSent(state, "slow", call, later);
     CPPUNIT_ASSERT_EQUAL(std::string("fast"),
                          Place(state, call, {}, {}, later, random)->m_target);
-    AttemptEnded(state, "slow", call, TargetSign::kGood, 100ms, later);
+    AttemptEnded(state, "slow", call, TargetFeedback::kGood, 100ms, later);
     CPPUNIT_ASSERT_EQUAL(uint32_t{16}, UsableCapacity(state, later));
   }
 
@@ -187,10 +187,10 @@
   // during which every target seemed broken and was ejected. Calls must be sent
   // to a target again before the ejections end.
   void AllEjectedStillUsesOne() {
-    PlaceState state = TwoTargets();
+    TargetSelectionState state = TwoTargets();
     const model::Call call = MakeCall("a", 0, 9s);
-    RunAttempt(state, "fast", call, TargetSign::kBroken, 1ms, kStart);
-    RunAttempt(state, "slow", call, TargetSign::kBroken, 1ms, kStart);
+    RunAttempt(state, "fast", call, TargetFeedback::kBroken, 1ms, kStart);
+    RunAttempt(state, "slow", call, TargetFeedback::kBroken, 1ms, kStart);
     CPPUNIT_ASSERT(UsableCapacity(state, kStart) > 0);
     Random random;
     const auto placed = Place(state, call, {}, {}, kStart, random);
@@ -203,11 +203,11 @@
   // with a limit of 0 running calls, it would refuse the new one, and a pool of
   // one target has no other.
   void RecentAnswerIsNotCountedAsLoad() {
-    PlaceState state;
+    TargetSelectionState state;
     const model::Call call = MakeCall("a", 3, 9s);
     Random random;
     Report(state, OpenTarget("t", 0), kStart);
-    RunAttempt(state, "t", call, TargetSign::kGood, 100ms, kStart);
+    RunAttempt(state, "t", call, TargetFeedback::kGood, 100ms, kStart);
     CPPUNIT_ASSERT_EQUAL(
         UINT32_MAX, Place(state, call, {}, {}, kStart, random)->m_max_running);
     Report(state, OpenTarget("u", 0), kStart);
@@ -216,7 +216,7 @@
   }
 
   void LeavingNeverReverts() {
-    PlaceState state;
+    TargetSelectionState state;
     model::TargetReport report = OpenTarget("t", 0);
     report.m_leaving = true;
     Report(state, report, kStart);
@@ -232,7 +232,7 @@
     for (uint64_t prefix = 1; prefix < 50; ++prefix) {
       std::set<std::string> chosen;
       for (uint32_t entry = 0; entry < 4; ++entry) {
-        PlaceState state;
+        TargetSelectionState state;
         // Entries receive the reports in different orders and with different
         // loads.
         for (uint32_t i = 0; i < 5; ++i)
@@ -252,14 +252,14 @@
   // prefix at the target must not remove the entry that this use has renewed.
   void LateEvictionKeepsRenewedPrefix() {
     PrefixIndex index;
-    NotePrefix(index, 7, 1, kStart + 2s);
-    NoteEviction(index, 7, 1, kStart + 1s);
-    CPPUNIT_ASSERT(Holds(HoldersOf(index, 7), 1, kStart + 3s));
-    NoteEviction(index, 7, 1, kStart + 3s);
-    CPPUNIT_ASSERT(!Holds(HoldersOf(index, 7), 1, kStart + 3s));
-    NotePrefix(index, 7, 1, kStart + 3s);
+    RecordPrefix(index, 7, 1, kStart + 2s);
+    RecordEviction(index, 7, 1, kStart + 1s);
+    CPPUNIT_ASSERT(Holds(FindHolders(index, 7), 1, kStart + 3s));
+    RecordEviction(index, 7, 1, kStart + 3s);
+    CPPUNIT_ASSERT(!Holds(FindHolders(index, 7), 1, kStart + 3s));
+    RecordPrefix(index, 7, 1, kStart + 3s);
     CPPUNIT_ASSERT(
-        !Holds(HoldersOf(index, 7), 1, kStart + 4s + kPrefixForgotten));
+        !Holds(FindHolders(index, 7), 1, kStart + 4s + kPrefixLifetime));
   }
 
   // Guards against an overload of the working half of a pool by retries: the
@@ -268,7 +268,7 @@
   void RetriesAreLimitedInOutage() {
     RetryBudget budget;
     const model::Call call = MakeCall("a", 3, 9s);
-    EndedAttempt broken;
+    FinishedAttempt broken;
     broken.m_end = AttemptEnd::kNotRun;
     int attempts = 0;
     constexpr int kCalls = 2000;
@@ -276,7 +276,7 @@
       CountFirstAttempt(budget);
       broken.m_number = 1;
       ++attempts;
-      while (AfterAttempt(call, broken, budget, kStart).m_retry) {
+      while (DecideRetry(call, broken, budget, kStart).m_retry) {
         ++attempts;
         ++broken.m_number;
       }
@@ -290,29 +290,29 @@
     model::CallBuilder builder;
     const auto not_idempotent =
         builder.NotIdempotent("k").Deadline(kStart + 9s).Build();
-    EndedAttempt attempt;
-    CPPUNIT_ASSERT(AfterAttempt(call, attempt, budget, kStart).m_retry);
-    const auto decision = AfterAttempt(not_idempotent, attempt, budget, kStart);
+    FinishedAttempt attempt;
+    CPPUNIT_ASSERT(DecideRetry(call, attempt, budget, kStart).m_retry);
+    const auto decision = DecideRetry(not_idempotent, attempt, budget, kStart);
     CPPUNIT_ASSERT(!decision.m_retry);
     CPPUNIT_ASSERT(decision.m_outcome == model::Outcome::kUnknown);
-    attempt.m_answer_begun = true;
-    CPPUNIT_ASSERT(!AfterAttempt(call, attempt, budget, kStart).m_retry);
+    attempt.m_answer_started = true;
+    CPPUNIT_ASSERT(!DecideRetry(call, attempt, budget, kStart).m_retry);
     attempt = {AttemptEnd::kNotRun, kMaxAttempts};
-    CPPUNIT_ASSERT(!AfterAttempt(call, attempt, budget, kStart).m_retry);
+    CPPUNIT_ASSERT(!DecideRetry(call, attempt, budget, kStart).m_retry);
   }
 
  private:
-  static PlaceState TwoTargets() {
-    PlaceState state;
+  static TargetSelectionState TwoTargets() {
+    TargetSelectionState state;
     Report(state, OpenTarget("fast", 4), kStart);
     Report(state, OpenTarget("slow", 0), kStart);
     return state;
   }
 
-  static void RunAttempt(PlaceState& state,
+  static void RunAttempt(TargetSelectionState& state,
                          const std::string& target,
                          const model::Call& call,
-                         TargetSign sign,
+                         TargetFeedback sign,
                          Duration elapsed,
                          TimePoint now) {
     AttemptSent(state, target, call, now);
--- a/src/libverbenalead/decide/row_transfer_limit.h
+++ b/src/libverbenalead/decide/row_transfer_limit.h
@@ -20,28 +20,30 @@
 /// to the store. With the limit, a few entries get the tables at once. The
 /// others are deferred, and a moment later they find more entries that have the
 /// tables.
-struct HandoutPace {
+struct RowTransferLimit {
   /// Until when the link is busy with the transfers admitted so far, at
-  /// kHandoutRate.
+  /// kRowTransferRate.
   TimePoint m_busy_until{};
 };
 
 /// Assumed rate of the transfers in bytes a second, a part of the narrowest
 /// links of entries.
-constexpr uint64_t kHandoutRate = 2'000'000;
+constexpr uint64_t kRowTransferRate = 2'000'000;
 /// Number of transfers that may be in progress when another one is admitted.
-constexpr int kMostHandouts = 3;
+constexpr int kMaxPendingTransfers = 3;
 /// Shortest and longest pause before a deferred entry retries. At this rate, a
 /// hundred entries that retry use a few hundredths of a core.
-constexpr Duration kLeastPutOff = 100ms;
-constexpr Duration kMostPutOff = 300ms;
+constexpr Duration kMinDeferral = 100ms;
+constexpr Duration kMaxDeferral = 300ms;
 
 /// Whether a table of `bytes` may be sent now to an entry that can be deferred.
 /// If so, counts the transfer.
-inline bool TakeHandout(HandoutPace& pace, uint64_t bytes, TimePoint now) {
+inline bool TryAdmitTransfer(RowTransferLimit& pace,
+                             uint64_t bytes,
+                             TimePoint now) {
   const Duration transfer_time = std::chrono::duration_cast<Duration>(
-      std::chrono::microseconds(bytes * 1'000'000 / kHandoutRate));
-  if (pace.m_busy_until - now > kMostHandouts * transfer_time)
+      std::chrono::microseconds(bytes * 1'000'000 / kRowTransferRate));
+  if (pace.m_busy_until - now > kMaxPendingTransfers * transfer_time)
     return false;
   pace.m_busy_until = std::max(pace.m_busy_until, now) + transfer_time;
   return true;
@@ -49,9 +51,9 @@
 
 /// Random pause of a deferred entry, so that entries that were deferred
 /// together don't retry together.
-inline Duration PutOffFor(std::mt19937_64& random) {
+inline Duration DeferralDelay(std::mt19937_64& random) {
   return Duration(std::uniform_int_distribution<Duration::rep>(
-      kLeastPutOff.count(), kMostPutOff.count())(random));
+      kMinDeferral.count(), kMaxDeferral.count())(random));
 }
 
 }  // namespace verbenalead::decide
--- a/src/libverbenalead/decide/row_transfer_limit_test.cc
+++ b/src/libverbenalead/decide/row_transfer_limit_test.cc
@@ -45,7 +45,7 @@
 
  private:
   struct Entry {
-    HandoutPace m_pace;
+    RowTransferLimit m_pace;
     TimePoint m_complete_at = TimePoint::max();
     TimePoint m_retry_at{};
     bool m_fetching = false;
@@ -67,8 +67,8 @@
     if (sources.empty())
       return;
     Entry& source = m_entries[sources[m_random() % sources.size()]];
-    if (!TakeHandout(source.m_pace, kTableBytes, m_now)) {
-      entry.m_retry_at = m_now + PutOffFor(m_random);
+    if (!TryAdmitTransfer(source.m_pace, kTableBytes, m_now)) {
+      entry.m_retry_at = m_now + DeferralDelay(m_random);
       return;
     }
     entry.m_fetching = true;
@@ -100,8 +100,8 @@
   std::vector<Entry> m_entries;
 };
 
-class HandoutPaceTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(HandoutPaceTest);
+class RowTransferLimitTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(RowTransferLimitTest);
   CPPUNIT_TEST(SimultaneousStartSaturatesNoLink);
   CPPUNIT_TEST(FewRequestsAreNotDeferred);
   CPPUNIT_TEST_SUITE_END();
@@ -119,15 +119,15 @@
   // Guards against late changes in a small data centre, where its few entries
   // would wait for each other.
   void FewRequestsAreNotDeferred() {
-    HandoutPace pace;
-    for (int other = 0; other <= kMostHandouts; ++other)
-      CPPUNIT_ASSERT(TakeHandout(pace, kTableBytes, TimePoint()));
-    CPPUNIT_ASSERT(!TakeHandout(pace, kTableBytes, TimePoint()));
-    CPPUNIT_ASSERT(TakeHandout(pace, kTableBytes, TimePoint() + 1s));
+    RowTransferLimit pace;
+    for (int other = 0; other <= kMaxPendingTransfers; ++other)
+      CPPUNIT_ASSERT(TryAdmitTransfer(pace, kTableBytes, TimePoint()));
+    CPPUNIT_ASSERT(!TryAdmitTransfer(pace, kTableBytes, TimePoint()));
+    CPPUNIT_ASSERT(TryAdmitTransfer(pace, kTableBytes, TimePoint() + 1s));
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(HandoutPaceTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(RowTransferLimitTest);
 
 }  // namespace
 }  // namespace verbenalead::decide
--- a/src/libverbenalead/decide/service_time.h
+++ b/src/libverbenalead/decide/service_time.h
@@ -11,7 +11,7 @@
 
 /// Cost of a call in units of work: its expected tokens, or 1 if these are
 /// unknown, as for services that run no model.
-inline double UnitsOf(const model::Call& call) {
+inline double WorkUnits(const model::Call& call) {
   return std::max<uint32_t>(call.expected_tokens(), 1);
 }
 
--- a/src/libverbenalead/decide/slot_queue.cc
+++ b/src/libverbenalead/decide/slot_queue.cc
@@ -10,7 +10,7 @@
 /// Limit of queued requests, several times what can be granted in time.
 constexpr size_t kMaxQueuedRequests = 256;
 
-Duration ReadingTime(const PlaceQueue& queue, uint64_t tokens) {
+Duration ReadingTime(const SlotQueue& queue, uint64_t tokens) {
   if (queue.m_prefill_rate <= 0)
     return Duration();
   return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(
@@ -18,66 +18,68 @@
 }
 
 /// Latest time at which a call must start at an idle replica to be on time.
-TimePoint StartBy(const PlaceQueue& queue, const PlaceWish& request) {
-  return request.m_read_by - ReadingTime(queue, request.m_prompt_tokens);
+TimePoint StartBy(const SlotQueue& queue, const SlotRequest& request) {
+  return request.m_read_deadline - ReadingTime(queue, request.m_prompt_tokens);
 }
 
 /// Order of on-time requests, smallest first. Ordered by the latest start
 /// alone, a call with a long prompt would often be left too little time: its
 /// latest start is early, yet it would rank behind all calls whose time is
 /// nearly up. So its reading time counts three times.
-TimePoint UrgencyRank(const PlaceQueue& queue, const PlaceWish& request) {
+TimePoint UrgencyRank(const SlotQueue& queue, const SlotRequest& request) {
   return StartBy(queue, request) -
          2 * ReadingTime(queue, request.m_prompt_tokens);
 }
 
-bool IsMoreUrgent(const PlaceQueue& queue,
-                  const PlaceWish& a,
-                  const PlaceWish& b) {
-  if (a.m_fresh != b.m_fresh)
-    return a.m_fresh;
-  return a.m_fresh ? UrgencyRank(queue, a) < UrgencyRank(queue, b)
-                   : a.m_read_by < b.m_read_by;
+bool IsMoreUrgent(const SlotQueue& queue,
+                  const SlotRequest& a,
+                  const SlotRequest& b) {
+  if (a.m_can_be_on_time != b.m_can_be_on_time)
+    return a.m_can_be_on_time;
+  return a.m_can_be_on_time ? UrgencyRank(queue, a) < UrgencyRank(queue, b)
+                            : a.m_read_deadline < b.m_read_deadline;
 }
 
 /// Whether all on-time calls that were granted a slot can still begin in time
 /// if another prompt is read until `read_at`. An engine reads all prompts that
 /// arrive between two passes before the next pass writes, so a long prompt
 /// delays every call that arrived with it.
-bool KeepsGrantsOnTime(const PlaceQueue& queue, TimePoint read_at) {
-  return std::all_of(queue.m_promises.begin(), queue.m_promises.end(),
-                     [read_at](const PlaceQueue::Promise& grant) {
-                       return read_at <= grant.m_read_by;
+bool KeepsGrantsOnTime(const SlotQueue& queue, TimePoint read_at) {
+  return std::all_of(queue.m_granted_calls.begin(), queue.m_granted_calls.end(),
+                     [read_at](const SlotQueue::GrantedCall& grant) {
+                       return read_at <= grant.m_read_deadline;
                      });
 }
 
-bool CanStart(const PlaceQueue& queue,
-              const PlaceWish& request,
+bool CanStart(const SlotQueue& queue,
+              const SlotRequest& request,
               const ReplicaLoad& load,
               TimePoint now) {
   const TimePoint read_at =
-      now + ReadingTime(queue, load.m_unread + request.m_prompt_tokens);
+      now + ReadingTime(queue, load.m_unread_tokens + request.m_prompt_tokens);
   if (!HasRoom(queue.m_slots, queue.m_prefill_rate, load.m_calls,
-               load.m_unread) ||
+               load.m_unread_tokens) ||
       !KeepsGrantsOnTime(queue, read_at))
     return false;
-  return !request.m_fresh ||
-         now + ReadingTime(queue, load.m_unread) <= StartBy(queue, request);
+  return !request.m_can_be_on_time ||
+         now + ReadingTime(queue, load.m_unread_tokens) <=
+             StartBy(queue, request);
 }
 
 /// Whether the wait limit of the request has passed, or its call couldn't be on
 /// time even if it started now.
-bool IsExpired(const PlaceQueue& queue,
-               const PlaceWish& request,
+bool IsExpired(const SlotQueue& queue,
+               const SlotRequest& request,
                TimePoint now) {
   return request.m_until <= now ||
-         (request.m_fresh && StartBy(queue, request) < now);
+         (request.m_can_be_on_time && StartBy(queue, request) < now);
 }
 
 /// The most urgent request, or the end iterator.
-std::vector<PlaceWish>::iterator FindMostUrgent(PlaceQueue& queue) {
-  return std::min_element(queue.m_wishes.begin(), queue.m_wishes.end(),
-                          [&queue](const PlaceWish& a, const PlaceWish& b) {
+std::vector<SlotRequest>::iterator FindMostUrgent(SlotQueue& queue) {
+  return std::min_element(queue.m_slot_requests.begin(),
+                          queue.m_slot_requests.end(),
+                          [&queue](const SlotRequest& a, const SlotRequest& b) {
                             return IsMoreUrgent(queue, a, b);
                           });
 }
@@ -85,80 +87,82 @@
 /// Whether a newly arrived call may overtake the waiting ones. An on-time call
 /// may if the most urgent waiting call can't start yet, since the slot would
 /// stay empty otherwise. A late call never overtakes an on-time one.
-bool MayOvertake(PlaceQueue& queue,
-                 const PlaceWish& request,
+bool MayOvertake(SlotQueue& queue,
+                 const SlotRequest& request,
                  const ReplicaLoad& load,
                  TimePoint now) {
   const auto most_urgent = FindMostUrgent(queue);
-  if (most_urgent == queue.m_wishes.end() ||
+  if (most_urgent == queue.m_slot_requests.end() ||
       IsMoreUrgent(queue, request, *most_urgent))
     return true;
-  return request.m_fresh && !CanStart(queue, *most_urgent, load, now);
+  return request.m_can_be_on_time && !CanStart(queue, *most_urgent, load, now);
 }
 
 /// Drops requests that can no longer be met, and grants whose calls have begun
 /// or are late.
-void DropExpired(PlaceQueue& queue, TimePoint now) {
-  std::erase_if(queue.m_wishes, [&](const PlaceWish& request) {
+void DropExpired(SlotQueue& queue, TimePoint now) {
+  std::erase_if(queue.m_slot_requests, [&](const SlotRequest& request) {
     return IsExpired(queue, request, now);
   });
-  std::erase_if(queue.m_promises, [&](const PlaceQueue::Promise& grant) {
-    return std::min(grant.m_read_by, grant.m_read_at) <= now;
-  });
+  std::erase_if(
+      queue.m_granted_calls, [&](const SlotQueue::GrantedCall& grant) {
+        return std::min(grant.m_read_deadline, grant.m_read_at) <= now;
+      });
 }
 
 /// Records the grant of a slot to an on-time call.
-void RecordGrant(PlaceQueue& queue,
-                 const PlaceWish& request,
+void RecordGrant(SlotQueue& queue,
+                 const SlotRequest& request,
                  const ReplicaLoad& load,
                  TimePoint now) {
-  if (request.m_fresh) {
-    queue.m_promises.push_back(
-        {request.m_read_by,
-         now + ReadingTime(queue, load.m_unread + request.m_prompt_tokens)});
+  if (request.m_can_be_on_time) {
+    queue.m_granted_calls.push_back(
+        {request.m_read_deadline,
+         now + ReadingTime(queue,
+                           load.m_unread_tokens + request.m_prompt_tokens)});
   }
 }
 
 }  // namespace
 
-PlaceVerdict Ask(PlaceQueue& queue,
-                 const PlaceWish& request,
-                 const ReplicaLoad& load,
-                 TimePoint now) {
+SlotVerdict Ask(SlotQueue& queue,
+                const SlotRequest& request,
+                const ReplicaLoad& load,
+                TimePoint now) {
   DropExpired(queue, now);
   if (MayOvertake(queue, request, load, now) &&
       CanStart(queue, request, load, now)) {
     RecordGrant(queue, request, load, now);
-    return PlaceVerdict::kGranted;
+    return SlotVerdict::kGranted;
   }
   if (IsExpired(queue, request, now) ||
-      queue.m_wishes.size() >= kMaxQueuedRequests)
-    return PlaceVerdict::kDenied;
+      queue.m_slot_requests.size() >= kMaxQueuedRequests)
+    return SlotVerdict::kDenied;
   Withdraw(queue, request.m_entry, request.m_ticket);
-  queue.m_wishes.push_back(request);
-  return PlaceVerdict::kQueued;
+  queue.m_slot_requests.push_back(request);
+  return SlotVerdict::kQueued;
 }
 
-std::vector<PlaceWish> Grant(PlaceQueue& queue,
-                             ReplicaLoad load,
-                             TimePoint now) {
+std::vector<SlotRequest> Grant(SlotQueue& queue,
+                               ReplicaLoad load,
+                               TimePoint now) {
   DropExpired(queue, now);
-  std::vector<PlaceWish> granted;
+  std::vector<SlotRequest> granted;
   for (auto most_urgent = FindMostUrgent(queue);
-       most_urgent != queue.m_wishes.end() &&
+       most_urgent != queue.m_slot_requests.end() &&
        CanStart(queue, *most_urgent, load, now);
        most_urgent = FindMostUrgent(queue)) {
     RecordGrant(queue, *most_urgent, load, now);
     ++load.m_calls;
-    load.m_unread += most_urgent->m_prompt_tokens;
+    load.m_unread_tokens += most_urgent->m_prompt_tokens;
     granted.push_back(*most_urgent);
-    queue.m_wishes.erase(most_urgent);
+    queue.m_slot_requests.erase(most_urgent);
   }
   return granted;
 }
 
-void Withdraw(PlaceQueue& queue, const Endpoint& entry, uint64_t ticket) {
-  std::erase_if(queue.m_wishes, [&](const PlaceWish& request) {
+void Withdraw(SlotQueue& queue, const Endpoint& entry, uint64_t ticket) {
+  std::erase_if(queue.m_slot_requests, [&](const SlotRequest& request) {
     return request.m_entry == entry && request.m_ticket == ticket;
   });
 }
--- a/src/libverbenalead/decide/slot_queue_test.cc
+++ b/src/libverbenalead/decide/slot_queue_test.cc
@@ -12,22 +12,22 @@
 constexpr uint32_t kSlots = 4;
 constexpr double kPrefillRate = 1000;
 
-PlaceQueue MakeQueue() {
-  PlaceQueue queue;
+SlotQueue MakeQueue() {
+  SlotQueue queue;
   queue.m_slots = kSlots;
   queue.m_prefill_rate = kPrefillRate;
   return queue;
 }
 
-PlaceWish MakeRequest(uint64_t ticket,
-                      Duration read_within,
-                      bool fresh = true) {
-  PlaceWish request;
+SlotRequest MakeRequest(uint64_t ticket,
+                        Duration read_within,
+                        bool fresh = true) {
+  SlotRequest request;
   request.m_entry = Endpoint("10.0.0.1", 1);
   request.m_ticket = ticket;
   request.m_prompt_tokens = 10;
-  request.m_fresh = fresh;
-  request.m_read_by = kStart + read_within;
+  request.m_can_be_on_time = fresh;
+  request.m_read_deadline = kStart + read_within;
   request.m_until = kStart + 10s;
   return request;
 }
@@ -35,8 +35,8 @@
 const ReplicaLoad kFull = {kSlots, 0};
 const ReplicaLoad kOneFree = {kSlots - 1, 0};
 
-class PlaceQueueTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(PlaceQueueTest);
+class SlotQueueTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(SlotQueueTest);
   CPPUNIT_TEST(FreeSlotIsGrantedAtOnce);
   CPPUNIT_TEST(MostUrgentRequestIsNext);
   CPPUNIT_TEST(LateCallWaitsForOnTimeCalls);
@@ -49,18 +49,18 @@
 
  public:
   void FreeSlotIsGrantedAtOnce() {
-    PlaceQueue queue = MakeQueue();
+    SlotQueue queue = MakeQueue();
     CPPUNIT_ASSERT(Ask(queue, MakeRequest(1, 300ms), kOneFree, kStart) ==
-                   PlaceVerdict::kGranted);
-    CPPUNIT_ASSERT(queue.m_wishes.empty());
+                   SlotVerdict::kGranted);
+    CPPUNIT_ASSERT(queue.m_slot_requests.empty());
   }
 
   void MostUrgentRequestIsNext() {
-    PlaceQueue queue = MakeQueue();
+    SlotQueue queue = MakeQueue();
     for (const auto& [ticket, within] :
          {std::pair{1, 300ms}, std::pair{2, 100ms}, std::pair{3, 200ms}}) {
       CPPUNIT_ASSERT(Ask(queue, MakeRequest(ticket, within), kFull, kStart) ==
-                     PlaceVerdict::kQueued);
+                     SlotVerdict::kQueued);
     }
     const auto granted = Grant(queue, kOneFree, kStart);
     CPPUNIT_ASSERT_EQUAL(size_t{1}, granted.size());
@@ -72,11 +72,11 @@
   // free, while a call that could be on time waits at another entry and is
   // refused. The on-time call gets the slot, whichever asks first.
   void LateCallWaitsForOnTimeCalls() {
-    PlaceQueue queue = MakeQueue();
+    SlotQueue queue = MakeQueue();
     Ask(queue, MakeRequest(1, 0ms, false), kFull, kStart);
     Ask(queue, MakeRequest(2, 300ms), kFull, kStart);
     CPPUNIT_ASSERT(Ask(queue, MakeRequest(3, 0ms, false), kOneFree, kStart) ==
-                   PlaceVerdict::kQueued);
+                   SlotVerdict::kQueued);
     CPPUNIT_ASSERT_EQUAL(uint64_t{2},
                          Grant(queue, kOneFree, kStart).at(0).m_ticket);
     CPPUNIT_ASSERT_EQUAL(uint64_t{1},
@@ -87,12 +87,12 @@
   // prompts: it would be late and take the slot of a call that would not have
   // been.
   void NoCallIsPlacedBehindTooManyPrompts() {
-    PlaceQueue queue = MakeQueue();
+    SlotQueue queue = MakeQueue();
     const ReplicaLoad reading = {1, 150};
     CPPUNIT_ASSERT(Ask(queue, MakeRequest(1, 100ms), reading, kStart) ==
-                   PlaceVerdict::kQueued);
+                   SlotVerdict::kQueued);
     CPPUNIT_ASSERT(Ask(queue, MakeRequest(2, 300ms), reading, kStart) ==
-                   PlaceVerdict::kGranted);
+                   SlotVerdict::kGranted);
     CPPUNIT_ASSERT(Grant(queue, {1, 20}, kStart + 60ms).at(0).m_ticket == 1);
   }
 
@@ -101,35 +101,35 @@
   // and is read before any of the three writes. The long prompt must go
   // elsewhere, or wait until the three calls have begun.
   void LongPromptDoesNotDelayGrantedCalls() {
-    PlaceQueue queue = MakeQueue();
+    SlotQueue queue = MakeQueue();
     CPPUNIT_ASSERT(Ask(queue, MakeRequest(1, 100ms), {}, kStart) ==
-                   PlaceVerdict::kGranted);
-    PlaceWish long_prompt = MakeRequest(2, 400ms);
+                   SlotVerdict::kGranted);
+    SlotRequest long_prompt = MakeRequest(2, 400ms);
     long_prompt.m_prompt_tokens = 200;
     CPPUNIT_ASSERT(Ask(queue, long_prompt, {1, 10}, kStart + 1ms) ==
-                   PlaceVerdict::kQueued);
+                   SlotVerdict::kQueued);
     const auto granted = Grant(queue, {1, 0}, kStart + 11ms);
     CPPUNIT_ASSERT_EQUAL(size_t{1}, granted.size());
   }
 
   void UnmeetableRequestIsDeniedAtOnce() {
-    PlaceQueue queue = MakeQueue();
+    SlotQueue queue = MakeQueue();
     CPPUNIT_ASSERT(Ask(queue, MakeRequest(1, 5ms), kFull, kStart) ==
-                   PlaceVerdict::kDenied);
-    PlaceWish without_wait = MakeRequest(2, 300ms);
+                   SlotVerdict::kDenied);
+    SlotRequest without_wait = MakeRequest(2, 300ms);
     without_wait.m_until = kStart;
     CPPUNIT_ASSERT(Ask(queue, without_wait, kFull, kStart) ==
-                   PlaceVerdict::kDenied);
+                   SlotVerdict::kDenied);
     Ask(queue, MakeRequest(3, 100ms), kFull, kStart);
     CPPUNIT_ASSERT(Grant(queue, kOneFree, kStart + 100ms).empty());
-    CPPUNIT_ASSERT(queue.m_wishes.empty());
+    CPPUNIT_ASSERT(queue.m_slot_requests.empty());
   }
 
   void WithdrawnRequestGetsNoSlot() {
-    PlaceQueue queue = MakeQueue();
+    SlotQueue queue = MakeQueue();
     Ask(queue, MakeRequest(1, 300ms), kFull, kStart);
     Withdraw(queue, Endpoint("10.0.0.2", 1), 1);
-    CPPUNIT_ASSERT_EQUAL(size_t{1}, queue.m_wishes.size());
+    CPPUNIT_ASSERT_EQUAL(size_t{1}, queue.m_slot_requests.size());
     Withdraw(queue, Endpoint("10.0.0.1", 1), 1);
     CPPUNIT_ASSERT(Grant(queue, {}, kStart).empty());
   }
@@ -139,14 +139,14 @@
   // request is granted at most once.
   void AnySequenceKeepsTheLimits() {
     const bool held = rc::check("limits", [] {
-      PlaceQueue queue = MakeQueue();
+      SlotQueue queue = MakeQueue();
       ReplicaLoad load;
       TimePoint now = kStart;
       uint64_t ticket = 0;
       std::set<uint64_t> granted;
       const auto steps =
           *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 6));
-      const auto record_grant = [&](const PlaceWish& request) {
+      const auto record_grant = [&](const SlotRequest& request) {
         RC_ASSERT(granted.insert(request.m_ticket).second);
         ++load.m_calls;
         RC_ASSERT(load.m_calls <= kSlots);
@@ -154,20 +154,20 @@
       for (int step : steps) {
         now += 10ms;
         if (step <= 2) {
-          PlaceWish request =
+          SlotRequest request =
               MakeRequest(++ticket, now - kStart + 100ms, step != 0);
-          if (Ask(queue, request, load, now) == PlaceVerdict::kGranted)
+          if (Ask(queue, request, load, now) == SlotVerdict::kGranted)
             record_grant(request);
           else if (step == 1)
             Ask(queue, request, kFull, now);
         } else if (step == 3 && load.m_calls > 0) {
           --load.m_calls;
-          for (const PlaceWish& request : Grant(queue, load, now))
+          for (const SlotRequest& request : Grant(queue, load, now))
             record_grant(request);
         } else if (step == 4 && ticket > 0) {
           Withdraw(queue, Endpoint("10.0.0.1", 1), ticket);
         }
-        for (const PlaceWish& request : queue.m_wishes)
+        for (const SlotRequest& request : queue.m_slot_requests)
           RC_ASSERT(!granted.contains(request.m_ticket));
       }
     });
@@ -175,7 +175,7 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(PlaceQueueTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(SlotQueueTest);
 
 }  // namespace
 }  // namespace verbenalead::decide
--- a/src/libverbenalead/decide/staging_area.h
+++ b/src/libverbenalead/decide/staging_area.h
@@ -18,7 +18,7 @@
 /// From this share on, the transfer of a version is completed before a newer
 /// one replaces it: the other chunks come from other hosts, even if the origin
 /// is unavailable.
-constexpr double kShareToEnd = 0.4;
+constexpr double kMinShareToFinish = 0.4;
 
 /// Whether chunks of `wanted` may overwrite those of `present` in the staging
 /// area of an engine that has `loaded`. The area holds one chunk for each chunk
@@ -29,13 +29,13 @@
 /// unavailable. Symptom: neither version is complete on any host, and no
 /// replica may be used once the older one becomes binding. Therefore a version
 /// that is not loaded yet is only overwritten by a complete one, or while less
-/// than kShareToEnd of it is present. Until then the chunks of the newer
+/// than kMinShareToFinish of it is present. Until then the chunks of the newer
 /// version wait in memory.
-inline bool MayStage(const StagedVersion& present,
-                     const StagedVersion& wanted,
-                     uint64_t loaded) {
+inline bool MayOverwriteStaged(const StagedVersion& present,
+                               const StagedVersion& wanted,
+                               uint64_t loaded) {
   const bool keep_present =
-      present.m_version > loaded && present.m_share >= kShareToEnd;
+      present.m_version > loaded && present.m_share >= kMinShareToFinish;
   return present.m_version == wanted.m_version || !keep_present ||
          wanted.m_share >= 1;
 }
--- a/src/libverbenalead/decide/staging_area_test.cc
+++ b/src/libverbenalead/decide/staging_area_test.cc
@@ -14,22 +14,22 @@
 
  public:
   void LoadedVersionIsOverwritten() {
-    CPPUNIT_ASSERT(MayStage({1, 1}, {2, 0}, 1));
-    CPPUNIT_ASSERT(MayStage({0, 0}, {1, 0}, 0));
+    CPPUNIT_ASSERT(MayOverwriteStaged({1, 1}, {2, 0}, 1));
+    CPPUNIT_ASSERT(MayOverwriteStaged({0, 0}, {1, 0}, 0));
   }
 
   // Guards against callers finding no replica: version 2 is complete and waits
   // to be loaded, the first chunks of version 3 overwrite it, and then the
   // origin becomes unavailable. Only a complete version may overwrite it.
   void VersionAwaitingLoadIsKept() {
-    CPPUNIT_ASSERT(!MayStage({2, 1}, {3, 0.9}, 1));
-    CPPUNIT_ASSERT(!MayStage({2, 0.5}, {3, 0.9}, 1));
-    CPPUNIT_ASSERT(MayStage({2, 1}, {3, 1}, 1));
-    CPPUNIT_ASSERT(MayStage({2, 1}, {2, 1}, 1));
+    CPPUNIT_ASSERT(!MayOverwriteStaged({2, 1}, {3, 0.9}, 1));
+    CPPUNIT_ASSERT(!MayOverwriteStaged({2, 0.5}, {3, 0.9}, 1));
+    CPPUNIT_ASSERT(MayOverwriteStaged({2, 1}, {3, 1}, 1));
+    CPPUNIT_ASSERT(MayOverwriteStaged({2, 1}, {2, 1}, 1));
   }
 
   void SmallPartOfVersionIsOverwritten() {
-    CPPUNIT_ASSERT(MayStage({2, 0.1}, {3, 0}, 1));
+    CPPUNIT_ASSERT(MayOverwriteStaged({2, 0.1}, {3, 0}, 1));
   }
 };
 
--- a/src/libverbenalead/decide/summary_route.cc
+++ b/src/libverbenalead/decide/summary_route.cc
@@ -13,9 +13,9 @@
 
 }  // namespace
 
-bool SendsSummary(const std::string& host,
-                  const std::string& data_center,
-                  const std::vector<SummaryPeer>& peers) {
+bool IsSummarySender(const std::string& host,
+                     const std::string& data_center,
+                     const std::vector<SummaryPeer>& peers) {
   return std::none_of(peers.begin(), peers.end(), [&](const SummaryPeer& peer) {
     return peer.m_heard && peer.m_ready && peer.m_data_center == data_center &&
            peer.m_host < host;
--- a/src/libverbenalead/decide/summary_route.h
+++ b/src/libverbenalead/decide/summary_route.h
@@ -36,9 +36,9 @@
 /// sent updates recently. Two entries that do not receive each other's updates
 /// both send, which does no harm. If the sender dies, the next entry takes over
 /// once the updates of the sender have stopped for long enough.
-bool SendsSummary(const std::string& host,
-                  const std::string& data_center,
-                  const std::vector<SummaryPeer>& peers);
+bool IsSummarySender(const std::string& host,
+                     const std::string& data_center,
+                     const std::vector<SummaryPeer>& peers);
 
 /// The recipients of the summary of `data_center`: three entries of each other
 /// data centre, drawn at random each time, so that no entry has to detect which
@@ -54,13 +54,13 @@
 /// Shorter interval, used when replicas have begun or finished a load. While 30
 /// replicas load within four seconds, all changes of one interval are sent
 /// together.
-constexpr Duration kChangedSummaryInterval = 250ms;
+constexpr Duration kLoadChangeSummaryInterval = 250ms;
 
 /// Whether a summary is due. `changed`: a replica has begun or finished a load
 /// since the last one was sent.
 inline bool IsSummaryDue(TimePoint sent_at, bool changed, TimePoint now) {
   return now - sent_at >=
-         (changed ? kChangedSummaryInterval : kSummaryInterval);
+         (changed ? kLoadChangeSummaryInterval : kSummaryInterval);
 }
 
 }  // namespace verbenalead::decide
--- a/src/libverbenalead/decide/summary_route_test.cc
+++ b/src/libverbenalead/decide/summary_route_test.cc
@@ -33,7 +33,7 @@
     for (auto& [host, entry] : m_entries) {
       for (const auto& [other, ignored] : m_entries) {
         entry.m_ready[other] = true;
-        entry.m_heard_at[other] = m_now;
+        entry.m_last_seen_at[other] = m_now;
       }
       for (int center = 0; center < data_centers; ++center)
         entry.m_summary_at[std::to_string(center)] = m_now;
@@ -78,7 +78,7 @@
     std::string m_data_center;
     bool m_dead = false;
     TimePoint m_sent_at{};
-    std::map<std::string, TimePoint> m_heard_at;
+    std::map<std::string, TimePoint> m_last_seen_at;
     std::map<std::string, bool> m_ready;
     std::map<std::string, TimePoint> m_summary_at;
   };
@@ -100,7 +100,7 @@
       for (const auto& [other, other_entry] : m_entries) {
         if (!other_entry.m_dead &&
             other_entry.m_data_center == entry.m_data_center)
-          entry.m_heard_at[other] = m_now;
+          entry.m_last_seen_at[other] = m_now;
       }
     }
   }
@@ -108,7 +108,7 @@
   bool IsHeard(const Entry& entry, const std::string& other) const {
     const bool same_data_center =
         m_entries.at(other).m_data_center == entry.m_data_center;
-    return m_now - entry.m_heard_at.at(other) <
+    return m_now - entry.m_last_seen_at.at(other) <
            (same_data_center ? kLocalPeerTimeout : kRemotePeerTimeout);
   }
 
@@ -126,7 +126,7 @@
 
   void Tell(const std::string& host, Entry& entry) {
     const std::vector<SummaryPeer> peers = PeersOf(host, entry);
-    if (!SendsSummary(host, entry.m_data_center, peers) ||
+    if (!IsSummarySender(host, entry.m_data_center, peers) ||
         !IsSummaryDue(entry.m_sent_at, false, m_now))
       return;
     entry.m_sent_at = m_now;
@@ -158,7 +158,7 @@
           entry.m_ready[other] = listed.contains(other);
       }
       for (const std::string& other : listed)
-        entry.m_heard_at[other] = m_now;
+        entry.m_last_seen_at[other] = m_now;
     }
   }
 
@@ -194,11 +194,11 @@
   void FirstReadyEntrySends() {
     std::vector<SummaryPeer> peers = {{"a1", "a", true, true},
                                       {"b1", "b", true, true}};
-    CPPUNIT_ASSERT(!SendsSummary("a2", "a", peers));
+    CPPUNIT_ASSERT(!IsSummarySender("a2", "a", peers));
     peers[0].m_ready = false;
-    CPPUNIT_ASSERT(SendsSummary("a2", "a", peers));
+    CPPUNIT_ASSERT(IsSummarySender("a2", "a", peers));
     peers[0] = {"a1", "a", false, true};
-    CPPUNIT_ASSERT(SendsSummary("a2", "a", peers));
+    CPPUNIT_ASSERT(IsSummarySender("a2", "a", peers));
   }
 
   void EachOtherDataCenterHasRecipients() {
--- a/src/libverbenalead/decide/target_health.cc
+++ b/src/libverbenalead/decide/target_health.cc
@@ -16,10 +16,10 @@
 /// Reinstates or ejects the target by the result of a single probe: there is no
 /// other sample, as a probe is the only call at its target.
 bool ObserveProbe(TargetHealth& health,
-                  AttemptSign sign,
+                  HealthSample sign,
                   double slowness,
                   TimePoint now) {
-  if (sign != AttemptSign::kGood || slowness > kSlowFactor) {
+  if (sign != HealthSample::kGood || slowness > kSlowEjectionFactor) {
     Eject(health, now);
     return true;
   }
@@ -32,14 +32,14 @@
 void Eject(TargetHealth& health, TimePoint now) {
   const uint32_t doublings = std::min<uint32_t>(health.m_ejections, 5);
   const Duration length =
-      std::min<Duration>(kFirstEjection * (1 << doublings), kLongestEjection);
+      std::min<Duration>(kFirstEjection * (1 << doublings), kMaxEjection);
   health.m_ejected = true;
   health.m_ejected_until = now + length;
   ++health.m_ejections;
 }
 
 bool Observe(TargetHealth& health,
-             AttemptSign sign,
+             HealthSample sign,
              double slowness,
              TimePoint now) {
   if (health.m_ejected) {
@@ -48,7 +48,7 @@
       return false;
     return ObserveProbe(health, sign, slowness, now);
   }
-  const double failed = sign == AttemptSign::kGood ? 0 : 1;
+  const double failed = sign == HealthSample::kGood ? 0 : 1;
   health.m_failures += kHealthDecay * (failed - health.m_failures);
   if (slowness > 0) {
     health.m_slowness += kHealthDecay * (slowness - health.m_slowness);
@@ -56,14 +56,15 @@
   }
   // One broken connection is enough for an ejection: its usual cause is the
   // failure of the host.
-  const bool bad =
-      sign == AttemptSign::kBroken || health.m_failures > kFailingShare ||
-      (health.m_samples >= kLeastSamples && health.m_slowness > kSlowFactor);
+  const bool bad = sign == HealthSample::kBroken ||
+                   health.m_failures > kFailureEjectionShare ||
+                   (health.m_samples >= kMinSlownessSamples &&
+                    health.m_slowness > kSlowEjectionFactor);
   if (bad) {
     Eject(health, now);
     return true;
   }
-  if (health.m_samples >= 4 * kLeastSamples)
+  if (health.m_samples >= 4 * kMinSlownessSamples)
     health.m_ejections = 0;
   return false;
 }
--- a/src/libverbenalead/decide/target_health.h
+++ b/src/libverbenalead/decide/target_health.h
@@ -35,23 +35,23 @@
 /// A target is ejected when it is more than this many times slower than the
 /// pool: waiting for another target then costs less. A factor of two also
 /// occurs by chance and with long prompts.
-constexpr double kSlowFactor = 3;
-constexpr uint32_t kLeastSamples = 3;
-constexpr double kFailingShare = 0.5;
+constexpr double kSlowEjectionFactor = 3;
+constexpr uint32_t kMinSlownessSamples = 3;
+constexpr double kFailureEjectionShare = 0.5;
 /// Length of the first ejection, doubled for each further one up to
-/// kLongestEjection. A host that restarts is used again soon; a host that stays
+/// kMaxEjection. A host that restarts is used again soon; a host that stays
 /// broken costs one probe in half a minute.
 constexpr Duration kFirstEjection = 1s;
-constexpr Duration kLongestEjection = std::chrono::seconds(32);
+constexpr Duration kMaxEjection = std::chrono::seconds(32);
 
-enum class AttemptSign { kGood, kFailed, kBroken };
+enum class HealthSample { kGood, kFailed, kBroken };
 
 void Eject(TargetHealth& health, TimePoint now);
 /// Records the end of an attempt. `slowness` is the ratio of its duration to
 /// the duration expected from the mean of the pool, 0 if that is unknown.
 /// Returns whether the target was ejected.
 bool Observe(TargetHealth& health,
-             AttemptSign sign,
+             HealthSample sign,
              double slowness,
              TimePoint now);
 
--- a/src/libverbenalead/decide/target_selection.cc
+++ b/src/libverbenalead/decide/target_selection.cc
@@ -23,7 +23,7 @@
 bool IsServing(const TargetView& target, TimePoint now) {
   return target.m_report.m_open && !target.m_report.m_leaving &&
          target.m_report.m_capacity > 0 &&
-         now - target.m_reported_at <= kReportStale;
+         now - target.m_reported_at <= kMaxReportAge;
 }
 
 bool IsUsable(const TargetView& target, TimePoint now) {
@@ -49,7 +49,7 @@
   double m_decay_per_ns = 0;
 };
 
-PoolMean MeanOf(const PlaceState& state, TimePoint now) {
+PoolMean MeanOf(const TargetSelectionState& state, TimePoint now) {
   PoolMean mean;
   for (const TargetView& target : state.m_targets) {
     if (!IsUsable(target, now))
@@ -66,7 +66,7 @@
   const double seconds =
       state.m_mean_seconds > 0
           ? state.m_mean_seconds
-          : std::chrono::duration<double>(kLoadFades).count();
+          : std::chrono::duration<double>(kDefaultLoadDecayTime).count();
   mean.m_decay_per_ns = 1 / (seconds * 1e9);
   return mean;
 }
@@ -79,7 +79,7 @@
 double RunningNow(const TargetView& target,
                   const PoolMean& mean,
                   TimePoint now) {
-  const auto age = static_cast<double>((now - target.m_others_at).count());
+  const auto age = static_cast<double>((now - target.m_others_seen_at).count());
   const double weight = 1 / (1 + age * mean.m_decay_per_ns);
   return target.m_in_flight + mean.m_others +
          (target.m_others - mean.m_others) * weight;
@@ -99,13 +99,13 @@
 
 /// Whether `target` may be chosen for a prefix. A call may always raise the
 /// work of a target to the mean plus the call itself: with few calls,
-/// kWorkBound alone would exclude every target.
+/// kMaxWorkOverMean alone would exclude every target.
 bool WithinBounds(const TargetView& target,
                   const PoolMean& mean,
                   double units) {
   return target.m_work + units <=
-             std::max(kWorkBound * mean.m_work, mean.m_work + units) &&
-         target.m_in_flight < mean.m_own + kOwnBound;
+             std::max(kMaxWorkOverMean * mean.m_work, mean.m_work + units) &&
+         target.m_in_flight < mean.m_own + kMaxOwnAttemptsOverMean;
 }
 
 Placement MakePlacement(const TargetView& target, const char* reason) {
@@ -127,13 +127,13 @@
 /// communication between entries. When one of these targets is full, all
 /// entries overflow to the same next one, and a popular prefix spreads to as
 /// few targets as necessary.
-const TargetView* ChooseByPrefix(const PlaceState& state,
+const TargetView* ChooseByPrefix(const TargetSelectionState& state,
                                  const PoolMean& mean,
                                  const model::Call& call,
                                  const std::set<std::string>& tried,
                                  TimePoint now) {
-  const double units = UnitsOf(call);
-  const auto* holders = HoldersOf(state.m_prefixes, call.prefix());
+  const double units = WorkUnits(call);
+  const auto* holders = FindHolders(state.m_prefixes, call.prefix());
   const TargetView* best = nullptr;
   std::pair<bool, uint64_t> best_rank;
   for (const TargetView& target : state.m_targets) {
@@ -151,7 +151,7 @@
 }
 
 /// The least loaded target; random among almost equally loaded ones.
-const TargetView* ChooseByLoad(const PlaceState& state,
+const TargetView* ChooseByLoad(const TargetSelectionState& state,
                                const PoolMean& mean,
                                const std::set<std::string>& tried,
                                TimePoint now,
@@ -179,7 +179,7 @@
 /// How many calls may already run at the target when `call` arrives. The limit
 /// is derived from the mean over the pool, which is less outdated than the
 /// report of a single target: it changes only with the load of the whole pool.
-uint32_t MaxRunning(const PlaceState& state,
+uint32_t MaxRunning(const TargetSelectionState& state,
                     const PoolMean& mean,
                     const model::Call& call,
                     const std::set<std::string>& tried,
@@ -189,8 +189,8 @@
     return UINT32_MAX;
   const auto running = std::max(
       static_cast<uint32_t>(mean.m_own + mean.m_others), kMinMaxRunning);
-  const double units = UnitsOf(call);
-  const bool is_long = units > kLongFactor * state.m_mean_units;
+  const double units = WorkUnits(call);
+  const bool is_long = units > kLongCallFactor * state.m_mean_units;
   const double expected = units * SecondsPerUnit(state.m_service);
   const double wait_limit = expected * kPatience;
   const bool last_attempt = is_long || tried.size() + 1 >= kMaxAttempts;
@@ -199,13 +199,13 @@
     return UINT32_MAX;
   if (!is_long)
     return running;
-  return std::max(running, kLongMargin + kMinMaxRunning) - kLongMargin;
+  return std::max(running, kLongCallMargin + kMinMaxRunning) - kLongCallMargin;
 }
 
 /// The target to probe with `call`, or nullptr. A probe may be delayed by a
 /// slow target or may have to be retried, so calls that are urgent or not
 /// idempotent are not used as probes.
-const TargetView* ChooseProbeTarget(const PlaceState& state,
+const TargetView* ChooseProbeTarget(const TargetSelectionState& state,
                                     const model::Call& call,
                                     const std::set<std::string>& tried,
                                     TimePoint now) {
@@ -221,8 +221,8 @@
 /// The idle target whose ejection ends first, for use when all targets are
 /// ejected. The cause is then probably on the side of this entry, such as a
 /// failed link; without this choice, no call would run until an ejection ends,
-/// which may take kLongestEjection.
-const TargetView* ChooseEjected(const PlaceState& state,
+/// which may take kMaxEjection.
+const TargetView* ChooseEjected(const TargetSelectionState& state,
                                 const std::set<std::string>& tried,
                                 TimePoint now) {
   const TargetView* best = nullptr;
@@ -239,7 +239,7 @@
 }
 
 /// Whether any serving target is not ejected.
-bool AnyInRotation(const PlaceState& state, TimePoint now) {
+bool AnyInRotation(const TargetSelectionState& state, TimePoint now) {
   return std::any_of(state.m_targets.begin(), state.m_targets.end(),
                      [&](const TargetView& target) {
                        return IsServing(target, now) &&
@@ -250,26 +250,26 @@
 void SetObservedLoad(TargetView& target, uint32_t running, TimePoint now) {
   target.m_others =
       running > target.m_in_flight ? running - target.m_in_flight : 0;
-  target.m_others_at = now;
+  target.m_others_seen_at = now;
 }
 
-TargetView* Find(PlaceState& state, const std::string& name) {
+TargetView* Find(TargetSelectionState& state, const std::string& name) {
   auto found = state.m_index.find(name);
   return found == state.m_index.end() ? nullptr
                                       : &state.m_targets[found->second];
 }
 
-void HalveWork(PlaceState& state, TimePoint now) {
-  if (now - state.m_halved_at < kHalveWorkEvery)
+void HalveWork(TargetSelectionState& state, TimePoint now) {
+  if (now - state.m_work_halved_at < kWorkHalvingInterval)
     return;
-  state.m_halved_at = now;
+  state.m_work_halved_at = now;
   for (TargetView& target : state.m_targets)
     target.m_work /= 2;
 }
 
 }  // namespace
 
-void Report(PlaceState& state,
+void Report(TargetSelectionState& state,
             const model::TargetReport& report,
             TimePoint now) {
   auto [at, added] =
@@ -289,13 +289,13 @@
   target.m_reported_at = now;
   SetObservedLoad(target, report.m_running, now);
   if (!same) {
-    ForgetTarget(state.m_prefixes, target.m_hash);
+    RemoveTargetPrefixes(state.m_prefixes, target.m_hash);
     target.m_health = {};
     target.m_full_until = {};
   }
 }
 
-void RemoveTarget(PlaceState& state, const std::string& name) {
+void RemoveTarget(TargetSelectionState& state, const std::string& name) {
   auto found = state.m_index.find(name);
   if (found == state.m_index.end())
     return;
@@ -308,7 +308,7 @@
   state.m_targets.pop_back();
 }
 
-std::optional<Placement> Place(const PlaceState& state,
+std::optional<Placement> Place(const TargetSelectionState& state,
                                const model::Call& call,
                                const std::set<std::string>& tried,
                                Duration waited,
@@ -335,7 +335,7 @@
   return std::nullopt;
 }
 
-void AttemptSent(PlaceState& state,
+void AttemptSent(TargetSelectionState& state,
                  const std::string& name,
                  const model::Call& call,
                  TimePoint now) {
@@ -344,15 +344,15 @@
   if (target == nullptr)
     return;
   ++target->m_in_flight;
-  target->m_work += UnitsOf(call);
+  target->m_work += WorkUnits(call);
   if (call.prefix() != 0)
-    NotePrefix(state.m_prefixes, call.prefix(), target->m_hash, now);
+    RecordPrefix(state.m_prefixes, call.prefix(), target->m_hash, now);
 }
 
-void AttemptEnded(PlaceState& state,
+void AttemptEnded(TargetSelectionState& state,
                   const std::string& name,
                   const model::Call& call,
-                  TargetSign sign,
+                  TargetFeedback sign,
                   Duration elapsed,
                   TimePoint now) {
   TargetView* target = Find(state, name);
@@ -360,23 +360,24 @@
     return;
   if (target->m_in_flight > 0)
     --target->m_in_flight;
-  const double units = UnitsOf(call);
-  if (sign == TargetSign::kFull || sign == TargetSign::kBusier ||
-      sign == TargetSign::kRefused) {
-    if (sign != TargetSign::kBusier)
-      target->m_full_until = now + kFullPause;
+  const double units = WorkUnits(call);
+  if (sign == TargetFeedback::kFull ||
+      sign == TargetFeedback::kAboveMaxRunning ||
+      sign == TargetFeedback::kRefused) {
+    if (sign != TargetFeedback::kAboveMaxRunning)
+      target->m_full_until = now + kFullTargetPause;
     target->m_work = std::max(0.0, target->m_work - units);
     return;
   }
   const double seconds = std::chrono::duration<double>(elapsed).count();
   const double expected_seconds = SecondsPerUnit(state.m_service) * units;
-  const bool good = sign == TargetSign::kGood;
+  const bool good = sign == TargetFeedback::kGood;
   const double slowness =
       good && expected_seconds > 0 ? seconds / expected_seconds : 0;
-  const AttemptSign answer = good ? AttemptSign::kGood
-                             : sign == TargetSign::kFailed
-                                 ? AttemptSign::kFailed
-                                 : AttemptSign::kBroken;
+  const HealthSample answer = good ? HealthSample::kGood
+                              : sign == TargetFeedback::kFailed
+                                  ? HealthSample::kFailed
+                                  : HealthSample::kBroken;
   Observe(target->m_health, answer, slowness, now);
   if (!good)
     return;
@@ -389,31 +390,31 @@
   state.m_mean_units += kMeanDecay * (units - state.m_mean_units);
 }
 
-void LoadSeen(PlaceState& state,
-              const std::string& name,
-              uint32_t running,
-              TimePoint now) {
+void LoadObserved(TargetSelectionState& state,
+                  const std::string& name,
+                  uint32_t running,
+                  TimePoint now) {
   if (TargetView* target = Find(state, name))
     SetObservedLoad(*target, running, now);
 }
 
-void PrefixCached(PlaceState& state,
+void PrefixCached(TargetSelectionState& state,
                   const std::string& name,
                   uint64_t prefix,
                   TimePoint when) {
   if (TargetView* target = Find(state, name))
-    NotePrefix(state.m_prefixes, prefix, target->m_hash, when);
+    RecordPrefix(state.m_prefixes, prefix, target->m_hash, when);
 }
 
-void PrefixEvicted(PlaceState& state,
+void PrefixEvicted(TargetSelectionState& state,
                    const std::string& name,
                    uint64_t prefix,
                    TimePoint when) {
   if (TargetView* target = Find(state, name))
-    NoteEviction(state.m_prefixes, prefix, target->m_hash, when);
+    RecordEviction(state.m_prefixes, prefix, target->m_hash, when);
 }
 
-uint32_t UsableCapacity(const PlaceState& state, TimePoint now) {
+uint32_t UsableCapacity(const TargetSelectionState& state, TimePoint now) {
   uint32_t capacity = 0;
   uint32_t ejected = 0;
   for (const TargetView& target : state.m_targets) {
--- a/src/libverbenalead/decide/target_watch.cc
+++ b/src/libverbenalead/decide/target_watch.cc
@@ -11,7 +11,8 @@
   return MixHash(target, MixHash(entry, 0));
 }
 
-/// Whether fewer than kReporters entries rank above this one for `target`.
+/// Whether fewer than kReportersPerTarget entries rank above this one for
+/// `target`.
 bool IsReporter(const std::string& self,
                 const std::vector<std::string>& entries,
                 const std::string& target) {
@@ -19,14 +20,14 @@
   size_t above = 0;
   for (const std::string& entry : entries) {
     if (entry != self && PairHash(entry, target) > own_hash &&
-        ++above == kReporters)
+        ++above == kReportersPerTarget)
       return false;
   }
   return true;
 }
 
 /// Sorts targets of the own region first, then by hash.
-void Rank(const MembersState& state, std::vector<RankedTarget>& targets) {
+void Rank(const TargetWatchState& state, std::vector<RankedTarget>& targets) {
   std::map<std::string, uint64_t> hashes;
   for (const RankedTarget& target : targets)
     hashes[target.m_host.name()] = PairHash(state.m_self, target.m_host.name());
@@ -42,7 +43,7 @@
 
 }  // namespace
 
-void SetHosts(MembersState& state, const std::vector<model::Host>& hosts) {
+void SetHosts(TargetWatchState& state, const std::vector<model::Host>& hosts) {
   std::vector<std::string> entries;
   for (const model::Host& host : hosts) {
     if (host.role() == model::HostRole::kEntry)
@@ -63,13 +64,17 @@
                 [&](const auto& item) { return !names.contains(item.first); });
 }
 
-void Heard(MembersState& state, const std::string& name, TimePoint now) {
+void RecordAnswer(TargetWatchState& state,
+                  const std::string& name,
+                  TimePoint now) {
   state.m_heard[name] = now;
 }
 
-std::vector<model::Host> Watched(MembersState& state, TimePoint now) {
+std::vector<model::Host> TargetsToWatch(TargetWatchState& state,
+                                        TimePoint now) {
   const size_t pools = std::max<size_t>(state.m_pools.size(), 1);
-  const size_t per_pool = std::max(kLeastPerPool, kWatchedPerEntry / pools);
+  const size_t per_pool =
+      std::max(kMinTargetsPerPool, kTargetsPerEntry / pools);
   std::vector<model::Host> watched;
   for (const auto& [pool, targets] : state.m_pools) {
     size_t alive = 0;
@@ -81,7 +86,7 @@
           state.m_heard.try_emplace(target.name(), now).first->second;
       // A silent or leaving target stays watched, in case it returns, but does
       // not count, so that another one is watched in addition.
-      if (now - last_seen < kSilentAfter && !target.leaving())
+      if (now - last_seen < kTargetTimeout && !target.leaving())
         ++alive;
     }
   }
--- a/src/libverbenalead/decide/target_watch_test.cc
+++ b/src/libverbenalead/decide/target_watch_test.cc
@@ -24,17 +24,17 @@
   return hosts;
 }
 
-MembersState StateOf(const model::Host& entry,
-                     const std::vector<model::Host>& hosts) {
-  MembersState state;
+TargetWatchState StateOf(const model::Host& entry,
+                         const std::vector<model::Host>& hosts) {
+  TargetWatchState state;
   state.m_self = entry.name();
   state.m_region = entry.region();
   SetHosts(state, hosts);
   return state;
 }
 
-class MembersTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(MembersTest);
+class TargetWatchTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(TargetWatchTest);
   CPPUNIT_TEST(SmallFleetIsWatchedWhole);
   CPPUNIT_TEST(TargetsStayWatchedAfterEntryLosses);
   CPPUNIT_TEST(SilentTargetsAreReplaced);
@@ -43,8 +43,8 @@
  public:
   void SmallFleetIsWatchedWhole() {
     const auto hosts = Fleet(8, 24);
-    MembersState state = StateOf(hosts[0], hosts);
-    CPPUNIT_ASSERT_EQUAL(size_t{24}, Watched(state, TimePoint()).size());
+    TargetWatchState state = StateOf(hosts[0], hosts);
+    CPPUNIT_ASSERT_EQUAL(size_t{24}, TargetsToWatch(state, TimePoint()).size());
   }
 
   // Guards against calls refused with "no target", and against idle targets,
@@ -55,9 +55,9 @@
     const auto hosts = Fleet(630, 1700);
     std::map<std::string, size_t> watchers;
     for (size_t i = 0; i < 630; ++i) {
-      MembersState state = StateOf(hosts[i], hosts);
-      const auto watched = Watched(state, TimePoint());
-      CPPUNIT_ASSERT(watched.size() <= kWatchedPerEntry + 32);
+      TargetWatchState state = StateOf(hosts[i], hosts);
+      const auto watched = TargetsToWatch(state, TimePoint());
+      CPPUNIT_ASSERT(watched.size() <= kTargetsPerEntry + 32);
       std::map<std::string, size_t> same_region;
       for (const model::Host& target : watched) {
         watchers[target.name()] += i % 10 != 0;
@@ -65,7 +65,7 @@
       }
       CPPUNIT_ASSERT_EQUAL(kPools, same_region.size());
       for (const auto& [pool, count] : same_region)
-        CPPUNIT_ASSERT(count >= kLeastPerPool);
+        CPPUNIT_ASSERT(count >= kMinTargetsPerPool);
     }
     CPPUNIT_ASSERT_EQUAL(size_t{1700}, watchers.size());
     for (const auto& [name, count] : watchers)
@@ -73,30 +73,30 @@
   }
 
   // Half of the targets of an entry die without notice, as with a lost switch,
-  // and stay in the host list. After kSilentAfter, as many others must be
+  // and stay in the host list. After kTargetTimeout, as many others must be
   // watched.
   void SilentTargetsAreReplaced() {
     const auto hosts = Fleet(630, 1700);
-    MembersState state = StateOf(hosts[0], hosts);
+    TargetWatchState state = StateOf(hosts[0], hosts);
     const TimePoint start{};
-    const auto before = Watched(state, start);
-    const TimePoint later = start + kSilentAfter + 1s;
+    const auto before = TargetsToWatch(state, start);
+    const TimePoint later = start + kTargetTimeout + 1s;
     std::set<std::string> dead;
     for (size_t i = 0; i < before.size(); ++i) {
       if (i % 2 == 0)
         dead.insert(before[i].name());
       else
-        Heard(state, before[i].name(), later);
+        RecordAnswer(state, before[i].name(), later);
     }
     std::map<std::string, size_t> alive;
-    for (const model::Host& target : Watched(state, later))
+    for (const model::Host& target : TargetsToWatch(state, later))
       alive[target.pool()] += !dead.contains(target.name());
     for (const auto& [pool, count] : alive)
-      CPPUNIT_ASSERT(count >= kLeastPerPool);
+      CPPUNIT_ASSERT(count >= kMinTargetsPerPool);
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(MembersTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(TargetWatchTest);
 
 }  // namespace
 }  // namespace verbenalead::decide
--- a/src/libverbenalead/decide/transfer.cc
+++ b/src/libverbenalead/decide/transfer.cc
@@ -60,7 +60,7 @@
   for (size_t i = 0; i < state.m_neighbours.size(); ++i) {
     const Neighbour& neighbour = state.m_neighbours[i];
     if (!neighbour.m_name.empty() && neighbour.m_fetching < per_host &&
-        now >= neighbour.m_shunned_until)
+        now >= neighbour.m_fetch_backoff_until)
       mask |= uint64_t{1} << i;
   }
   return mask;
@@ -131,8 +131,9 @@
                      TimePoint now,
                      std::mt19937_64& random,
                      TransferActions& actions) {
-  while (!state.m_imports.empty() && state.m_imports.begin()->first <= now) {
-    const auto [at, chunk] = *state.m_imports.begin();
+  while (!state.m_import_schedule.empty() &&
+         state.m_import_schedule.begin()->first <= now) {
+    const auto [at, chunk] = *state.m_import_schedule.begin();
     const uint64_t sources =
         state.m_chunks[chunk].m_holders & AvailableNeighbours(state, now);
     if (sources != 0) {
@@ -141,7 +142,7 @@
                  actions);
       continue;
     }
-    PostponeImport(state, chunk, now + kImportRetry);
+    DeferImport(state, chunk, now + kImportRetry);
   }
 }
 
@@ -166,7 +167,8 @@
 bool HasNeighbourRoom(const TransferState& state, Distance distance) {
   const TransferLimits& limits = state.m_limits;
   const uint32_t most[] = {limits.m_data_center_neighbours,
-                           limits.m_region_neighbours, limits.m_far_neighbours};
+                           limits.m_region_neighbours,
+                           limits.m_remote_neighbours};
   const auto count = std::count_if(
       state.m_neighbours.begin(), state.m_neighbours.end(),
       [distance](const TransferNeighbour& each) {
@@ -186,7 +188,7 @@
 void BackOffFrom(Neighbour& neighbour, TimePoint now) {
   const uint32_t doublings = std::min<uint32_t>(neighbour.m_failures, 5);
   ++neighbour.m_failures;
-  neighbour.m_shunned_until =
+  neighbour.m_fetch_backoff_until =
       now +
       std::min<Duration>(kMaxBackoff, kBackoffAfterFailure * (1 << doublings));
 }
@@ -198,7 +200,8 @@
   const std::string name = state.m_neighbours[index].m_name;
   const Distance distance = state.m_neighbours[index].m_distance;
   RemoveNeighbour(state, index, now);
-  if (const auto* candidate = SpareNeighbour(state, distance, name, random))
+  if (const auto* candidate =
+          RandomUnfollowedMember(state, distance, name, random))
     AddNeighbour(state, *candidate);
 }
 
@@ -222,10 +225,10 @@
   if (!index)
     return;
   Neighbour& neighbour = state.m_neighbours[*index];
-  neighbour.m_bad.insert(chunk);
-  if (neighbour.m_bad.size() % kMaxBadChunks == 0)
-    neighbour.m_shunned_until = now + kBackoffAfterBadChunks;
-  SetHolder(state, chunk, *index, false, now);
+  neighbour.m_bad_chunks.insert(chunk);
+  if (neighbour.m_bad_chunks.size() % kMaxBadChunks == 0)
+    neighbour.m_fetch_backoff_until = now + kBackoffAfterBadChunks;
+  SetHasChunk(state, chunk, *index, false, now);
 }
 
 /// Follows further members up to the limits. In a small fleet a neighbour that
@@ -237,9 +240,10 @@
     return;
   state.m_next_refill = now + kRefillInterval;
   for (Distance distance :
-       {Distance::kDataCenter, Distance::kRegion, Distance::kFar}) {
+       {Distance::kDataCenter, Distance::kRegion, Distance::kRemote}) {
     while (HasNeighbourRoom(state, distance)) {
-      const auto* candidate = SpareNeighbour(state, distance, "", random);
+      const auto* candidate =
+          RandomUnfollowedMember(state, distance, "", random);
       if (candidate == nullptr)
         break;
       AddNeighbour(state, *candidate);
@@ -284,14 +288,14 @@
   state.m_chunks.resize(chunk_count);
   state.m_rarest = ChunkBuckets(chunk_count);
   for (uint32_t i = 0; i < chunk_count; ++i)
-    state.m_chunks[i].m_draw_base =
+    state.m_chunks[i].m_origin_ranks_from =
         std::max(now, scheduled + i * limits.m_origin_interval);
   return state;
 }
 
 void SetLimits(TransferState& state, TransferLimits limits) {
   state.m_limits = limits;
-  state.m_window = {limits.m_max_fetches, limits.m_slow_wait};
+  state.m_window = {limits.m_max_fetches, limits.m_slow_fetch_threshold};
 }
 
 void SetMembers(TransferState& state,
@@ -303,7 +307,7 @@
   const bool first = state.m_members.empty();
   state.m_members = std::move(members);
   if (first)
-    state.m_spare_draws = SpareDraws(state, random);
+    state.m_spare_fetches = ShareOfSpareFetches(state, random);
   RankChunks(state);
   for (size_t i = 0; i < state.m_neighbours.size(); ++i) {
     const std::string& name = state.m_neighbours[i].m_name;
@@ -318,45 +322,45 @@
       AddNeighbour(state, member);
   }
   for (uint32_t chunk = 0; chunk < state.m_chunks.size(); ++chunk)
-    FileChunk(state, chunk);
+    ScheduleChunk(state, chunk);
 }
 
-void NeighbourHas(TransferState& state,
-                  const std::string& host,
-                  const std::vector<uint32_t>& chunks,
-                  TimePoint now) {
+void RecordNeighbourChunks(TransferState& state,
+                           const std::string& host,
+                           const std::vector<uint32_t>& chunks,
+                           TimePoint now) {
   const auto index = FindNeighbour(state, host);
   if (!index)
     return;
   for (uint32_t chunk : chunks) {
     if (chunk < state.m_chunks.size() &&
-        !state.m_neighbours[*index].m_bad.contains(chunk))
-      SetHolder(state, chunk, *index, true, now);
+        !state.m_neighbours[*index].m_bad_chunks.contains(chunk))
+      SetHasChunk(state, chunk, *index, true, now);
   }
 }
 
-void NeighbourLost(TransferState& state,
-                   const std::string& host,
-                   TimePoint now,
-                   std::mt19937_64& random) {
+void RecordNeighbourLoss(TransferState& state,
+                         const std::string& host,
+                         TimePoint now,
+                         std::mt19937_64& random) {
   if (const auto index = FindNeighbour(state, host))
     ReplaceNeighbour(state, *index, now, random);
 }
 
-void ChunkProgress(TransferState& state, uint32_t chunk, TimePoint now) {
+void RecordChunkProgress(TransferState& state, uint32_t chunk, TimePoint now) {
   auto found = state.m_fetching.find(chunk);
   if (found != state.m_fetching.end())
     found->second.m_progress = now;
 }
 
-void ChunkArrived(TransferState& state, uint32_t chunk, TimePoint now) {
+void RecordChunkArrival(TransferState& state, uint32_t chunk, TimePoint now) {
   const auto fetch = EndFetch(state, chunk);
   if (fetch && fetch->m_source.IsOrigin()) {
-    NoteDrawn(state, now);
+    RecordOriginSuccess(state, now);
   } else if (fetch) {
     const Duration wait = now - fetch->m_begun;
     state.m_wait = Smoothed(state.m_wait, wait);
-    NoteArrival(state.m_window, wait);
+    RecordArrival(state.m_window, wait);
     if (const auto index = FindNeighbour(state, fetch->m_source.m_host)) {
       Neighbour& neighbour = state.m_neighbours[*index];
       neighbour.m_wait = Smoothed(neighbour.m_wait, wait);
@@ -367,7 +371,7 @@
     return;
   state.m_chunks[chunk].m_here = true;
   ++state.m_have_count;
-  FileChunk(state, chunk);
+  ScheduleChunk(state, chunk);
 }
 
 // Failure: the first copy of a chunk becomes corrupt in the host's store before
@@ -375,27 +379,27 @@
 // stored, fetches of all others from it fail, and the version is complete
 // nowhere. Therefore the host fetches the chunk from the origin again at once,
 // unless a neighbour is known to have it.
-void ChunkLost(TransferState& state, uint32_t chunk, TimePoint now) {
+void RecordChunkLoss(TransferState& state, uint32_t chunk, TimePoint now) {
   if (chunk >= state.m_chunks.size() || !state.m_chunks[chunk].m_here)
     return;
   TransferState::Chunk& entry = state.m_chunks[chunk];
   entry.m_here = false;
   --state.m_have_count;
-  entry.m_draw_base = now - entry.m_rank * state.m_limits.m_patience;
-  FileChunk(state, chunk);
+  entry.m_origin_ranks_from = now - entry.m_rank * state.m_limits.m_patience;
+  ScheduleChunk(state, chunk);
 }
 
-void ChunkFailed(TransferState& state,
-                 uint32_t chunk,
-                 bool corrupt,
-                 TimePoint now,
-                 std::mt19937_64& random) {
+void RecordChunkFailure(TransferState& state,
+                        uint32_t chunk,
+                        bool corrupt,
+                        TimePoint now,
+                        std::mt19937_64& random) {
   const auto fetch = EndFetch(state, chunk);
   if (!fetch)
     return;
   const std::string& host = fetch->m_source.m_host;
   if (fetch->m_source.IsOrigin()) {
-    DrawFailed(state, chunk, corrupt, now, random);
+    RecordOriginFailure(state, chunk, corrupt, now, random);
   } else if (corrupt) {
     RecordBadChunk(state, host, chunk, now);
   } else {
@@ -410,11 +414,11 @@
   RefillNeighbours(state, now, random);
   TransferActions actions = std::move(state.m_pending);
   state.m_pending = TransferActions();
-  DrawDue(state, now, actions);
-  DrawInOrder(state, now, actions);
+  StartDueOriginFetches(state, now, actions);
+  StartOriginFetchesInOrder(state, now, actions);
   StartDueImports(state, now, random, actions);
   FetchRarest(state, now, random, actions);
-  DrawSpare(state, now, actions);
+  StartSpareOriginFetches(state, now, actions);
   return actions;
 }
 
--- a/src/libverbenalead/decide/transfer.h
+++ b/src/libverbenalead/decide/transfer.h
@@ -16,7 +16,7 @@
 ///
 ///     TransferState state = StartTransfer(self, chunks, limits, now);
 ///     SetMembers(state, live_hosts, now, random);
-///     NeighbourHas(state, "host-7", {0, 3}, now);
+///     RecordNeighbourChunks(state, "host-7", {0, 3}, now);
 ///     for (const FetchChunk& fetch : Step(state, now, random).m_fetches) ...
 ///
 /// Each chunk is fetched from the origin by one host, the first by rendezvous
@@ -59,10 +59,10 @@
                 std::mt19937_64& random);
 
 /// The followed `host` reported that it has `chunks`.
-void NeighbourHas(TransferState& state,
-                  const std::string& host,
-                  const std::vector<uint32_t>& chunks,
-                  TimePoint now);
+void RecordNeighbourChunks(TransferState& state,
+                           const std::string& host,
+                           const std::vector<uint32_t>& chunks,
+                           TimePoint now);
 /// Another host announced its fetches from the origin. Hosts announce when a
 /// fetch begins, when it ends, and at intervals in between.
 ///
@@ -73,31 +73,33 @@
 /// one twice as late. Therefore hosts wait for the host that began first, as
 /// long as it repeats its announcement.
 ///
-/// Where limits.m_draws_at_once is set, chunks are fetched in order of their
-/// number, at most that many at once across all hosts. By the schedule alone,
-/// hosts that start late would each count its intervals from their own start,
-/// while the origin's link is idle.
-void HostDraws(TransferState& state, const DrawReport& report, TimePoint now);
+/// Where limits.m_max_origin_fetches is set, chunks are fetched in order of
+/// their number, at most that many at once across all hosts. By the schedule
+/// alone, hosts that start late would each count its intervals from their own
+/// start, while the origin's link is idle.
+void RecordOriginFetches(TransferState& state,
+                         const OriginFetchReport& report,
+                         TimePoint now);
 /// The connection for updates of `host` failed: another host is followed in its
 /// place.
-void NeighbourLost(TransferState& state,
-                   const std::string& host,
-                   TimePoint now,
-                   std::mt19937_64& random);
+void RecordNeighbourLoss(TransferState& state,
+                         const std::string& host,
+                         TimePoint now,
+                         std::mt19937_64& random);
 
 /// Some bytes of `chunk` were received.
-void ChunkProgress(TransferState& state, uint32_t chunk, TimePoint now);
+void RecordChunkProgress(TransferState& state, uint32_t chunk, TimePoint now);
 /// A verified chunk is stored, by a fetch or from an earlier transfer.
-void ChunkArrived(TransferState& state, uint32_t chunk, TimePoint now);
+void RecordChunkArrival(TransferState& state, uint32_t chunk, TimePoint now);
 /// A stored chunk was found corrupt and has to be fetched again.
-void ChunkLost(TransferState& state, uint32_t chunk, TimePoint now);
+void RecordChunkLoss(TransferState& state, uint32_t chunk, TimePoint now);
 /// A fetch ended without a valid chunk; `corrupt`: data was received, but did
 /// not match its digest.
-void ChunkFailed(TransferState& state,
-                 uint32_t chunk,
-                 bool corrupt,
-                 TimePoint now,
-                 std::mt19937_64& random);
+void RecordChunkFailure(TransferState& state,
+                        uint32_t chunk,
+                        bool corrupt,
+                        TimePoint now,
+                        std::mt19937_64& random);
 
 /// Returns the actions that are due. Called after each event and at least every
 /// kTransferTick.
--- a/src/libverbenalead/decide/transfer_bench.cc
+++ b/src/libverbenalead/decide/transfer_bench.cc
@@ -244,8 +244,8 @@
       if (!Reaches(event.m_host, event.m_peer) || host->m_done != TimePoint())
         return;
       Count(event.m_host, kUpdateBytes);
-      NeighbourHas(host->m_transfer, m_members[event.m_peer].m_name,
-                   {event.m_chunk}, m_now);
+      RecordNeighbourChunks(host->m_transfer, m_members[event.m_peer].m_name,
+                            {event.m_chunk}, m_now);
       StepHost(event.m_host);
       return;
     case EventKind::kRequest:
@@ -334,15 +334,15 @@
   const bool far =
       m_members[event.m_host].m_region != m_members[event.m_peer].m_region;
   host.m_requesters[event.m_fetch] = event.m_peer;
-  AddUpload(host.m_queue, {event.m_fetch, event.m_chunk, far,
-                           m_hosts[event.m_peer].m_transfer.m_have_count});
+  EnqueueUpload(host.m_queue, {event.m_fetch, event.m_chunk, far,
+                               m_hosts[event.m_peer].m_transfer.m_have_count});
 }
 
 /// Starts the next upload of a host. It occupies the host's link for
 /// kChunkTime, and the receiver's link for kChunkTime from when that is free.
 void Simulation::SendNext(uint32_t index) {
   SimulatedHost& host = m_hosts[index];
-  while (const auto next = TakeUpload(host.m_queue)) {
+  while (const auto next = DequeueUpload(host.m_queue)) {
     const Upload upload = {host.m_requesters[next->m_id], next->m_chunk,
                            next->m_id};
     host.m_requesters.erase(next->m_id);
@@ -375,14 +375,14 @@
     ++m_peer_chunks;
     const Distance distance =
         DistanceBetween(m_members[event.m_host], m_members[event.m_peer]);
-    m_far_chunks += distance == Distance::kFar;
+    m_far_chunks += distance == Distance::kRemote;
     m_center_chunks += distance == Distance::kDataCenter;
   }
   const bool corrupt = m_scenario.m_faults && m_random() % 100 == 0;
   if (corrupt) {
-    ChunkFailed(host.m_transfer, event.m_chunk, true, m_now, m_random);
+    RecordChunkFailure(host.m_transfer, event.m_chunk, true, m_now, m_random);
   } else {
-    ChunkArrived(host.m_transfer, event.m_chunk, m_now);
+    RecordChunkArrival(host.m_transfer, event.m_chunk, m_now);
     for (uint32_t follower : host.m_followers) {
       Count(event.m_host, kUpdateBytes);
       Schedule(UpdateDelay(event.m_host, follower),
--- a/src/libverbenalead/decide/transfer_fleet_test.cc
+++ b/src/libverbenalead/decide/transfer_fleet_test.cc
@@ -191,7 +191,7 @@
       std::vector<uint32_t> chunks;
       for (; sent_count < other.m_store.size(); ++sent_count)
         chunks.push_back(other.m_store[sent_count].m_chunk);
-      NeighbourHas(host.m_transfer, name, chunks, m_now);
+      RecordNeighbourChunks(host.m_transfer, name, chunks, m_now);
     }
   }
 
@@ -249,10 +249,10 @@
       const Content expected{host.m_version, chunk};
       if (delivery.m_content == expected) {
         host.m_store.push_back(expected);
-        ChunkArrived(host.m_transfer, chunk, m_now);
+        RecordChunkArrival(host.m_transfer, chunk, m_now);
       } else {
-        ChunkFailed(host.m_transfer, chunk, delivery.m_content.has_value(),
-                    m_now, m_random);
+        RecordChunkFailure(host.m_transfer, chunk,
+                           delivery.m_content.has_value(), m_now, m_random);
       }
     }
   }
--- a/src/libverbenalead/decide/transfer_limits.h
+++ b/src/libverbenalead/decide/transfer_limits.h
@@ -45,15 +45,15 @@
   uint32_t m_max_fetches = 14;
   /// A longer wait for a chunk reduces the number of concurrent fetches; zero:
   /// never.
-  Duration m_slow_wait{};
-  uint32_t m_max_origin = 2;
+  Duration m_slow_fetch_threshold{};
+  uint32_t m_max_own_origin_fetches = 2;
 
   /// Neighbours in the own data centre, in the own region and in other regions.
   /// With these numbers two random hosts of 1,400 are 3 hops apart, and the
   /// traffic of updates stays low.
   uint32_t m_data_center_neighbours = 10;
   uint32_t m_region_neighbours = 4;
-  uint32_t m_far_neighbours = 2;
+  uint32_t m_remote_neighbours = 2;
   /// Hosts in other regions that are followed in addition because they fetch
   /// from the origin chunks that this host has to import into its region.
   uint32_t m_import_neighbours = 16;
@@ -67,12 +67,12 @@
   /// Concurrent origin fetches of all hosts together, where each host announces
   /// its own to the others; 0: hosts announce none and follow m_origin_interval
   /// alone.
-  uint32_t m_draws_at_once = 0;
+  uint32_t m_max_origin_fetches = 0;
   /// How long an announced origin fetch keeps other hosts from fetching the
   /// same chunk. A host repeats its announcement twice as often as that.
-  Duration m_draw_hold = 600ms;
+  Duration m_announcement_ttl = 600ms;
   /// Maximum backoff of a host after consecutive failed origin fetches.
-  Duration m_max_origin_back_off = 10s;
+  Duration m_max_origin_backoff = 10s;
   /// A fetch that receives no byte for m_stall_factor times the usual wait has
   /// stalled, even if its connection appears alive. m_min_stall and m_max_stall
   /// bound that time; m_max_stall applies while no wait has been measured.
--- a/src/libverbenalead/decide/transfer_neighbour.h
+++ b/src/libverbenalead/decide/transfer_neighbour.h
@@ -10,7 +10,7 @@
 namespace verbenalead::decide {
 
 /// Distance of another host, nearest first.
-enum class Distance { kDataCenter, kRegion, kFar };
+enum class Distance { kDataCenter, kRegion, kRemote };
 
 /// A host that reports to this host which chunks it has.
 struct TransferNeighbour {
@@ -23,10 +23,10 @@
   Duration m_wait{};
   /// Chunks that it sent with wrong content; they are not requested from it
   /// again.
-  std::set<uint32_t> m_bad;
+  std::set<uint32_t> m_bad_chunks;
   /// Consecutive failed fetches since the last valid chunk.
   uint32_t m_failures = 0;
-  TimePoint m_shunned_until{};
+  TimePoint m_fetch_backoff_until{};
 };
 
 }  // namespace verbenalead::decide
--- a/src/libverbenalead/decide/transfer_outage_test.cc
+++ b/src/libverbenalead/decide/transfer_outage_test.cc
@@ -50,10 +50,12 @@
     }
     m_hosts.resize(load.m_hosts);
     for (uint32_t i = 0; i < load.m_hosts; ++i) {
-      m_hosts[i].m_began = m_now + 10ms * (m_random() % 30);
-      m_hosts[i].m_state = StartTransfer(members[i], kChunks, Limits(),
-                                         m_hosts[i].m_began, m_now + 300ms);
-      SetMembers(m_hosts[i].m_state, members, m_hosts[i].m_began, m_random);
+      m_hosts[i].m_started_at = m_now + 10ms * (m_random() % 30);
+      m_hosts[i].m_state =
+          StartTransfer(members[i], kChunks, Limits(), m_hosts[i].m_started_at,
+                        m_now + 300ms);
+      SetMembers(m_hosts[i].m_state, members, m_hosts[i].m_started_at,
+                 m_random);
     }
   }
 
@@ -85,7 +87,7 @@
  private:
   struct Host {
     TransferState m_state;
-    TimePoint m_began{};
+    TimePoint m_started_at{};
     TimePoint m_announced{};
     bool m_dead = false;
     std::vector<uint32_t> m_held;
@@ -105,17 +107,17 @@
     std::string m_from;
     size_t m_to = 0;
     std::vector<uint32_t> m_chunks;
-    DrawReport m_report;
+    OriginFetchReport m_report;
   };
 
   TransferLimits Limits() const {
     TransferLimits limits;
     limits.m_origin_interval = kOriginChunk;
     if (m_load.m_announced)
-      limits.m_draws_at_once = 4;
+      limits.m_max_origin_fetches = 4;
     limits.m_patience = 1s;
     limits.m_max_fetches = 5;
-    limits.m_max_origin_back_off = 500ms;
+    limits.m_max_origin_backoff = 500ms;
     return limits;
   }
 
@@ -148,8 +150,8 @@
   void RunOrigin() {
     if (IsOriginDown()) {
       for (const OriginFetch& fetch : m_open_fetches)
-        ChunkFailed(m_hosts[fetch.m_host].m_state, fetch.m_chunk, false, m_now,
-                    m_random);
+        RecordChunkFailure(m_hosts[fetch.m_host].m_state, fetch.m_chunk, false,
+                           m_now, m_random);
       m_open_fetches.clear();
     }
     const auto share = kTick / std::max<int64_t>(1, std::ssize(m_open_fetches));
@@ -173,7 +175,7 @@
     Host& host = m_hosts[index];
     if (host.m_dead || host.m_state.m_chunks[chunk].m_here)
       return;
-    ChunkArrived(host.m_state, chunk, m_now);
+    RecordChunkArrival(host.m_state, chunk, m_now);
     host.m_held.push_back(chunk);
   }
 
@@ -214,16 +216,16 @@
         return false;
       TransferState& state = m_hosts[news.m_to].m_state;
       if (news.m_from.empty())
-        HostDraws(state, news.m_report, m_now);
+        RecordOriginFetches(state, news.m_report, m_now);
       else
-        NeighbourHas(state, news.m_from, news.m_chunks, m_now);
+        RecordNeighbourChunks(state, news.m_from, news.m_chunks, m_now);
       return true;
     });
   }
 
   void StepHost(size_t index) {
     Host& host = m_hosts[index];
-    if (host.m_dead || m_now < host.m_began)
+    if (host.m_dead || m_now < host.m_started_at)
       return;
     UpdateMembers(host);
     const TransferActions actions = Step(host.m_state, m_now, m_random);
@@ -253,7 +255,7 @@
   }
 
   void Announce(size_t from, std::vector<uint32_t> completed) {
-    DrawReport report;
+    OriginFetchReport report;
     report.m_host = m_hosts[from].m_state.m_self.m_name;
     for (const auto& [chunk, fetch] : m_hosts[from].m_state.m_fetching) {
       if (fetch.m_source.IsOrigin())
@@ -262,7 +264,7 @@
     if (!m_load.m_announced ||
         (report.m_under_way.empty() && completed.empty()))
       return;
-    report.m_drawn = std::move(completed);
+    report.m_origin_fetched = std::move(completed);
     m_hosts[from].m_announced = m_now;
     for (size_t to = 0; to < m_hosts.size(); ++to) {
       if (to != from)
--- a/src/libverbenalead/decide/transfer_plan.cc
+++ b/src/libverbenalead/decide/transfer_plan.cc
@@ -103,7 +103,7 @@
 
 Distance DistanceBetween(const TransferMember& a, const TransferMember& b) {
   if (a.m_region != b.m_region)
-    return Distance::kFar;
+    return Distance::kRemote;
   return a.m_data_center == b.m_data_center ? Distance::kDataCenter
                                             : Distance::kRegion;
 }
@@ -142,17 +142,17 @@
                picked);
   PickFromRing(state, RingAt(state, Distance::kRegion), position,
                limits.m_region_neighbours, state.m_self.m_data_center, picked);
-  PickFromRing(state, RingAt(state, Distance::kFar), position,
-               limits.m_far_neighbours, state.m_self.m_region, picked);
+  PickFromRing(state, RingAt(state, Distance::kRemote), position,
+               limits.m_remote_neighbours, state.m_self.m_region, picked);
   PickImportSources(state, picked);
   PickPrecedingFetchers(state, picked);
   return {picked.begin(), picked.end()};
 }
 
-const TransferMember* SpareNeighbour(const TransferState& state,
-                                     Distance distance,
-                                     const std::string& except,
-                                     std::mt19937_64& random) {
+const TransferMember* RandomUnfollowedMember(const TransferState& state,
+                                             Distance distance,
+                                             const std::string& except,
+                                             std::mt19937_64& random) {
   std::vector<const TransferMember*> candidates;
   for (const TransferMember& member : state.m_members) {
     if (member.m_name == state.m_self.m_name || member.m_name == except ||
--- a/src/libverbenalead/decide/transfer_plan.h
+++ b/src/libverbenalead/decide/transfer_plan.h
@@ -22,10 +22,10 @@
 
 /// A random member at `distance` that is not followed yet and is not named
 /// `except`; null if there is none.
-const TransferMember* SpareNeighbour(const TransferState& state,
-                                     Distance distance,
-                                     const std::string& except,
-                                     std::mt19937_64& random);
+const TransferMember* RandomUnfollowedMember(const TransferState& state,
+                                             Distance distance,
+                                             const std::string& except,
+                                             std::mt19937_64& random);
 
 }  // namespace verbenalead::decide
 
--- a/src/libverbenalead/decide/transfer_schedule.cc
+++ b/src/libverbenalead/decide/transfer_schedule.cc
@@ -16,12 +16,12 @@
 
 void Unschedule(TransferState& state, uint32_t chunk) {
   TransferState::Chunk& entry = state.m_chunks[chunk];
-  if (entry.m_place == Place::kRarest)
+  if (entry.m_place == Place::kRarestFirst)
     state.m_rarest.Erase(chunk);
   else if (entry.m_place == Place::kDraws)
     state.m_draws.erase({entry.m_turn, chunk});
   else if (entry.m_place == Place::kImports)
-    state.m_imports.erase({entry.m_turn, chunk});
+    state.m_import_schedule.erase({entry.m_turn, chunk});
   entry.m_place = Place::kNowhere;
 }
 
@@ -39,12 +39,12 @@
 TimePoint OriginFetchDueTime(const TransferState::Chunk& chunk,
                              const TransferLimits& limits) {
   const TimePoint due =
-      DueTime(chunk.m_draw_base, chunk.m_rank, limits.m_patience);
+      DueTime(chunk.m_origin_ranks_from, chunk.m_rank, limits.m_patience);
   const TimePoint latest =
       due + kMaxHoldWaits * (chunk.m_rank + 1) * limits.m_patience;
   // Hosts that were held back by the same announcement must not start together.
-  const TimePoint hold_end =
-      DueTime(chunk.m_held_until, chunk.m_rank, limits.m_draw_hold / 2);
+  const TimePoint hold_end = DueTime(chunk.m_announced_until, chunk.m_rank,
+                                     limits.m_announcement_ttl / 2);
   return std::max(due, std::min(hold_end, latest));
 }
 
@@ -59,13 +59,13 @@
   return std::nullopt;
 }
 
-void FileChunk(TransferState& state, uint32_t chunk) {
+void ScheduleChunk(TransferState& state, uint32_t chunk) {
   TransferState::Chunk& entry = state.m_chunks[chunk];
   const uint64_t in_region = entry.m_holders & state.m_near;
   const bool wanted = !entry.m_here && !entry.m_under_way;
   // Fast path: nearly all updates report another copy of a chunk that the
   // region already has, and end here.
-  if (wanted && in_region != 0 && entry.m_place == Place::kRarest) {
+  if (wanted && in_region != 0 && entry.m_place == Place::kRarestFirst) {
     state.m_rarest.Put(chunk, static_cast<uint32_t>(std::popcount(in_region)));
     return;
   }
@@ -73,13 +73,13 @@
   if (!wanted)
     return;
   if (in_region != 0) {
-    entry.m_place = Place::kRarest;
+    entry.m_place = Place::kRarestFirst;
     state.m_rarest.Put(chunk, static_cast<uint32_t>(std::popcount(in_region)));
   } else if (entry.m_holders != 0) {
-    entry.m_turn = DueTime(entry.m_import_base, entry.m_region_rank,
+    entry.m_turn = DueTime(entry.m_import_ranks_from, entry.m_region_rank,
                            state.m_limits.m_patience);
     entry.m_place = Place::kImports;
-    state.m_imports.emplace(entry.m_turn, chunk);
+    state.m_import_schedule.emplace(entry.m_turn, chunk);
   } else {
     entry.m_turn = OriginFetchDueTime(entry, state.m_limits);
     entry.m_place = Place::kDraws;
@@ -87,19 +87,19 @@
   }
 }
 
-void PostponeImport(TransferState& state, uint32_t chunk, TimePoint until) {
+void DeferImport(TransferState& state, uint32_t chunk, TimePoint until) {
   Unschedule(state, chunk);
   TransferState::Chunk& entry = state.m_chunks[chunk];
   entry.m_turn = until;
   entry.m_place = Place::kImports;
-  state.m_imports.emplace(until, chunk);
+  state.m_import_schedule.emplace(until, chunk);
 }
 
-void SetHolder(TransferState& state,
-               uint32_t chunk,
-               size_t index,
-               bool holds,
-               TimePoint now) {
+void SetHasChunk(TransferState& state,
+                 uint32_t chunk,
+                 size_t index,
+                 bool holds,
+                 TimePoint now) {
   TransferState::Chunk& entry = state.m_chunks[chunk];
   const uint64_t before = entry.m_holders;
   const uint64_t after = holds ? before | Bit(index) : before & ~Bit(index);
@@ -111,11 +111,11 @@
   const bool region_copies_lost =
       (before & state.m_near) && !(after & state.m_near);
   if (region_copies_lost || before == 0)
-    entry.m_import_base = now;
+    entry.m_import_ranks_from = now;
   if (after == 0)
-    entry.m_draw_base = std::max(entry.m_draw_base, now);
+    entry.m_origin_ranks_from = std::max(entry.m_origin_ranks_from, now);
   entry.m_holders = after;
-  FileChunk(state, chunk);
+  ScheduleChunk(state, chunk);
 }
 
 void AddNeighbour(TransferState& state, const TransferMember& member) {
@@ -132,10 +132,10 @@
   neighbour = TransferNeighbour();
   neighbour.m_name = member.m_name;
   if (member.m_region != state.m_self.m_region)
-    neighbour.m_distance = Distance::kFar;
+    neighbour.m_distance = Distance::kRemote;
   else if (member.m_data_center != state.m_self.m_data_center)
     neighbour.m_distance = Distance::kRegion;
-  if (neighbour.m_distance != Distance::kFar)
+  if (neighbour.m_distance != Distance::kRemote)
     state.m_near |= Bit(*free_index);
   state.m_pending.m_follows.push_back(member.m_name);
 }
@@ -152,7 +152,7 @@
     EndFetch(state, chunk);
   }
   for (uint32_t chunk = 0; chunk < state.m_chunks.size(); ++chunk)
-    SetHolder(state, chunk, index, false, now);
+    SetHasChunk(state, chunk, index, false, now);
   state.m_near &= ~Bit(index);
   state.m_neighbours[index] = TransferNeighbour();
   state.m_pending.m_unfollows.push_back(name);
@@ -170,7 +170,7 @@
   } else if (auto index = FindNeighbour(state, source.m_host)) {
     ++state.m_neighbours[*index].m_fetching;
   }
-  FileChunk(state, chunk);
+  ScheduleChunk(state, chunk);
   actions.m_fetches.push_back({chunk, std::move(source)});
 }
 
@@ -187,7 +187,7 @@
   } else if (auto index = FindNeighbour(state, fetch.m_source.m_host)) {
     --state.m_neighbours[*index].m_fetching;
   }
-  FileChunk(state, chunk);
+  ScheduleChunk(state, chunk);
   return fetch;
 }
 
--- a/src/libverbenalead/decide/transfer_schedule.h
+++ b/src/libverbenalead/decide/transfer_schedule.h
@@ -19,17 +19,17 @@
 
 /// Moves `chunk` to the schedule that matches its state: rarest first, imports
 /// or origin fetches; to none if it is stored or being fetched.
-void FileChunk(TransferState& state, uint32_t chunk);
+void ScheduleChunk(TransferState& state, uint32_t chunk);
 
 /// Reschedules the import of `chunk` to `until`.
-void PostponeImport(TransferState& state, uint32_t chunk, TimePoint until);
+void DeferImport(TransferState& state, uint32_t chunk, TimePoint until);
 
 /// Records whether neighbour `index` has `chunk`.
-void SetHolder(TransferState& state,
-               uint32_t chunk,
-               size_t index,
-               bool holds,
-               TimePoint now);
+void SetHasChunk(TransferState& state,
+                 uint32_t chunk,
+                 size_t index,
+                 bool holds,
+                 TimePoint now);
 
 /// Follows `member`, if fewer than the maximum number of neighbours are
 /// followed.
--- a/src/libverbenalead/decide/transfer_state.h
+++ b/src/libverbenalead/decide/transfer_state.h
@@ -31,7 +31,7 @@
     TimePoint m_progress{};
   };
   /// The schedule that a chunk is in, at most one.
-  enum class Place : uint8_t { kNowhere, kRarest, kImports, kDraws };
+  enum class Place : uint8_t { kNowhere, kRarestFirst, kImports, kDraws };
   struct Chunk {
     bool m_here = false;
     bool m_under_way = false;
@@ -46,18 +46,19 @@
     /// Start of the schedule by ranks: a host of rank r may fetch the chunk r
     /// wait limits after it. The schedule ends when a copy is seen and starts
     /// again when the last copy is lost.
-    TimePoint m_draw_base{};
-    TimePoint m_import_base{};
+    TimePoint m_origin_ranks_from{};
+    TimePoint m_import_ranks_from{};
     /// Another host announced that it has fetched the chunk from the origin,
     /// whether or not this host receives updates from it.
-    bool m_drawn = false;
+    bool m_origin_fetched = false;
     /// Since when the chunk has been among the first that no host has or is
     /// fetching from the origin.
     std::optional<TimePoint> m_open_since;
     /// Until when this host leaves the chunk to another host that announced an
     /// origin fetch of it.
-    TimePoint m_held_until{};
-    /// When this host may fetch the chunk, if it is in m_draws or m_imports.
+    TimePoint m_announced_until{};
+    /// When this host may fetch the chunk, if it is in m_draws or
+    /// m_import_schedule.
     TimePoint m_turn{};
   };
 
@@ -82,23 +83,23 @@
   /// Missing chunks that no neighbour is known to have.
   ChunkSchedule m_draws;
   /// Missing chunks that only neighbours of other regions have.
-  ChunkSchedule m_imports;
+  ChunkSchedule m_import_schedule;
 
   /// By host: when it last announced its origin fetches, and how many it had in
   /// progress.
-  std::map<std::string, std::pair<TimePoint, uint32_t>> m_draws_elsewhere;
+  std::map<std::string, std::pair<TimePoint, uint32_t>> m_announced_fetches;
 
   /// When this host last started an origin fetch, and when any host was last
   /// known to have completed one.
-  TimePoint m_last_draw{};
-  TimePoint m_last_drawn{};
+  TimePoint m_last_origin_start{};
+  TimePoint m_last_origin_success{};
 
   TimePoint m_next_stall_check{};
   TimePoint m_next_refill{};
   TimePoint m_origin_retry_at{};
   uint32_t m_origin_failures = 0;
   /// Origin fetches beyond the first copies that this host may still start.
-  uint32_t m_spare_draws = 0;
+  uint32_t m_spare_fetches = 0;
   /// Smoothed time from a request to the arrival of its chunk, over all
   /// neighbours.
   Duration m_wait{};
--- a/src/libverbenalead/decide/transfer_test.cc
+++ b/src/libverbenalead/decide/transfer_test.cc
@@ -29,7 +29,7 @@
 
  public:
   void OriginFetchesAreSharedOut() {
-    m_limits.m_max_origin = 100;
+    m_limits.m_max_own_origin_fetches = 100;
     const std::vector<TransferMember> members = {kSelf, kSameDataCenter,
                                                  kSameRegion, kOtherRegion};
     std::vector<uint32_t> all;
@@ -80,7 +80,7 @@
   // at once with the chunks that are scheduled up to then.
   void LateHostsKeepToTheSchedule() {
     m_limits.m_origin_interval = 100ms;
-    m_limits.m_max_origin = 10;
+    m_limits.m_max_own_origin_fetches = 10;
     const TimePoint late = kStart + 250ms;
     TransferState state = StartTransfer(kSelf, 5, m_limits, late, kStart);
     SetMembers(state, {kSelf}, late, m_random);
@@ -120,11 +120,11 @@
 
   void RarestChunkGoesFirst() {
     m_limits.m_max_fetches = 1;
-    m_limits.m_max_origin = 0;
+    m_limits.m_max_own_origin_fetches = 0;
     TransferState state =
         Start(kSelf, {kSelf, kSameDataCenter, kSameRegion}, 3);
-    NeighbourHas(state, "b", {0, 1, 2}, kStart);
-    NeighbourHas(state, "c", {0, 2}, kStart);
+    RecordNeighbourChunks(state, "b", {0, 1, 2}, kStart);
+    RecordNeighbourChunks(state, "c", {0, 2}, kStart);
     const auto fetches = Step(state, kStart, m_random).m_fetches;
     CPPUNIT_ASSERT(fetches == std::vector<FetchChunk>({{1, ChunkSource{"b"}}}));
   }
@@ -132,17 +132,17 @@
   void OneHostImportsAChunkIntoItsRegion() {
     const std::vector<TransferMember> members = {kSelf, kSameDataCenter,
                                                  kSameRegion, kOtherRegion};
-    m_limits.m_max_origin = 0;
+    m_limits.m_max_own_origin_fetches = 0;
     m_limits.m_max_fetches = 100;
     size_t imports = 0;
     for (const TransferMember& self : {kSelf, kSameDataCenter, kSameRegion}) {
       TransferState state = Start(self, members, 30);
       Step(state, kStart, m_random);
       for (uint32_t chunk = 0; chunk < 30; ++chunk) {
-        NeighbourHas(state, "d", {chunk}, kStart);
+        RecordNeighbourChunks(state, "d", {chunk}, kStart);
         for (const auto& fetch : Step(state, kStart, m_random).m_fetches) {
           ++imports;
-          ChunkArrived(state, fetch.m_chunk, kStart);
+          RecordChunkArrival(state, fetch.m_chunk, kStart);
         }
       }
     }
@@ -150,9 +150,9 @@
   }
 
   void OnlyHostOfItsRegionUsesAllFetches() {
-    m_limits.m_max_origin = 0;
+    m_limits.m_max_own_origin_fetches = 0;
     TransferState state = Start(kSelf, {kSelf, kOtherRegion}, 2);
-    NeighbourHas(state, "d", {0, 1}, kStart);
+    RecordNeighbourChunks(state, "d", {0, 1}, kStart);
     CPPUNIT_ASSERT_EQUAL(size_t{2},
                          Step(state, kStart, m_random).m_fetches.size());
   }
@@ -161,30 +161,30 @@
   // is not requested from that host again, even when the host reports it again,
   // and after several corrupt chunks the host gets no requests for a while.
   void BadChunkIsNotRequestedAgainFromItsSource() {
-    m_limits.m_max_origin = 0;
+    m_limits.m_max_own_origin_fetches = 0;
     TransferState state = Start(kSelf, {kSelf, kSameDataCenter}, 5);
-    NeighbourHas(state, "b", {0, 1, 2, 3, 4}, kStart);
+    RecordNeighbourChunks(state, "b", {0, 1, 2, 3, 4}, kStart);
     auto fetches = Step(state, kStart, m_random).m_fetches;
     CPPUNIT_ASSERT_EQUAL(size_t{5}, fetches.size());
     for (uint32_t chunk = 0; chunk < 4; ++chunk)
-      ChunkFailed(state, chunk, true, kStart, m_random);
-    NeighbourHas(state, "b", {0, 1, 2, 3}, kStart);
+      RecordChunkFailure(state, chunk, true, kStart, m_random);
+    RecordNeighbourChunks(state, "b", {0, 1, 2, 3}, kStart);
     CPPUNIT_ASSERT(Step(state, kStart, m_random).m_fetches.empty());
-    CPPUNIT_ASSERT(state.m_neighbours[0].m_shunned_until > kStart);
+    CPPUNIT_ASSERT(state.m_neighbours[0].m_fetch_backoff_until > kStart);
   }
 
   // A connection delivers nothing but stays open. After the stall time the
   // fetch is cancelled and the chunk is requested from another host.
   void StalledFetchIsCancelled() {
-    m_limits.m_max_origin = 0;
+    m_limits.m_max_own_origin_fetches = 0;
     m_limits.m_max_stall = 2s;
     TransferState state =
         Start(kSelf, {kSelf, kSameDataCenter, kSameRegion}, 1);
-    NeighbourHas(state, "b", {0}, kStart);
+    RecordNeighbourChunks(state, "b", {0}, kStart);
     CPPUNIT_ASSERT_EQUAL(size_t{1},
                          Step(state, kStart, m_random).m_fetches.size());
-    NeighbourHas(state, "c", {0}, kStart);
-    ChunkProgress(state, 0, kStart + 1s);
+    RecordNeighbourChunks(state, "c", {0}, kStart);
+    RecordChunkProgress(state, 0, kStart + 1s);
     CPPUNIT_ASSERT(Step(state, kStart + 3s, m_random).m_cancels.empty());
     const auto actions = Step(state, kStart + 3100ms, m_random);
     CPPUNIT_ASSERT(actions.m_cancels ==
@@ -199,7 +199,7 @@
     Duration last{};
     for (int attempts = 0; attempts < 5; ++attempts) {
       CPPUNIT_ASSERT_EQUAL(size_t{1}, OriginFetches(state, now).size());
-      ChunkFailed(state, 0, false, now, m_random);
+      RecordChunkFailure(state, 0, false, now, m_random);
       const Duration wait = state.m_origin_retry_at - now;
       CPPUNIT_ASSERT(wait >= last / 2 && wait >= 100ms);
       CPPUNIT_ASSERT(OriginFetches(state, now + wait - 1ms).empty());
@@ -215,7 +215,7 @@
                             TransferPreference::kOriginBytesFirst}) {
       m_limits.m_preference = preference;
       TransferState state = Start(kSelf, {kSelf, kSameDataCenter}, 4);
-      NeighbourHas(state, "b", {0, 1, 2, 3}, kStart);
+      RecordNeighbourChunks(state, "b", {0, 1, 2, 3}, kStart);
       Step(state, kStart, m_random);
       const size_t expected =
           preference == TransferPreference::kTimeFirst ? 2 : 0;
@@ -226,14 +226,14 @@
 
   void LeastSentChunkIsUploadedFirst() {
     UploadQueue queue;
-    AddUpload(queue, {1, 0, false, 5});
-    AddUpload(queue, {2, 0, false, 3});
-    AddUpload(queue, {3, 0, true, 9});
-    AddUpload(queue, {4, 1, false, 9});
-    AddUpload(queue, {5, 1, false, 9});
-    DropUpload(queue, 5);
+    EnqueueUpload(queue, {1, 0, false, 5});
+    EnqueueUpload(queue, {2, 0, false, 3});
+    EnqueueUpload(queue, {3, 0, true, 9});
+    EnqueueUpload(queue, {4, 1, false, 9});
+    EnqueueUpload(queue, {5, 1, false, 9});
+    RemoveUpload(queue, 5);
     std::vector<uint64_t> order;
-    while (const auto next = TakeUpload(queue))
+    while (const auto next = DequeueUpload(queue))
       order.push_back(next->m_id);
     CPPUNIT_ASSERT(order == std::vector<uint64_t>({3, 4, 2, 1}));
   }
--- a/src/libverbenalead/decide/upload_queue.cc
+++ b/src/libverbenalead/decide/upload_queue.cc
@@ -5,13 +5,13 @@
 
 namespace verbenalead::decide {
 
-void AddUpload(UploadQueue& queue, const UploadRequest& request) {
+void EnqueueUpload(UploadQueue& queue, const UploadRequest& request) {
   if (queue.m_sent.size() <= request.m_chunk)
     queue.m_sent.resize(request.m_chunk + 1);
   queue.m_waiting.push_back(request);
 }
 
-std::optional<UploadRequest> TakeUpload(UploadQueue& queue) {
+std::optional<UploadRequest> DequeueUpload(UploadQueue& queue) {
   auto key = [&](const UploadRequest& request) {
     return std::tuple(queue.m_sent[request.m_chunk], !request.m_far,
                       request.m_held);
@@ -29,7 +29,7 @@
   return request;
 }
 
-void DropUpload(UploadQueue& queue, uint64_t id) {
+void RemoveUpload(UploadQueue& queue, uint64_t id) {
   std::erase_if(queue.m_waiting,
                 [id](const UploadRequest& each) { return each.m_id == id; });
 }
--- a/src/libverbenalead/decide/upload_queue.h
+++ b/src/libverbenalead/decide/upload_queue.h
@@ -26,7 +26,7 @@
   std::vector<uint32_t> m_sent;
 };
 
-void AddUpload(UploadQueue& queue, const UploadRequest& request);
+void EnqueueUpload(UploadQueue& queue, const UploadRequest& request);
 /// Removes and returns the request to serve next; nullopt if none waits. Costs
 /// O(waiting requests), which are about as many as there are followers.
 ///
@@ -37,9 +37,9 @@
 /// goes first, because its whole region waits for the chunk; then the host with
 /// the fewest chunks, because a version takes effect everywhere only when the
 /// last host has it.
-std::optional<UploadRequest> TakeUpload(UploadQueue& queue);
+std::optional<UploadRequest> DequeueUpload(UploadQueue& queue);
 /// Removes the request `id`, for instance because its host has disconnected.
-void DropUpload(UploadQueue& queue, uint64_t id);
+void RemoveUpload(UploadQueue& queue, uint64_t id);
 
 }  // namespace verbenalead::decide
 
--- a/src/libverbenalead/decide/upload_slots.cc
+++ b/src/libverbenalead/decide/upload_slots.cc
@@ -10,21 +10,21 @@
 
 }  // namespace
 
-void Ask(UploadTurns& turns, uint64_t version, const UploadRequest& request) {
-  AddUpload(turns.m_queues[version], request);
+void Ask(UploadSlots& turns, uint64_t version, const UploadRequest& request) {
+  EnqueueUpload(turns.m_queues[version], request);
   const auto oldest = turns.m_queues.begin();
   if (turns.m_queues.size() > kMaxVersions && oldest->second.m_waiting.empty())
     turns.m_queues.erase(oldest);
 }
 
-std::optional<uint64_t> Next(UploadTurns& turns, TimePoint now) {
+std::optional<uint64_t> Next(UploadSlots& turns, TimePoint now) {
   const auto active = std::count_if(
       turns.m_running.begin(), turns.m_running.end(),
-      [now](const auto& each) { return now - each.second < kHeldUpUpload; });
-  if (static_cast<size_t>(active) >= kUploadsAtOnce)
+      [now](const auto& each) { return now - each.second < kSlowUpload; });
+  if (static_cast<size_t>(active) >= kMaxConcurrentUploads)
     return std::nullopt;
   for (auto& [version, queue] : turns.m_queues) {
-    if (const auto next = TakeUpload(queue)) {
+    if (const auto next = DequeueUpload(queue)) {
       turns.m_running.emplace(next->m_id, now);
       return next->m_id;
     }
@@ -32,10 +32,10 @@
   return std::nullopt;
 }
 
-void End(UploadTurns& turns, uint64_t id) {
+void End(UploadSlots& turns, uint64_t id) {
   turns.m_running.erase(id);
   for (auto& [version, queue] : turns.m_queues)
-    DropUpload(queue, id);
+    RemoveUpload(queue, id);
 }
 
 }  // namespace verbenalead::decide
--- a/src/libverbenalead/decide/upload_slots.h
+++ b/src/libverbenalead/decide/upload_slots.h
@@ -22,7 +22,7 @@
 ///     Ask(turns, version, request);
 ///     while (const auto id = Next(turns, now)) ... send it, then End(turns,
 ///     id)
-struct UploadTurns {
+struct UploadSlots {
   /// Waiting requests, by version.
   std::map<uint64_t, UploadQueue> m_queues;
   /// Start times of the uploads in progress, by id.
@@ -30,22 +30,22 @@
 };
 
 /// Concurrent uploads: when one ends, the other keeps the link busy.
-constexpr size_t kUploadsAtOnce = 2;
+constexpr size_t kMaxConcurrentUploads = 2;
 /// An upload that takes longer is limited by its receiver's link and no longer
 /// counts as concurrent, so that it does not block others.
-constexpr Duration kHeldUpUpload = 300ms;
+constexpr Duration kSlowUpload = 300ms;
 
 /// Queues the request of a host for a chunk of `version`.
-void Ask(UploadTurns& turns, uint64_t version, const UploadRequest& request);
+void Ask(UploadSlots& turns, uint64_t version, const UploadRequest& request);
 
 /// Starts the next upload and returns its id; nullopt if none may start. Older
 /// versions go first: a newer version is less urgent, since its chunks are
 /// fetched while hosts wait for their turn to load it.
-std::optional<uint64_t> Next(UploadTurns& turns, TimePoint now);
+std::optional<uint64_t> Next(UploadSlots& turns, TimePoint now);
 
 /// Ends upload `id`: it completed, or its receiver disconnected. Also removes a
 /// request that still waits.
-void End(UploadTurns& turns, uint64_t id);
+void End(UploadSlots& turns, uint64_t id);
 
 }  // namespace verbenalead::decide
 
--- a/src/libverbenalead/decide/upload_slots_test.cc
+++ b/src/libverbenalead/decide/upload_slots_test.cc
@@ -11,8 +11,8 @@
   return {id, chunk, false, 0};
 }
 
-class UploadTurnsTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(UploadTurnsTest);
+class UploadSlotsTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(UploadSlotsTest);
   CPPUNIT_TEST(ConcurrentUploadsAreLimited);
   CPPUNIT_TEST(SlowUploadDoesNotBlockOthers);
   CPPUNIT_TEST(OlderVersionIsUploadedFirst);
@@ -61,10 +61,10 @@
   }
 
  private:
-  UploadTurns m_turns;
+  UploadSlots m_turns;
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(UploadTurnsTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(UploadSlotsTest);
 
 }  // namespace
 }  // namespace verbenalead::decide
--- a/src/libverbenalead/decide/wait_share.h
+++ b/src/libverbenalead/decide/wait_share.h
@@ -14,30 +14,31 @@
 /// and each takes a slot from a call that would have been on time. Long prompts
 /// have a short wait limit, and a fixed safety margin for all calls would leave
 /// them none. So each kind of call gives up the same share of its own limit.
-struct PatienceShare {
+struct WaitShare {
   double m_share = 1;
 
-  friend bool operator==(const PatienceShare&, const PatienceShare&) = default;
+  friend bool operator==(const WaitShare&, const WaitShare&) = default;
 };
 
 /// Accepted share of late calls among those that have waited for a slot. With a
 /// lower one, slots stay empty although several calls wait that could have been
 /// on time.
-constexpr double kLateShare = 0.05;
+constexpr double kAcceptedLateShare = 0.05;
 /// Reduction of the share by each late call. Ten late calls in a row halve the
 /// wait limit.
-constexpr double kLateStep = 0.05;
+constexpr double kLateCallStep = 0.05;
 /// Lower bound of the share. If calls are late even at this share, the replicas
 /// are so slow that a shorter wait doesn't help.
-constexpr double kLeastShare = 0.3;
+constexpr double kMinWaitShare = 0.3;
 
 /// Adapts the share when a call that waited for its slot begins to answer. The
-/// share stays constant on average while a part kLateShare of these calls is
-/// late.
-inline void NoteFirstEvent(PatienceShare& share, bool late) {
-  constexpr double kRise = kLateStep * kLateShare / (1 - kLateShare);
-  share.m_share =
-      std::clamp(share.m_share + (late ? -kLateStep : kRise), kLeastShare, 1.0);
+/// share stays constant on average while a part kAcceptedLateShare of these
+/// calls is late.
+inline void NoteFirstEvent(WaitShare& share, bool late) {
+  constexpr double kRise =
+      kLateCallStep * kAcceptedLateShare / (1 - kAcceptedLateShare);
+  share.m_share = std::clamp(share.m_share + (late ? -kLateCallStep : kRise),
+                             kMinWaitShare, 1.0);
 }
 
 }  // namespace verbenalead::decide
--- a/src/libverbenalead/decide/wait_share_test.cc
+++ b/src/libverbenalead/decide/wait_share_test.cc
@@ -7,8 +7,8 @@
 namespace verbenalead::decide {
 namespace {
 
-class PatienceShareTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(PatienceShareTest);
+class WaitShareTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(WaitShareTest);
   CPPUNIT_TEST(AdaptsToUnexpectedDelays);
   CPPUNIT_TEST(RecoversOnceDelaysEnd);
   CPPUNIT_TEST(IsBounded);
@@ -22,7 +22,7 @@
     constexpr double kPatience = 200;
     std::mt19937_64 random(1);
     std::uniform_real_distribution<double> extra(0, 100);
-    PatienceShare share;
+    WaitShare share;
     int late = 0;
     for (int call = 0; call < 2000; ++call) {
       const bool is_late =
@@ -35,21 +35,21 @@
   }
 
   void RecoversOnceDelaysEnd() {
-    PatienceShare share{kLeastShare};
+    WaitShare share{kMinWaitShare};
     for (int call = 0; call < 400; ++call)
       NoteFirstEvent(share, false);
-    CPPUNIT_ASSERT(share == PatienceShare());
+    CPPUNIT_ASSERT(share == WaitShare());
   }
 
   void IsBounded() {
-    PatienceShare share;
+    WaitShare share;
     for (int call = 0; call < 1000; ++call)
       NoteFirstEvent(share, true);
-    CPPUNIT_ASSERT_EQUAL(kLeastShare, share.m_share);
+    CPPUNIT_ASSERT_EQUAL(kMinWaitShare, share.m_share);
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(PatienceShareTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(WaitShareTest);
 
 }  // namespace
 }  // namespace verbenalead::decide
--- a/src/libverbenalead/entry/attempt.cc
+++ b/src/libverbenalead/entry/attempt.cc
@@ -9,17 +9,17 @@
 /// Sets the result of the attempt from the head of its answer.
 void Judge(AttemptResult& result, const std::string& request_id) {
   using decide::AttemptEnd;
-  result.m_facts = platform::DecodeAnswer(result.m_head);
-  if (!result.m_facts.m_request_id.empty() &&
-      result.m_facts.m_request_id != request_id) {
+  result.m_metadata = platform::DecodeAnswer(result.m_head);
+  if (!result.m_metadata.m_request_id.empty() &&
+      result.m_metadata.m_request_id != request_id) {
     result.m_end = AttemptEnd::kBroken;
     result.m_reason = "the answer belongs to another request";
     return;
   }
-  if (result.m_facts.m_not_run) {
+  if (result.m_metadata.m_not_run) {
     result.m_may_have_run = false;
     result.m_end = result.m_head.m_status == kMisdirected
-                       ? AttemptEnd::kWrongHost
+                       ? AttemptEnd::kWrongReplica
                        : AttemptEnd::kNotRun;
     result.m_reason = "status " + std::to_string(result.m_head.m_status);
     return;
--- a/src/libverbenalead/entry/attempt.h
+++ b/src/libverbenalead/entry/attempt.h
@@ -20,7 +20,7 @@
   /// it wasn't executed. An at-most-once call must not be retried then.
   bool m_may_have_run = false;
   wire::ResponseHead m_head;
-  platform::AnswerFacts m_facts;
+  platform::AnswerMetadata m_metadata;
   /// Reads the body; null where there is no answer.
   std::unique_ptr<wire::ResponseReader> m_reader;
   /// Why the attempt failed, for the log.
--- a/src/libverbenalead/entry/call_attempt.cc
+++ b/src/libverbenalead/entry/call_attempt.cc
@@ -22,7 +22,7 @@
       return "failed";
     case AttemptEnd::kNotRun:
       return "not_run";
-    case AttemptEnd::kWrongHost:
+    case AttemptEnd::kWrongReplica:
       return "wrong_incarnation";
     case AttemptEnd::kUnreachable:
       return "unreachable";
@@ -42,7 +42,7 @@
 
 Awaitable<bool> CallAttempt::Send(TimePoint wait_until,
                                   const std::function<void()>& on_sent) {
-  PlaceWaiter& places = m_services.m_places;
+  SlotAllocator& places = m_services.m_places;
   const CallPlan& plan = m_record->m_plan;
   decide::PoolCall pool_call = m_record->m_pool_call;
   m_ticket = pool_call.m_ticket = places.NewTicket();
@@ -57,21 +57,21 @@
   const auto found = replicas.find(m_replica);
   if (m_cancelled || found == replicas.end() ||
       m_record->Left(Now()) <= Duration()) {
-    places.NoteBegun(plan.m_service, m_replica, prompt_tokens);
+    places.NotePromptRead(plan.m_service, m_replica, prompt_tokens);
     End(AttemptEnd::kAbandoned);
     co_return false;
   }
   const decide::ReplicaState& replica = found->second;
   m_incarnation =
       m_replica + "/" + std::to_string(replica.m_replica.m_started_ms);
-  m_record->m_pool_call.m_tried.insert(m_replica);
+  m_record->m_pool_call.m_attempted_replicas.insert(m_replica);
   m_number = ++m_record->m_attempts;
   m_sent_at = Now();
   const Endpoint endpoint = replica.m_replica.m_endpoint;
   const TimePoint head_deadline =
       std::min(plan.m_deadline, WeightsDeadline(replica));
   wire::Request request =
-      platform::EncodeForReplica(m_record->m_request, Forwarded(replica));
+      platform::EncodeForReplica(m_record->m_request, ToForwardedCall(replica));
   on_sent();
   co_await OpenAttempt(m_services.m_replicas, endpoint, std::move(request),
                        head_deadline, m_result);
@@ -79,29 +79,29 @@
     m_result.m_reader->Cancel();
   if (m_result.m_reader)
     co_await ReadAnswerHead(plan.m_call.m_id, head_deadline, m_result);
-  places.NoteBegun(plan.m_service, m_replica, prompt_tokens);
-  NoteHead();
+  places.NotePromptRead(plan.m_service, m_replica, prompt_tokens);
+  ApplyHead();
   Log(m_result.m_end, m_result.m_reason);
   co_return true;
 }
 
-void CallAttempt::NoteHead() {
+void CallAttempt::ApplyHead() {
   if (m_result.m_end != AttemptEnd::kUnreachable)
     ++m_record->m_progress.m_sent;
   if (m_result.m_may_have_run)
     ++m_record->m_progress.m_runs;
-  if (!m_result.m_facts.m_weights)
+  if (!m_result.m_metadata.m_weights)
     return;
   auto& replicas =
       StateOf(m_services.m_state, m_record->m_plan.m_service).m_pool.m_replicas;
   const auto known = replicas.find(m_replica);
   if (known != replicas.end()) {
     known->second.m_weights =
-        std::max(known->second.m_weights, *m_result.m_facts.m_weights);
+        std::max(known->second.m_weights, *m_result.m_metadata.m_weights);
   }
 }
 
-Awaitable<void> CallAttempt::ReadAhead() {
+Awaitable<void> CallAttempt::PrefetchBody() {
   auto piece = co_await ReadBody();
   // Only a piece is stored: the end of the body, or a failure, shows again at
   // the next ReadBody().
@@ -140,7 +140,7 @@
                               std::exchange(m_replica, std::string()), end);
 }
 
-platform::ForwardedCall CallAttempt::Forwarded(
+platform::ForwardedCall CallAttempt::ToForwardedCall(
     const decide::ReplicaState& replica) const {
   platform::ForwardedCall call;
   call.m_replica = replica.m_replica.m_id;
@@ -156,7 +156,7 @@
   const auto watch = watches.find(m_record->m_plan.m_model);
   if (m_record->m_plan.m_model.empty() || watch == watches.end())
     return TimePoint::max();
-  return decide::BindsAgainst(watch->second, replica.m_weights);
+  return decide::ForbiddenFrom(watch->second, replica.m_weights);
 }
 
 void CallAttempt::Log(AttemptEnd end, const std::string& reason) const {
@@ -166,11 +166,11 @@
       .With("replica", m_replica)
       .With("end", ToString(end))
       .With("number", static_cast<uint64_t>(m_number))
-      .With("weights", m_result.m_facts.m_weights.value_or(0))
+      .With("weights", m_result.m_metadata.m_weights.value_or(0))
       .With("replicas_age_ms",
-            ToMilliseconds(now - m_services.m_state.m_replicas_at))
+            ToMilliseconds(now - m_services.m_state.m_replicas_confirmed_at))
       .With("ms", ToMilliseconds(now - m_sent_at))
-      .With("silent_ms", ToMilliseconds(now - m_record->m_times.m_heard_at))
+      .With("silent_ms", ToMilliseconds(now - m_record->m_times.m_last_seen_at))
       .With("reason", reason)
       .Info();
 }
--- a/src/libverbenalead/entry/call_attempt.h
+++ b/src/libverbenalead/entry/call_attempt.h
@@ -32,7 +32,7 @@
                        const std::function<void()>& on_sent);
   /// Reads the first piece of the body and stores it for the next ReadBody().
   /// Shows that the replica really answers before the attempt is used.
-  Awaitable<void> ReadAhead();
+  Awaitable<void> PrefetchBody();
   /// Returns the next piece of the body, as `wire::ResponseReader::ReadBody`.
   Awaitable<AsyncResult<std::optional<std::string>>> ReadBody();
   /// Cancels the attempt, as its answer isn't needed any more: the coroutine
@@ -53,7 +53,8 @@
   AttemptResult& result() { return m_result; }
 
  private:
-  platform::ForwardedCall Forwarded(const decide::ReplicaState& replica) const;
+  platform::ForwardedCall ToForwardedCall(
+      const decide::ReplicaState& replica) const;
   /// Time after which the call must not start at `replica`, because newer
   /// weights than the replica's become mandatory. A call may wait in a
   /// replica's queue for a second; without this limit, a call sent while the
@@ -62,7 +63,7 @@
   TimePoint WeightsDeadline(const decide::ReplicaState& replica) const;
   /// Updates the call's progress, and the replica's known weights version, from
   /// the head of the answer.
-  void NoteHead();
+  void ApplyHead();
 
   const CallServices m_services;
   const std::shared_ptr<CallRecord> m_record;
@@ -77,7 +78,7 @@
   uint32_t m_number = 0;
   TimePoint m_sent_at{};
   AttemptResult m_result;
-  /// The piece of the body that ReadAhead() stored.
+  /// The piece of the body that PrefetchBody() stored.
   std::optional<std::string> m_ahead;
 };
 
--- a/src/libverbenalead/entry/call_fixture.h
+++ b/src/libverbenalead/entry/call_fixture.h
@@ -34,7 +34,7 @@
   wire::ScriptedAnswer answer;
   answer.m_head = Head(status);
   answer.m_pieces = std::move(pieces);
-  answer.m_breaks = breaks;
+  answer.m_breaks_at_end = breaks;
   return answer;
 }
 
@@ -81,11 +81,11 @@
   void setUp() override {
     m_state = std::make_unique<EntryState>(Options());
     m_io = std::make_unique<boost::asio::io_context>();
-    m_datagrams = std::make_unique<links::Datagrams>(m_io->get_executor(),
-                                                     Endpoint("127.0.0.1", 0));
-    m_asker = std::make_unique<PlaceAsker>(*m_state, *m_datagrams);
-    m_places = std::make_unique<PlaceWaiter>(
-        *m_state, *m_asker, [](const decide::ReplicaState&) {});
+    m_datagrams = std::make_unique<links::DatagramSocket>(
+        m_io->get_executor(), Endpoint("127.0.0.1", 0));
+    m_slot_requester = std::make_unique<SlotRequester>(*m_state, *m_datagrams);
+    m_places = std::make_unique<SlotAllocator>(
+        *m_state, *m_slot_requester, [](const decide::ReplicaState&) {});
     m_server = std::make_unique<CallServer>(*m_state, *m_places, m_replicas);
     model::RoutingConfig config;
     config.m_version = 1;
@@ -96,8 +96,8 @@
     m_state->m_routes = std::make_shared<decide::RouteTable>(config);
     m_state->m_replicas_known = true;
     // The store lists no other entries.
-    m_state->m_far_entries = 0;
-    decide::Prove(m_state->m_lease, BootNow());
+    m_state->m_remote_entries = 0;
+    decide::RenewLease(m_state->m_lease, BootNow());
     std::vector<model::Replica> replicas(kReplicas);
     for (size_t i = 0; i < replicas.size(); ++i) {
       replicas[i].m_id = "i-" + std::to_string(i);
@@ -148,7 +148,7 @@
   }
 
   /// Calls in flight at all replicas of the pool.
-  uint32_t InFlight() {
+  uint32_t CallsInFlight() {
     uint32_t calls = 0;
     for (const auto& [id, replica] :
          StateOf(*m_state, "pool").m_pool.m_replicas)
@@ -158,9 +158,9 @@
 
   std::unique_ptr<EntryState> m_state;
   std::unique_ptr<boost::asio::io_context> m_io;
-  std::unique_ptr<links::Datagrams> m_datagrams;
-  std::unique_ptr<PlaceAsker> m_asker;
-  std::unique_ptr<PlaceWaiter> m_places;
+  std::unique_ptr<links::DatagramSocket> m_datagrams;
+  std::unique_ptr<SlotRequester> m_slot_requester;
+  std::unique_ptr<SlotAllocator> m_places;
   wire::ScriptedClient m_replicas;
   std::unique_ptr<CallServer> m_server;
 };
--- a/src/libverbenalead/entry/call_hedge_test.cc
+++ b/src/libverbenalead/entry/call_hedge_test.cc
@@ -15,20 +15,20 @@
 wire::ScriptedAnswer WithPause(wire::ScriptedAnswer answer,
                                size_t before,
                                Duration pause) {
-  answer.m_silences[before] = pause;
+  answer.m_piece_delays[before] = pause;
   return answer;
 }
 
 wire::ScriptedAnswer WithLateHead(wire::ScriptedAnswer answer, Duration pause) {
-  answer.m_head_silence = pause;
+  answer.m_head_delay = pause;
   return answer;
 }
 
 /// Replicas that send nothing for a while before or within an answer. Guards
 /// against cutting off an answer that is only late, and against waiting for a
 /// dead replica while another one could answer.
-class SilentReplicaTest : public CallFixture {
-  CPPUNIT_TEST_SUITE(SilentReplicaTest);
+class CallHedgeTest : public CallFixture {
+  CPPUNIT_TEST_SUITE(CallHedgeTest);
   CPPUNIT_TEST(PausedStreamIsCompleteWithoutAnotherFreeReplica);
   CPPUNIT_TEST(LateHeadIsAwaitedWithoutAnotherFreeReplica);
   CPPUNIT_TEST(LatePlainAnswerIsAwaitedWithoutAnotherFreeReplica);
@@ -86,7 +86,7 @@
         Answer(200, {Event(2), Event(3)})};
     const wire::RecordingWriter caller = Call("/stream/1");
     CPPUNIT_ASSERT_EQUAL(Event(1) + Event(2) + Event(3), caller.m_body);
-    CPPUNIT_ASSERT_EQUAL(1, caller.m_heads);
+    CPPUNIT_ASSERT_EQUAL(1, caller.m_head_count);
     CPPUNIT_ASSERT(caller.m_whole);
     CPPUNIT_ASSERT_EQUAL(std::string("1"),
                          wire::Get(m_replicas.m_requests.at(1).m_headers,
@@ -150,14 +150,16 @@
     auto& replicas = StateOf(*m_state, "pool").m_pool.m_replicas;
     for (auto found = std::next(replicas.begin()); found != replicas.end();
          ++found) {
-      found->second.m_elsewhere = found->second.m_replica.m_slots;
+      found->second.m_other_entries_calls = found->second.m_replica.m_slots;
     }
   }
 
-  void AssertAllSlotsFree() { CPPUNIT_ASSERT_EQUAL(uint32_t{0}, InFlight()); }
+  void AssertAllSlotsFree() {
+    CPPUNIT_ASSERT_EQUAL(uint32_t{0}, CallsInFlight());
+  }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(SilentReplicaTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(CallHedgeTest);
 
 }  // namespace
 }  // namespace verbenalead::entry
--- a/src/libverbenalead/entry/call_plan.h
+++ b/src/libverbenalead/entry/call_plan.h
@@ -25,13 +25,13 @@
   /// Identifies equal requests, so that one that crashes replicas is recognised
   /// when it is sent again.
   uint64_t m_fingerprint = 0;
-  decide::Patience m_patience;
+  decide::WaitLimit m_patience;
   /// For how long, at least, the caller had been trying when the call arrived,
   /// estimated from the time that the caller says is left.
   Duration m_elapsed{};
   /// Expected run time at a replica; zero: not known.
   Duration m_length{};
-  TimePoint m_began{};
+  TimePoint m_started_at{};
   /// The earlier of the caller's deadline and the time limit of the route.
   TimePoint m_deadline{};
 };
--- a/src/libverbenalead/entry/call_run.cc
+++ b/src/libverbenalead/entry/call_run.cc
@@ -34,33 +34,34 @@
   progress.m_resumable = m_plan.m_route.m_resumable;
   progress.m_max_attempts = m_plan.m_route.m_max_attempts;
   decide::PoolCall& call = m_record->m_pool_call;
-  call.m_fresh = m_plan.m_patience.m_fresh;
+  call.m_can_be_on_time = m_plan.m_patience.m_can_be_on_time;
   call.m_prompt_tokens = m_plan.m_call.m_prompt_tokens;
-  if (!m_plan.m_model.empty() && m_plan.m_patience.m_fresh)
-    call.m_read_by = m_plan.m_began + m_plan.m_patience.m_read;
+  if (!m_plan.m_model.empty() && m_plan.m_patience.m_can_be_on_time)
+    call.m_read_deadline = m_plan.m_started_at + m_plan.m_patience.m_read;
   call.m_length = m_plan.m_length;
   call.m_urgency = m_plan.m_route.m_urgency;
 }
 
 Awaitable<void> CallRun::Run() {
   m_executor = co_await boost::asio::this_coro::executor;
-  m_caller.OnGone([this] { CancelAll(); });
+  m_caller.OnDisconnect([this] { CancelAll(); });
   try {
     co_await Answer();
   } catch (...) {
-    m_caller.OnGone(nullptr);
+    m_caller.OnDisconnect(nullptr);
     CancelAll();
     throw;
   }
-  m_caller.OnGone(nullptr);
-  StopWatching();
+  m_caller.OnDisconnect(nullptr);
+  StopHedge();
 }
 
 Awaitable<void> CallRun::Answer() {
-  decide::CountCall(StateOf(m_state, m_plan.m_service).m_repeats,
-                    m_state.m_options.m_repeats, Now());
-  if (!m_plan.m_patience.m_fresh &&
-      decide::TurnsLateAway(StateOf(m_state, m_plan.m_service).m_late, Now())) {
+  decide::CountCall(StateOf(m_state, m_plan.m_service).m_retries,
+                    m_state.m_options.m_retries, Now());
+  if (!m_plan.m_patience.m_can_be_on_time &&
+      decide::ShedsLateCalls(StateOf(m_state, m_plan.m_service).m_late,
+                             Now())) {
     co_await Refuse(decide::Refusal::kFull);
     co_return;
   }
@@ -75,10 +76,10 @@
 }
 
 Awaitable<bool> CallRun::Begin() {
-  TimePoint wait_until =
-      std::min(m_plan.m_deadline, m_plan.m_began + m_plan.m_patience.m_wait);
+  TimePoint wait_until = std::min(
+      m_plan.m_deadline, m_plan.m_started_at + m_plan.m_patience.m_wait);
   while (true) {
-    if (!co_await SendOnce(wait_until, false)) {
+    if (!co_await SendAttempt(wait_until, false)) {
       co_await GiveUp();
       co_return false;
     }
@@ -91,10 +92,10 @@
       co_return false;
     }
     if (end == AttemptEnd::kBroken)
-      NoteBreak();
+      RecordReplicaCrash();
     const bool retry = Left() > Duration() &&
-                       decide::MayTryAgain(m_record->m_progress, end) &&
-                       TakeRepeatAfter(end);
+                       decide::MayRetry(m_record->m_progress, end) &&
+                       TryTakeRetryAfter(end);
     if (!retry && end == AttemptEnd::kFailed)
       co_return true;  // The replica's error response is passed to the caller.
     EndAttempt(end);
@@ -102,59 +103,59 @@
       co_await GiveUp();
       co_return false;
     }
-    decide::PrepareRepeat(
+    decide::PrepareRetry(
         m_record->m_pool_call,
         StateOf(m_state, m_plan.m_service).m_pool.m_prefill_rate, Now());
     wait_until = std::min(
         m_plan.m_deadline,
-        std::max(wait_until, Now() + decide::RepeatWait(m_record->m_progress)));
+        std::max(wait_until, Now() + decide::RetryWait(m_record->m_progress)));
   }
 }
 
-Awaitable<bool> CallRun::SendOnce(TimePoint wait_until, bool resumes) {
+Awaitable<bool> CallRun::SendAttempt(TimePoint wait_until, bool resumes) {
   if (m_caller.gone())
     co_return false;
   const TimePoint wait_began = Now();
   m_record->m_progress.m_begun = false;
   m_attempt = std::make_shared<CallAttempt>(m_services, m_record);
   const std::function<void()> on_sent = [this, wait_began] {
-    NoteSent(wait_began);
+    RecordSent(wait_began);
   };
   bool sent = false;
   if (resumes)
     sent =
-        co_await SendAgain(m_state, *m_record, *m_attempt, wait_until, on_sent);
+        co_await SendRetry(m_state, *m_record, *m_attempt, wait_until, on_sent);
   else
     sent = co_await m_attempt->Send(wait_until, on_sent);
   if (!sent) {
-    m_record->m_times.m_waited += Now() - wait_began;
+    m_record->m_times.m_slot_wait += Now() - wait_began;
     co_return false;
   }
   const bool good = result().m_end == AttemptEnd::kGood;
-  if (!good || HedgeAnswers()) {
-    if (!co_await GoesOnAtHedge())
-      StopWatching();
+  if (!good || IsHedgeReady()) {
+    if (!co_await SwitchToHedge())
+      StopHedge();
     co_return true;
   }
   m_record->m_progress.m_begun = true;
-  m_record->m_times.m_heard_at = Now();
+  m_record->m_times.m_last_seen_at = Now();
   if (m_hedge)
-    m_hedge->NoteHeard();
+    m_hedge->OnReplicaData();
   co_return true;
 }
 
-Awaitable<bool> CallRun::GoesOnAtHedge() {
+Awaitable<bool> CallRun::SwitchToHedge() {
   if (!m_hedge || m_caller.gone())
     co_return false;
   const std::shared_ptr<Hedge> hedge = m_hedge;
   const bool answers = co_await hedge->Finish();
   if (answers)
-    TakeHedge();
+    PromoteHedge();
   co_return answers;
 }
 
 Awaitable<void> CallRun::AnswerWhole() {
-  StopWatching();
+  StopHedge();
   wire::Response response{result().m_head.m_status, {}, ""};
   const AttemptEnd end = result().m_end;
   bool complete = false;
@@ -175,8 +176,8 @@
     }
     const bool retry =
         Left() > Duration() &&
-        decide::MayTryAgain(m_record->m_progress, AttemptEnd::kBroken) &&
-        TakeRepeatAfter(AttemptEnd::kBroken);
+        decide::MayRetry(m_record->m_progress, AttemptEnd::kBroken) &&
+        TryTakeRetryAfter(AttemptEnd::kBroken);
     EndAttempt(AttemptEnd::kBroken);
     if (!retry) {
       co_await GiveUp();
@@ -211,8 +212,8 @@
   }
   const bool usable = decide::HasUsableReplica(
       StateOf(m_state, m_plan.m_service).m_pool, Now());
-  if (usable && m_plan.m_patience.m_fresh)
-    decide::NoteRefusedInTime(StateOf(m_state, m_plan.m_service).m_late, Now());
+  if (usable && m_plan.m_patience.m_can_be_on_time)
+    decide::NoteOnTimeRefusal(StateOf(m_state, m_plan.m_service).m_late, Now());
   co_await Refuse(usable ? decide::Refusal::kFull
                          : decide::Refusal::kNoReplica);
 }
@@ -233,16 +234,16 @@
   LogCall(delivered ? outcome : "caller_gone", status);
 }
 
-void CallRun::NoteSent(TimePoint wait_began) {
+void CallRun::RecordSent(TimePoint wait_began) {
   const TimePoint now = Now();
-  m_record->m_times.m_waited += now - wait_began;
+  m_record->m_times.m_slot_wait += now - wait_began;
   Listen(m_record->m_times, now);
-  WatchSilence();
+  StartHedge();
 }
 
-void CallRun::WatchSilence() {
-  StopWatching();
-  if (!decide::SilenceBeforeHedge(m_record->m_progress, m_plan.m_route))
+void CallRun::StartHedge() {
+  StopHedge();
+  if (!decide::HedgeDelay(m_record->m_progress, m_plan.m_route))
     return;
   const std::weak_ptr<CallAttempt> first = m_attempt;
   const auto on_ready = [first] {
@@ -253,23 +254,23 @@
   m_hedge->Watch();
 }
 
-void CallRun::StopWatching() {
+void CallRun::StopHedge() {
   if (m_hedge)
     m_hedge->Stop();
   m_hedge.reset();
 }
 
-void CallRun::TakeHedge() {
+void CallRun::PromoteHedge() {
   EndAttempt(AttemptEnd::kBroken);
   m_attempt = m_hedge->Take();
   m_hedge.reset();
   m_record->m_progress.m_begun = true;
-  m_record->m_times.m_heard_at = Now();
-  WatchSilence();
+  m_record->m_times.m_last_seen_at = Now();
+  StartHedge();
 }
 
 void CallRun::CancelAll() {
-  StopWatching();
+  StopHedge();
   if (m_attempt)
     m_attempt->Cancel();
 }
@@ -280,24 +281,24 @@
   m_attempt->End(end);
 }
 
-bool CallRun::TakeRepeatAfter(AttemptEnd end) {
+bool CallRun::TryTakeRetryAfter(AttemptEnd end) {
   // An attempt that reached no replica caused no load, so another one isn't
   // counted as a retry.
   return end == AttemptEnd::kUnreachable ||
-         TakeRepeat(m_state, m_plan.m_service);
+         TryTakeRetry(m_state, m_plan.m_service);
 }
 
-void CallRun::NoteBreak() {
+void CallRun::RecordReplicaCrash() {
   // A time-out isn't evidence of a crash, nor is a break that this entry caused
   // by cancelling the attempt.
   if (result().m_failure == FailureCode::kTimeout ||
       result().m_failure == FailureCode::kCancelled)
     return;
-  decide::NoteCrash(m_state.m_crashes, m_plan.m_fingerprint,
-                    m_attempt->incarnation(), Now());
+  decide::RecordCrash(m_state.m_crashes, m_plan.m_fingerprint,
+                      m_attempt->incarnation(), Now());
 }
 
-const char* CallRun::EndedBy() const {
+const char* CallRun::CutCause() const {
   if (m_caller.gone())
     return "caller";
   if (Left() <= Duration())
@@ -309,14 +310,14 @@
 
 void CallRun::LogCall(const std::string& outcome, int status) {
   m_state.m_metrics.Count("calls_total", "outcome=\"" + outcome + "\"");
-  const std::string ended_by = outcome == kCut ? EndedBy() : "";
+  const std::string ended_by = outcome == kCut ? CutCause() : "";
   if (!ended_by.empty())
     m_state.m_metrics.Count("answers_cut_total", "by=\"" + ended_by + "\"");
   const TimePoint now = Now();
   const CallTimes& times = m_record->m_times;
   m_state.m_metrics.Observe(
       "call_seconds", "",
-      std::chrono::duration<double>(now - m_plan.m_began).count());
+      std::chrono::duration<double>(now - m_plan.m_started_at).count());
   LogLine("call")
       .With("call", m_plan.m_call.m_id)
       .With("route", m_plan.m_route.m_name)
@@ -336,18 +337,18 @@
             ToMilliseconds(m_plan.m_call.m_time_left.value_or(Duration())))
       .With("objective_ms", ToMilliseconds(m_plan.m_route.m_objective))
       .With("elapsed_ms", ToMilliseconds(m_plan.m_elapsed))
-      .With("fresh", m_plan.m_patience.m_fresh)
+      .With("fresh", m_plan.m_patience.m_can_be_on_time)
       .With("patience_ms", ToMilliseconds(m_plan.m_patience.m_wait))
       .With("patience_share",
             StateOf(m_state, m_plan.m_service).m_patience.m_share)
-      .With("waited_ms", ToMilliseconds(times.m_waited))
+      .With("waited_ms", ToMilliseconds(times.m_slot_wait))
       .With("first_event_ms",
             times.m_first_event ? ToMilliseconds(*times.m_first_event) : -1)
       .With("longest_pause_ms", ToMilliseconds(times.m_longest_pause))
-      .With("ms", ToMilliseconds(now - m_plan.m_began))
+      .With("ms", ToMilliseconds(now - m_plan.m_started_at))
       .With("left_ms", ToMilliseconds(Left()))
       .With("silent_ms", m_record->m_attempts > 0
-                             ? ToMilliseconds(now - times.m_heard_at)
+                             ? ToMilliseconds(now - times.m_last_seen_at)
                              : 0)
       .With("lag_ms", ToMilliseconds(WorstLag(m_state.m_lag, now)))
       .With("reason", m_reason)
--- a/src/libverbenalead/entry/call_run.h
+++ b/src/libverbenalead/entry/call_run.h
@@ -33,7 +33,7 @@
   /// Sends the call to one replica, and to a second one in parallel if the
   /// first is silent. False: no place came free. `resumes`: this call resumes a
   /// stream at another replica.
-  Awaitable<bool> SendOnce(TimePoint wait_until, bool resumes);
+  Awaitable<bool> SendAttempt(TimePoint wait_until, bool resumes);
   Awaitable<void> AnswerWhole();
   Awaitable<void> AnswerStream();
   /// Passes events to the caller until the replica's answer ends or breaks off.
@@ -41,12 +41,12 @@
   Awaitable<bool> RelayEvents();
   /// Records whether the first event was late, which adjusts how long later
   /// calls of the service wait for a place.
-  void LearnFromFirstEvent();
+  void RecordFirstEventLateness();
   /// Resumes the stream at another replica. False: no replica took it over.
   Awaitable<bool> Resume();
   /// Called when the current replica has failed or broken off. Waits for the
   /// hedge, if it was sent, and switches to it. True: the hedge answers.
-  Awaitable<bool> GoesOnAtHedge();
+  Awaitable<bool> SwitchToHedge();
   /// Ends a call without an answer: the caller is told that the call was not
   /// run if that is certain, else that its outcome is unknown.
   Awaitable<void> GiveUp();
@@ -57,29 +57,29 @@
 
   /// Records that the current attempt has got a place, after waiting since
   /// `wait_began`, and starts to watch the replica for silence.
-  void NoteSent(TimePoint wait_began);
+  void RecordSent(TimePoint wait_began);
   /// Starts a new hedge for the current attempt, if one is allowed.
-  void WatchSilence();
-  void StopWatching();
+  void StartHedge();
+  void StopHedge();
   /// The hedge has begun to answer and can replace the current attempt.
-  bool HedgeAnswers() const { return m_hedge && m_hedge->ready(); }
+  bool IsHedgeReady() const { return m_hedge && m_hedge->ready(); }
   /// Ends the current attempt and replaces it by the hedge's attempt.
-  void TakeHedge();
+  void PromoteHedge();
   /// Cancels all attempts when the caller has disconnected.
   void CancelAll();
   /// Ends the current attempt and keeps its reason for the log.
   void EndAttempt(decide::AttemptEnd end);
   /// Whether a retry after `end` is within the limit on retries. A retry after
   /// an unreachable replica isn't counted.
-  bool TakeRepeatAfter(decide::AttemptEnd end);
+  bool TryTakeRetryAfter(decide::AttemptEnd end);
   /// Counts a crash of the replica under this request, unless the attempt timed
   /// out or was cancelled.
-  void NoteBreak();
+  void RecordReplicaCrash();
   void LogCall(const std::string& outcome, int status);
   /// What cut an answer short: `replica`, `caller`, `time` (deadline of the
   /// caller or the route), `silence` (this entry timed out on the replica
   /// before the deadline).
-  const char* EndedBy() const;
+  const char* CutCause() const;
   AttemptResult& result() { return m_attempt->result(); }
   Duration Left() const { return m_record->Left(Now()); }
 
--- a/src/libverbenalead/entry/call_run_stream.cc
+++ b/src/libverbenalead/entry/call_run_stream.cc
@@ -36,9 +36,9 @@
       co_return;
     }
     if (!m_caller.gone()) {
-      NoteBreak();
+      RecordReplicaCrash();
       m_attempt->Log(AttemptEnd::kBroken, result().m_reason);
-      if (co_await GoesOnAtHedge())
+      if (co_await SwitchToHedge())
         continue;
     }
     if (m_caller.gone()) {
@@ -48,8 +48,8 @@
     }
     const bool retry =
         Left() > Duration() &&
-        decide::MayTryAgain(m_record->m_progress, AttemptEnd::kBroken) &&
-        TakeRepeatAfter(AttemptEnd::kBroken);
+        decide::MayRetry(m_record->m_progress, AttemptEnd::kBroken) &&
+        TryTakeRetryAfter(AttemptEnd::kBroken);
     EndAttempt(AttemptEnd::kBroken);
     if (retry && co_await Resume())
       continue;
@@ -64,17 +64,17 @@
 Awaitable<bool> CallRun::RelayEvents() {
   decide::EventSplitter& events = m_record->m_events;
   CallTimes& times = m_record->m_times;
-  decide::DropPartial(events);
+  decide::DiscardPartialEvent(events);
   while (true) {
     Listen(times, Now());
     auto piece = co_await m_attempt->ReadBody();
-    times.m_listens = false;
+    times.m_awaiting_data = false;
     const bool ended = piece && !piece->has_value();
     if (ended && events.m_partial.empty())
       co_return true;
-    if (HedgeAnswers()) {
-      TakeHedge();
-      decide::DropPartial(events);
+    if (IsHedgeReady()) {
+      PromoteHedge();
+      decide::DiscardPartialEvent(events);
       continue;
     }
     if (ended)
@@ -83,15 +83,15 @@
       result().m_reason = kDeadlineReason;
     if (ended || !piece)
       co_return false;
-    std::string complete_events = decide::TakeEvents(events, **piece);
+    std::string complete_events = decide::ExtractEvents(events, **piece);
     if (complete_events.empty())
       continue;
-    NoteEvent(times, m_plan.m_began, Now());
+    RecordEvent(times, m_plan.m_started_at, Now());
     if (m_hedge)
-      m_hedge->NoteHeard();
+      m_hedge->OnReplicaData();
     if (!m_head_sent) {
       m_head_sent = true;
-      LearnFromFirstEvent();
+      RecordFirstEventLateness();
       m_state.m_metrics.Observe(
           "first_event_seconds", "",
           std::chrono::duration<double>(*times.m_first_event).count());
@@ -103,13 +103,13 @@
   }
 }
 
-void CallRun::LearnFromFirstEvent() {
+void CallRun::RecordFirstEventLateness() {
   // Only on-time calls that waited for a place and were sent once are counted.
   // A call that got a place at once had time to spare, and the time of a call
   // with several attempts isn't the time that one replica needs.
   const CallTimes& times = m_record->m_times;
-  if (!m_plan.m_patience.m_fresh || m_record->m_attempts > 1 ||
-      times.m_waited < kMinSlotWait)
+  if (!m_plan.m_patience.m_can_be_on_time || m_record->m_attempts > 1 ||
+      times.m_slot_wait < kMinSlotWait)
     return;
   decide::NoteFirstEvent(StateOf(m_state, m_plan.m_service).m_patience,
                          *times.m_first_event > m_plan.m_route.m_objective);
@@ -118,16 +118,15 @@
 Awaitable<bool> CallRun::Resume() {
   while (true) {
     const TimePoint until = std::min(
-        m_plan.m_deadline, Now() + decide::RepeatWait(m_record->m_progress));
-    if (!co_await SendOnce(until, true))
+        m_plan.m_deadline, Now() + decide::RetryWait(m_record->m_progress));
+    if (!co_await SendAttempt(until, true))
       co_return false;
     const AttemptEnd end = result().m_end;
     if (end == AttemptEnd::kGood && result().m_head.m_status == kOk)
       co_return true;
     EndAttempt(m_caller.gone() ? AttemptEnd::kAbandoned : end);
     if (m_caller.gone() || Left() <= Duration() ||
-        !decide::MayTryAgain(m_record->m_progress, end) ||
-        !TakeRepeatAfter(end))
+        !decide::MayRetry(m_record->m_progress, end) || !TryTakeRetryAfter(end))
       co_return false;
   }
 }
--- a/src/libverbenalead/entry/call_server.cc
+++ b/src/libverbenalead/entry/call_server.cc
@@ -44,15 +44,15 @@
                              std::optional<Duration> left) {
   if (!left)
     return Duration();
-  Duration& longest = m_longest_time[route];
+  Duration& longest = m_longest_time_left[route];
   longest = std::max(longest, *left);
-  return decide::KnownElapsed(longest, *left);
+  return decide::MinElapsed(longest, *left);
 }
 
 Awaitable<void> CallServer::Serve(const wire::Request& request,
                                   wire::ResponseWriter& caller) {
   CallPlan plan;
-  plan.m_began = Now();
+  plan.m_started_at = Now();
   plan.m_call = platform::DecodeCall(request);
   const model::InboundCall& call = plan.m_call;
   // Failure: a call arrives on a caller's persistent connection while the entry
@@ -60,7 +60,7 @@
   // answer is cut off when the process exits. Idle connections are closed at
   // this point, so only calls that were sent at the same moment arrive here;
   // they are refused at once as not run.
-  if (!m_state.m_takes_calls) {
+  if (!m_state.m_accepts_calls) {
     co_await RefuseCall(
         caller, m_state, call, kUnavailable, "not run: the entry stops",
         decide::RetryAfter(decide::Refusal::kNotReady, m_state.m_random));
@@ -82,7 +82,7 @@
   // Without a valid lease the configuration may be out of date: a route or key
   // that is missing here may have been added, and a key that is present may
   // have been revoked.
-  if ((!route || needs_key) && !LeaseHolds(m_state)) {
+  if ((!route || needs_key) && !HasValidLease(m_state)) {
     co_await RefuseCall(
         caller, m_state, call, kUnavailable,
         "not run: the configuration is too old",
@@ -107,30 +107,30 @@
   }
   plan.m_fingerprint = decide::RequestKey(plan.m_organisation, request.m_method,
                                           request.m_path, request.m_body);
-  if (decide::IsSetAside(m_state.m_crashes, plan.m_fingerprint, Now())) {
+  if (decide::IsQuarantined(m_state.m_crashes, plan.m_fingerprint, Now())) {
     co_await RefuseCall(
         caller, m_state, call, kUnavailable,
         "not run: the request crashes replicas",
         decide::RetryAfter(decide::Refusal::kCrashes, m_state.m_random));
     co_return;
   }
-  plan.m_service = decide::DrawService(*route, m_state.m_random);
+  plan.m_service = decide::SelectService(*route, m_state.m_random);
   plan.m_config_version = routes->config().m_version;
   const Duration limit =
       route->m_timeout > Duration() ? route->m_timeout : kDefaultTimeLimit;
   plan.m_deadline =
-      plan.m_began + std::min(limit, call.m_time_left.value_or(limit));
+      plan.m_started_at + std::min(limit, call.m_time_left.value_or(limit));
   const model::Service* service = routes->FindService(plan.m_service);
   const model::EngineProfile* engine =
       service && service->m_engine ? &*service->m_engine : nullptr;
   if (engine) {
     plan.m_model = engine->m_model;
-    plan.m_length = decide::RunTime(*engine, call);
+    plan.m_length = decide::ExpectedRunTime(*engine, call);
   }
   plan.m_elapsed = Elapsed(route->m_name, call.m_time_left);
   plan.m_patience =
-      decide::PatienceFor(*route, engine, call, plan.m_elapsed,
-                          StateOf(m_state, plan.m_service).m_patience.m_share);
+      decide::WaitLimitFor(*route, engine, call, plan.m_elapsed,
+                           StateOf(m_state, plan.m_service).m_patience.m_share);
   CallRun run(CallServices{m_state, m_places, m_http}, std::move(plan), request,
               caller);
   co_await run.Run();
--- a/src/libverbenalead/entry/call_server.h
+++ b/src/libverbenalead/entry/call_server.h
@@ -16,7 +16,7 @@
 /// at once with the reason, and never reaches a replica.
 class CallServer {
  public:
-  CallServer(EntryState& state, PlaceWaiter& places, wire::Client& http)
+  CallServer(EntryState& state, SlotAllocator& places, wire::Client& http)
       : m_state(state), m_places(places), m_http(http) {}
 
   Awaitable<void> Serve(const wire::Request& request,
@@ -29,10 +29,10 @@
   Duration Elapsed(const std::string& route, std::optional<Duration> left);
 
   EntryState& m_state;
-  PlaceWaiter& m_places;
+  SlotAllocator& m_places;
   wire::Client& m_http;
   /// The longest time left that a call arrived with, by route.
-  std::map<std::string, Duration> m_longest_time;
+  std::map<std::string, Duration> m_longest_time_left;
 };
 
 }  // namespace verbenalead::entry
--- a/src/libverbenalead/entry/call_server_test.cc
+++ b/src/libverbenalead/entry/call_server_test.cc
@@ -33,7 +33,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("acme"),
                          wire::Get(m_replicas.m_requests.at(0).m_headers,
                                    platform::kOrganisation));
-    CPPUNIT_ASSERT_EQUAL(uint32_t{0}, InFlight());
+    CPPUNIT_ASSERT_EQUAL(uint32_t{0}, CallsInFlight());
   }
 
   // A caller that lost its connection after the last event resumes from there,
@@ -42,7 +42,7 @@
   void AStreamWithoutEventsStillHasAHead() {
     m_replicas.m_answers = {Answer(200, {})};
     const wire::RecordingWriter caller = Call("/stream/1");
-    CPPUNIT_ASSERT_EQUAL(1, caller.m_heads);
+    CPPUNIT_ASSERT_EQUAL(1, caller.m_head_count);
     CPPUNIT_ASSERT(caller.m_whole);
     CPPUNIT_ASSERT_EQUAL(std::string(), caller.m_body);
   }
@@ -55,7 +55,7 @@
     const wire::RecordingWriter caller = Call("/stream/1");
     CPPUNIT_ASSERT_EQUAL(Event(1) + Event(2) + Event(3) + Event(4),
                          caller.m_body);
-    CPPUNIT_ASSERT_EQUAL(1, caller.m_heads);
+    CPPUNIT_ASSERT_EQUAL(1, caller.m_head_count);
     CPPUNIT_ASSERT(caller.m_whole);
     CPPUNIT_ASSERT_EQUAL(std::string("2"),
                          wire::Get(m_replicas.m_requests.at(1).m_headers,
--- a/src/libverbenalead/entry/caller_addresses.cc
+++ b/src/libverbenalead/entry/caller_addresses.cc
@@ -51,10 +51,10 @@
 
 }  // namespace
 
-std::vector<Endpoint> EntriesFor(const EntryState& state,
-                                 const std::string& data_center,
-                                 size_t limit,
-                                 TimePoint now) {
+std::vector<Endpoint> EntriesForCallers(const EntryState& state,
+                                        const std::string& data_center,
+                                        size_t limit,
+                                        TimePoint now) {
   Candidates candidates = CollectCandidates(state, data_center, now);
   std::vector<Endpoint> list = std::move(candidates.m_near);
   if (list.size() < kMinEntriesPerDataCenter)
--- a/src/libverbenalead/entry/caller_addresses.h
+++ b/src/libverbenalead/entry/caller_addresses.h
@@ -18,10 +18,10 @@
 /// Entries are listed by host name, starting at this entry and wrapping around.
 /// So the entries of a data centre leave out different ones where `limit` cuts
 /// the list, and every entry receives its share of the callers.
-std::vector<Endpoint> EntriesFor(const EntryState& state,
-                                 const std::string& data_center,
-                                 size_t limit,
-                                 TimePoint now);
+std::vector<Endpoint> EntriesForCallers(const EntryState& state,
+                                        const std::string& data_center,
+                                        size_t limit,
+                                        TimePoint now);
 
 }  // namespace verbenalead::entry
 
--- a/src/libverbenalead/entry/caller_addresses_test.cc
+++ b/src/libverbenalead/entry/caller_addresses_test.cc
@@ -34,7 +34,7 @@
   state->m_replicas_known = true;
   state->m_operator_revision = 5;
   state->m_replicas_hash = 7;
-  decide::Prove(state->m_lease, BootNow());
+  decide::RenewLease(state->m_lease, BootNow());
   return state;
 }
 
@@ -44,7 +44,7 @@
   for (size_t number = first; number < first + count; ++number) {
     PeerEntry& peer = state.m_peers[Address(number).m_host];
     peer.m_address = Address(number);
-    peer.m_heard_at = Now();
+    peer.m_last_seen_at = Now();
     peer.m_ready = ready;
     peer.m_operator_revision = ready ? 5 : 0;
     peer.m_replicas_hash = ready ? 7 : 0;
@@ -52,7 +52,7 @@
 }
 
 size_t Told(const EntryState& state) {
-  return EntriesFor(state, "a", kMost, Now()).size();
+  return EntriesForCallers(state, "a", kMost, Now()).size();
 }
 
 class CallerAddressesTest : public CppUnit::TestFixture {
@@ -84,7 +84,8 @@
       const auto entry = Ready(number);
       Tell(*entry, 0, number, true);
       Tell(*entry, number + 1, kEntries - number - 1, true);
-      for (const Endpoint& endpoint : EntriesFor(*entry, "a", kMost, Now()))
+      for (const Endpoint& endpoint :
+           EntriesForCallers(*entry, "a", kMost, Now()))
         ++listings[ToString(endpoint)];
     }
     CPPUNIT_ASSERT_EQUAL(kEntries, listings.size());
--- a/src/libverbenalead/entry/entry_options.cc
+++ b/src/libverbenalead/entry/entry_options.cc
@@ -50,14 +50,14 @@
   options.m_directory = settings.Address("listen.directory");
   options.m_metrics = settings.Address("listen.metrics");
   options.m_store = settings.Address("store.address");
-  options.m_targets_port = options.m_self.m_peers.port();
+  options.m_target_datagram_port = options.m_self.m_peers.port();
   options.m_strict_keys = settings.Flag("bounds.strict_keys");
   options.m_key_bound =
       Seconds(settings.Number("bounds.keys") / kMillisecondsPerSecond);
   options.m_weights_bound =
       Seconds(settings.Number("bounds.weights") / kMillisecondsPerSecond);
   options.m_stop_bound = Seconds(settings.Number("bounds.stop"));
-  options.m_repeats = {settings.Number("repeats.ratio"),
+  options.m_retries = {settings.Number("repeats.ratio"),
                        settings.Number("repeats.slack"),
                        Seconds(settings.Number("repeats.window"))};
   return options;
--- a/src/libverbenalead/entry/entry_options.h
+++ b/src/libverbenalead/entry/entry_options.h
@@ -18,7 +18,7 @@
   Endpoint m_metrics;
   Endpoint m_store;
   /// Port on which target processes receive datagrams.
-  uint16_t m_targets_port = 0;
+  uint16_t m_target_datagram_port = 0;
   /// Whether a removed key must be rejected on every host, also on a host that
   /// is cut off from the store.
   bool m_strict_keys = true;
@@ -28,7 +28,7 @@
   Duration m_weights_bound{};
   /// Time from the stop signal until the process is killed.
   Duration m_stop_bound{};
-  decide::RetryAllowance m_repeats;
+  decide::RetryAllowance m_retries;
 };
 
 SettingsSchema EntrySettings();
--- a/src/libverbenalead/entry/entry_registration.cc
+++ b/src/libverbenalead/entry/entry_registration.cc
@@ -16,7 +16,7 @@
 constexpr Duration kRetryDelay = 500ms;
 
 std::string EncodeEntryRow(const model::EntryAddress& entry) {
-  links::EntryNews update;
+  links::EntryUpdate update;
   update.m_address = entry;
   return links::EncodeMessage(update);
 }
@@ -33,16 +33,16 @@
 
 }  // namespace
 
-Registration::Registration(EntryState& state,
-                           platform::Store& store,
-                           std::function<void()> on_entries_read,
-                           std::function<bool()> is_summary_sender)
+EntryRegistration::EntryRegistration(EntryState& state,
+                                     platform::Store& store,
+                                     std::function<void()> on_entries_read,
+                                     std::function<bool()> is_summary_sender)
     : m_state(state),
       m_store(store),
-      m_on_near(std::move(on_entries_read)),
-      m_speaks(std::move(is_summary_sender)) {}
+      m_on_entries_read(std::move(on_entries_read)),
+      m_is_summary_sender(std::move(is_summary_sender)) {}
 
-Awaitable<void> Registration::KeepRegistered() {
+Awaitable<void> EntryRegistration::KeepRegistered() {
   // The row exists already if only the process was restarted. The table is read
   // again after the row was written: of two entries that start at the same
   // time, at least one then sees the other.
@@ -57,7 +57,7 @@
     // Until this entry's row exists, the rows of others that have just started
     // may be missing as well.
     if (registered) {
-      m_on_near();
+      m_on_entries_read();
       co_await Sleep(kTableInterval);
       continue;
     }
@@ -70,14 +70,14 @@
   }
 }
 
-Awaitable<void> Registration::LearnFarEntries() {
+Awaitable<void> EntryRegistration::FollowRemoteEntries() {
   while (true) {
-    const bool read = m_speaks() && co_await ReadFarParts();
+    const bool read = m_is_summary_sender() && co_await ReadRemoteEntries();
     co_await Sleep(read ? kTableInterval : kRetryDelay);
   }
 }
 
-Awaitable<bool> Registration::ReadFarParts() {
+Awaitable<bool> EntryRegistration::ReadRemoteEntries() {
   const auto parts = co_await m_store.ListParts(platform::kEntryTable);
   if (!parts) {
     LogLine("entries_not_read").With(parts.error()).Warn();
@@ -98,8 +98,8 @@
     far_entries += static_cast<uint32_t>(rows->m_rows.size());
     TakeRows(*rows);
   }
-  m_state.m_far_entries =
-      std::max(m_state.m_far_entries.value_or(0), far_entries);
+  m_state.m_remote_entries =
+      std::max(m_state.m_remote_entries.value_or(0), far_entries);
   LogLine("far_entries")
       .With("entries", uint64_t{far_entries})
       .With("data_centers", static_cast<uint64_t>(parts->size()))
@@ -107,7 +107,7 @@
   co_return true;
 }
 
-void Registration::TakeRows(const platform::Rows& rows) {
+void EntryRegistration::TakeRows(const platform::Rows& rows) {
   // This small answer is the first one after a start. It sets the offset of the
   // store's clock, with which the proofs of other entries are dated.
   decide::AnsweredAt(m_state.m_store_clock, rows.m_asked_at, rows.m_store_time);
@@ -117,13 +117,13 @@
     auto message =
         CatchFailure([&] { return links::DecodeMessage(row.m_value); });
     const auto* update =
-        message ? std::get_if<links::EntryNews>(&*message) : nullptr;
+        message ? std::get_if<links::EntryUpdate>(&*message) : nullptr;
     if (!update) {
       LogLine("bad_entry_row").With("key", row.m_key).Warn();
       continue;
     }
     PeerEntry& peer = m_state.m_peers[update->m_address.m_host];
-    if (peer.m_heard_at == TimePoint())
+    if (peer.m_last_seen_at == TimePoint())
       peer.m_address = update->m_address;
   }
 }
--- a/src/libverbenalead/entry/entry_registration.h
+++ b/src/libverbenalead/entry/entry_registration.h
@@ -20,32 +20,32 @@
 /// during which no entry served calls. So each entry reads only the rows of its
 /// own data centre, and the one entry that sends summaries for its data centre
 /// reads the others.
-class Registration {
+class EntryRegistration {
  public:
   /// `on_entries_read` is called after the rows of this data centre were read.
   /// `is_summary_sender` returns whether this entry sends the summaries for its
   /// data centre. `state` and `store` outlive this.
-  Registration(EntryState& state,
-               platform::Store& store,
-               std::function<void()> on_entries_read,
-               std::function<bool()> is_summary_sender);
+  EntryRegistration(EntryState& state,
+                    platform::Store& store,
+                    std::function<void()> on_entries_read,
+                    std::function<bool()> is_summary_sender);
 
   /// Keeps this entry's row in the store and reads the rows of its data centre.
   /// Doesn't return.
   Awaitable<void> KeepRegistered();
   /// Reads the rows of other data centres while this entry sends the summaries.
   /// Doesn't return.
-  Awaitable<void> LearnFarEntries();
+  Awaitable<void> FollowRemoteEntries();
 
  private:
   /// Returns false if not all rows could be read.
-  Awaitable<bool> ReadFarParts();
+  Awaitable<bool> ReadRemoteEntries();
   void TakeRows(const platform::Rows& rows);
 
   EntryState& m_state;
   platform::Store& m_store;
-  const std::function<void()> m_on_near;
-  const std::function<bool()> m_speaks;
+  const std::function<void()> m_on_entries_read;
+  const std::function<bool()> m_is_summary_sender;
 };
 
 }  // namespace verbenalead::entry
--- a/src/libverbenalead/entry/entry_state.cc
+++ b/src/libverbenalead/entry/entry_state.cc
@@ -34,7 +34,7 @@
 
 void UpdatePools(EntryState& state, TimePoint now) {
   for (auto& [name, service] : state.m_services)
-    decide::DropMissing(service.m_pool, now);
+    decide::RemoveExpiredReplicas(service.m_pool, now);
   if (!state.m_routes)
     return;
   for (const model::Service& service : state.m_routes->config().m_services) {
@@ -50,7 +50,7 @@
   }
 }
 
-bool LeaseHolds(const EntryState& state) {
+bool HasValidLease(const EntryState& state) {
   if (!state.m_options.m_strict_keys)
     return true;
   const auto length = std::chrono::duration_cast<Duration>(
@@ -60,7 +60,7 @@
 
 bool IsReady(const EntryState& state) {
   return state.m_routes && state.m_replicas_known && !state.m_stopping &&
-         LeaseHolds(state);
+         HasValidLease(state);
 }
 
 bool IsEngineService(const EntryState& state, const std::string& service) {
@@ -69,8 +69,8 @@
   return found && found->m_engine;
 }
 
-uint32_t EntriesAtMost(const EntryState& state) {
-  if (!state.m_far_entries)
+uint32_t MaxExistingEntries(const EntryState& state) {
+  if (!state.m_remote_entries)
     return kAssumedEntries;
   uint32_t near = 1;
   uint32_t far = 0;
@@ -79,7 +79,7 @@
         peer.m_address.m_data_center == state.m_options.m_self.m_data_center;
     ++(is_near ? near : far);
   }
-  return near + std::max(far, *state.m_far_entries) + kUnknownEntries;
+  return near + std::max(far, *state.m_remote_entries) + kUnknownEntries;
 }
 
 }  // namespace verbenalead::entry
--- a/src/libverbenalead/entry/entry_state.h
+++ b/src/libverbenalead/entry/entry_state.h
@@ -34,9 +34,9 @@
 /// State of one service as seen by one entry.
 struct ServiceState {
   decide::ReplicaPool m_pool;
-  decide::RetryWindow m_repeats;
-  decide::PatienceShare m_patience;
-  decide::LateCalls m_late;
+  decide::RetryWindow m_retries;
+  decide::WaitShare m_patience;
+  decide::LateCallShedding m_late;
 };
 
 /// The complete state of an entry. Only the single thread of the entry accesses
@@ -61,39 +61,39 @@
   uint64_t m_weights_revision = 0;
   /// Store time at which the store itself last confirmed to this entry that
   /// there was no newer revision of the operator's table.
-  Duration m_operator_proof{};
+  Duration m_operator_confirmed_at{};
   /// Local time of the store's last answer about the operator's table.
   TimePoint m_operator_answered_at{};
   /// The store answered this entry before but does not answer now.
-  bool m_store_lost = false;
+  bool m_store_unavailable = false;
   /// Hash of the list of replicas.
   uint64_t m_replicas_hash = 0;
   /// By service.
   std::map<std::string, ServiceState> m_services;
   /// By model.
-  std::map<std::string, decide::WeightsWatch> m_weights;
+  std::map<std::string, decide::DeclaredVersions> m_weights;
   decide::QuarantineState m_crashes{kQuarantine, {}, {}, {}};
   /// Crashes observed by this entry, kept while they are sent to other entries.
-  std::vector<decide::CrashNote> m_own_crashes;
+  std::vector<decide::CrashRecord> m_own_crashes;
   /// Crashes reported by entries of this data centre, kept while they are sent
   /// to other data centres: when each was first reported, by request and
   /// replica.
-  std::map<std::pair<uint64_t, std::string>, TimePoint> m_near_crashes;
+  std::map<std::pair<uint64_t, std::string>, TimePoint> m_local_crashes;
   /// Other entries by host.
   std::map<std::string, PeerEntry> m_peers;
   /// By data centre, other data centres only.
   std::map<std::string, LastSummary> m_summaries;
   /// Number of entries of other data centres that the store lists, as read by
   /// this entry or reported by one of its data centre; absent: not known yet.
-  std::optional<uint32_t> m_far_entries;
+  std::optional<uint32_t> m_remote_entries;
   ReplicaChangeLog m_replica_changes;
   /// When the list of replicas was last known to be current.
-  TimePoint m_replicas_at{};
+  TimePoint m_replicas_confirmed_at{};
   bool m_replicas_known = false;
   bool m_stopping = false;
   /// False while stopping, once a newly accepted call might not finish before
   /// the process has to exit.
-  bool m_takes_calls = true;
+  bool m_accepts_calls = true;
 };
 
 /// Returns the state of `service`, created if missing.
@@ -105,7 +105,7 @@
 void UpdatePools(EntryState& state, TimePoint now);
 
 /// Whether the lease permits calls with a key now.
-bool LeaseHolds(const EntryState& state);
+bool HasValidLease(const EntryState& state);
 
 /// Whether callers should use this entry.
 bool IsReady(const EntryState& state);
@@ -114,7 +114,7 @@
 bool IsEngineService(const EntryState& state, const std::string& service);
 
 /// Upper bound of the number of existing entries, this one included.
-uint32_t EntriesAtMost(const EntryState& state);
+uint32_t MaxExistingEntries(const EntryState& state);
 
 }  // namespace verbenalead::entry
 
--- a/src/libverbenalead/entry/hedge.cc
+++ b/src/libverbenalead/entry/hedge.cc
@@ -35,16 +35,16 @@
     : m_services(services),
       m_record(std::move(record)),
       m_on_ready(std::move(on_ready)),
-      m_silence(executor),
+      m_silence_timer(executor),
       m_finished(executor) {
   m_finished.expires_at(TimePoint::max());
 }
 
 void Hedge::Watch() {
-  Spawn(m_silence.get_executor(), RunHeld(shared_from_this()), "hedge");
+  Spawn(m_silence_timer.get_executor(), RunOwned(shared_from_this()), "hedge");
 }
 
-Awaitable<void> Hedge::RunHeld(std::shared_ptr<Hedge> self) {
+Awaitable<void> Hedge::RunOwned(std::shared_ptr<Hedge> self) {
   try {
     co_await self->Run();
   } catch (...) {
@@ -54,7 +54,7 @@
   self->m_finished.cancel();
 }
 
-void Hedge::NoteHeard() {
+void Hedge::OnReplicaData() {
   if (!m_ready && m_attempt)
     m_attempt->Cancel();
 }
@@ -63,7 +63,7 @@
   if (std::exchange(m_stopped, true))
     return;
   m_on_ready = nullptr;
-  m_silence.cancel();
+  m_silence_timer.cancel();
   m_finished.cancel();
   if (m_ready)
     Drop();
@@ -82,7 +82,7 @@
     Stop();
     co_return false;
   }
-  m_alone = true;
+  m_first_ended = true;
   if (!m_ready)
     co_await WaitFor(m_finished);
   co_return m_ready;
@@ -99,25 +99,26 @@
 
 Awaitable<bool> Hedge::WaitForSilence() {
   const CallTimes& times = m_record->m_times;
-  while (!m_stopped && !m_alone) {
-    const auto allowed = decide::SilenceBeforeHedge(m_record->m_progress,
-                                                    m_record->m_plan.m_route);
+  while (!m_stopped && !m_first_ended) {
+    const auto allowed =
+        decide::HedgeDelay(m_record->m_progress, m_record->m_plan.m_route);
     const TimePoint now = Now();
     if (!allowed || now >= m_record->m_plan.m_deadline)
       co_return false;
     // While the caller is slow to read, this entry doesn't read from the
     // replica either, so the replica doesn't count as silent.
-    const TimePoint due = (times.m_listens ? times.m_heard_at : now) + *allowed;
+    const TimePoint due =
+        (times.m_awaiting_data ? times.m_last_seen_at : now) + *allowed;
     if (now >= due)
       co_return true;
-    m_silence.expires_at(std::min(due, m_record->m_plan.m_deadline));
-    co_await WaitFor(m_silence);
+    m_silence_timer.expires_at(std::min(due, m_record->m_plan.m_deadline));
+    co_await WaitFor(m_silence_timer);
   }
   co_return false;
 }
 
 Awaitable<bool> Hedge::AttemptOnce() {
-  if (!TakeRepeat(m_services.m_state, m_record->m_plan.m_service)) {
+  if (!TryTakeRetry(m_services.m_state, m_record->m_plan.m_service)) {
     Log("denied");
     co_await Pause();
     co_return true;
@@ -125,7 +126,7 @@
   const auto second = std::make_shared<CallAttempt>(m_services, m_record);
   m_attempt = second;
   const std::function<void()> no_op = [] {};
-  const bool sent = co_await SendAgain(m_services.m_state, *m_record, *second,
+  const bool sent = co_await SendRetry(m_services.m_state, *m_record, *second,
                                        m_record->m_plan.m_deadline, no_op);
   bool usable = false;
   if (sent)
@@ -144,7 +145,7 @@
     co_return !m_stopped;
   }
   Log(sent ? "failed" : "no_place");
-  if (!sent || m_alone)
+  if (!sent || m_first_ended)
     co_return false;
   co_await Pause();
   co_return true;
@@ -161,7 +162,7 @@
     co_return false;
   }
   const auto attempt = m_attempt;
-  co_await attempt->ReadAhead();
+  co_await attempt->PrefetchBody();
   co_return result.m_end == AttemptEnd::kGood && !attempt->cancelled();
 }
 
@@ -173,8 +174,8 @@
 }
 
 Awaitable<void> Hedge::Pause() {
-  m_silence.expires_after(kRetryPause);
-  co_await WaitFor(m_silence);
+  m_silence_timer.expires_after(kRetryPause);
+  co_await WaitFor(m_silence_timer);
 }
 
 void Hedge::Log(const char* outcome) const {
@@ -185,7 +186,7 @@
       .With("call", m_record->m_plan.m_call.m_id)
       .With("outcome", outcome)
       .With("events", m_record->m_events.m_events)
-      .With("silent_ms", ToMilliseconds(now - m_record->m_times.m_heard_at))
+      .With("silent_ms", ToMilliseconds(now - m_record->m_times.m_last_seen_at))
       .With("left_ms", ToMilliseconds(m_record->Left(now)))
       .Info();
 }
--- a/src/libverbenalead/entry/hedge.h
+++ b/src/libverbenalead/entry/hedge.h
@@ -37,7 +37,7 @@
   void Watch();
   /// Called when the first replica has sent data. Cancels a second attempt that
   /// hasn't begun to answer.
-  void NoteHeard();
+  void OnReplicaData();
   /// Stops watching, cancels a second attempt and releases its place.
   void Stop();
   /// The second attempt has begun to answer, and Take() hasn't been called.
@@ -52,7 +52,7 @@
 
  private:
   /// Calls Run() and keeps `self` alive until it returns.
-  static Awaitable<void> RunHeld(std::shared_ptr<Hedge> self);
+  static Awaitable<void> RunOwned(std::shared_ptr<Hedge> self);
   Awaitable<void> Run();
   /// Waits until the first replica has been silent for longer than allowed.
   /// False: no second attempt is needed or allowed.
@@ -73,7 +73,7 @@
   std::function<void()> m_on_ready;
   /// Expires when the first replica may have been silent for too long; also
   /// used for the pause between two second attempts.
-  boost::asio::steady_timer m_silence;
+  boost::asio::steady_timer m_silence_timer;
   /// Never expires; cancelled when the second attempt is ready or Run() ends,
   /// to wake Finish().
   boost::asio::steady_timer m_finished;
@@ -81,7 +81,7 @@
   bool m_ready = false;
   bool m_stopped = false;
   /// The first attempt has ended: if the second one fails, no other is made.
-  bool m_alone = false;
+  bool m_first_ended = false;
 };
 
 }  // namespace verbenalead::entry
--- a/src/libverbenalead/entry/peer_entry.h
+++ b/src/libverbenalead/entry/peer_entry.h
@@ -16,10 +16,10 @@
   Duration m_proved_at{};
   uint64_t m_replicas_hash = 0;
   /// When its list of replicas was last known to be current.
-  TimePoint m_replicas_at{};
+  TimePoint m_replicas_confirmed_at{};
   /// When the last update from or about it arrived; never if only its row in
   /// the store is known.
-  TimePoint m_heard_at{};
+  TimePoint m_last_seen_at{};
 };
 
 }  // namespace verbenalead::entry
