--- a/src/libverbenalead/entry/peer_updates.cc
+++ b/src/libverbenalead/entry/peer_updates.cc
@@ -38,9 +38,9 @@
 /// kept out of use for longer than this.
 constexpr Duration kLoadingHold = 1500ms;
 
-void RemoveExpiredRecords(std::vector<decide::CrashNote>& records,
+void RemoveExpiredRecords(std::vector<decide::CrashRecord>& records,
                           TimePoint now) {
-  std::erase_if(records, [now](const decide::CrashNote& record) {
+  std::erase_if(records, [now](const decide::CrashRecord& record) {
     return now - record.m_at >= kCrashRecordLifetime;
   });
 }
@@ -48,18 +48,18 @@
 /// Stores crashes reported by an entry of this data centre for the summaries to
 /// other data centres, each crash once.
 void RecordLocalCrashes(EntryState& state,
-                        const std::vector<decide::CrashNote>& crashes,
+                        const std::vector<decide::CrashRecord>& crashes,
                         TimePoint now) {
-  std::erase_if(state.m_near_crashes, [now](const auto& crash) {
+  std::erase_if(state.m_local_crashes, [now](const auto& crash) {
     return now - crash.second >= kCrashRecordLifetime;
   });
-  for (const decide::CrashNote& record : crashes)
-    state.m_near_crashes.try_emplace({record.m_key, record.m_target}, now);
+  for (const decide::CrashRecord& record : crashes)
+    state.m_local_crashes.try_emplace({record.m_key, record.m_target}, now);
 }
 
 }  // namespace
 
-void KeepNewest(std::vector<decide::CrashNote>& records) {
+void LimitToDatagram(std::vector<decide::CrashRecord>& records) {
   if (records.size() > kMaxCrashRecords)
     records.erase(records.begin(), records.end() - static_cast<std::ptrdiff_t>(
                                                        kMaxCrashRecords));
@@ -70,22 +70,23 @@
 }
 
 bool IsHeard(const EntryState& state, const PeerEntry& peer, TimePoint now) {
-  return peer.m_heard_at != TimePoint() &&
-         now - peer.m_heard_at <
+  return peer.m_last_seen_at != TimePoint() &&
+         now - peer.m_last_seen_at <
              (IsNear(state, peer) ? kLocalEntryTimeout : kRemoteEntryTimeout);
 }
 
-links::ReplicaCalls CallsAt(const decide::ReplicaState& replica) {
+links::ReplicaCalls ReportedCallsAt(const decide::ReplicaState& replica) {
   links::ReplicaCalls calls;
   calls.m_calls =
       replica.m_in_flight - std::min(replica.m_in_flight, replica.m_asked);
-  calls.m_unread =
-      replica.m_unread - std::min(replica.m_unread, replica.m_asked_unread);
+  calls.m_unread_tokens =
+      replica.m_unread_tokens -
+      std::min(replica.m_unread_tokens, replica.m_requested_unread_tokens);
   return calls;
 }
 
-bool TakeOwnCrashes(EntryState& state, TimePoint now) {
-  const std::vector<decide::CrashNote> new_records =
+bool CollectOwnCrashes(EntryState& state, TimePoint now) {
+  const std::vector<decide::CrashRecord> new_records =
       decide::News(state.m_crashes);
   RemoveExpiredRecords(state.m_own_crashes, now);
   state.m_own_crashes.insert(state.m_own_crashes.end(), new_records.begin(),
@@ -93,32 +94,32 @@
   return !new_records.empty();
 }
 
-links::EntryNews NewsOf(const EntryState& state) {
-  links::EntryNews update;
+links::EntryUpdate NewsOf(const EntryState& state) {
+  links::EntryUpdate update;
   update.m_address = state.m_options.m_self;
   update.m_ready = IsReady(state);
   update.m_crashes = state.m_own_crashes;
-  KeepNewest(update.m_crashes);
+  LimitToDatagram(update.m_crashes);
   update.m_operator_revision = state.m_operator_revision;
-  update.m_operator_proof = ProofOf(state);
+  update.m_operator_confirmed_at = StoreProofOf(state);
   update.m_replicas_hash = state.m_replicas_hash;
-  update.m_replicas_age =
-      std::min<Duration>(Now() - state.m_replicas_at, kMaxReportedAge);
-  update.m_far_entries = state.m_far_entries;
+  update.m_replicas_age = std::min<Duration>(
+      Now() - state.m_replicas_confirmed_at, kMaxReportedAge);
+  update.m_remote_entries = state.m_remote_entries;
   return update;
 }
 
-Duration ProofOf(const EntryState& state) {
+Duration StoreProofOf(const EntryState& state) {
   // Failure: the store rejects the requests of the entry that reads for others.
   // Symptom: the others wait until its last proof is too old, and meanwhile
   // send calls to a replica that has left. Without a proof they take over at
   // once.
-  return state.m_store_lost ? Duration() : state.m_operator_proof;
+  return state.m_store_unavailable ? Duration() : state.m_operator_confirmed_at;
 }
 
-std::optional<Duration> TakeProof(EntryState& state,
-                                  uint64_t revision,
-                                  Duration proof) {
+std::optional<Duration> ApplyPeerProof(EntryState& state,
+                                       uint64_t revision,
+                                       Duration proof) {
   if (!state.m_store_clock.m_offset)
     return std::nullopt;
   const Duration proved_at = proof + *state.m_store_clock.m_offset;
@@ -126,20 +127,20 @@
   // entry has that revision too.
   if (proved_at > Duration() && revision > 0 &&
       state.m_operator_revision >= revision)
-    decide::Prove(state.m_lease, proved_at);
+    decide::RenewLease(state.m_lease, proved_at);
   return proved_at;
 }
 
-void TakeCrashes(EntryState& state,
-                 std::vector<decide::CrashNote> crashes,
-                 TimePoint now) {
-  for (decide::CrashNote& record : crashes)
+void ApplyCrashRecords(EntryState& state,
+                       std::vector<decide::CrashRecord> crashes,
+                       TimePoint now) {
+  for (decide::CrashRecord& record : crashes)
     record.m_at = now;
   decide::Merge(state.m_crashes, crashes, now);
 }
 
 void TakeNews(EntryState& state,
-              const links::EntryNews& update,
+              const links::EntryUpdate& update,
               TimePoint now) {
   if (update.m_address.m_host == state.m_options.m_self.m_host)
     return;
@@ -152,24 +153,24 @@
   }
   peer.m_address = update.m_address;
   peer.m_ready = update.m_ready;
-  peer.m_heard_at = now;
+  peer.m_last_seen_at = now;
   peer.m_operator_revision = update.m_operator_revision;
   peer.m_replicas_hash = update.m_replicas_hash;
-  peer.m_replicas_at = now - update.m_replicas_age;
-  const auto proved_at =
-      TakeProof(state, update.m_operator_revision, update.m_operator_proof);
+  peer.m_replicas_confirmed_at = now - update.m_replicas_age;
+  const auto proved_at = ApplyPeerProof(state, update.m_operator_revision,
+                                        update.m_operator_confirmed_at);
   if (proved_at)
     peer.m_proved_at = *proved_at;
-  if (update.m_far_entries) {
-    state.m_far_entries =
-        std::max(state.m_far_entries.value_or(0), *update.m_far_entries);
+  if (update.m_remote_entries) {
+    state.m_remote_entries =
+        std::max(state.m_remote_entries.value_or(0), *update.m_remote_entries);
   }
   RecordLocalCrashes(state, update.m_crashes, now);
-  TakeCrashes(state, update.m_crashes, now);
+  ApplyCrashRecords(state, update.m_crashes, now);
 }
 
 void TakeNews(EntryState& state,
-              const links::ReplicaNews& update,
+              const links::ReplicaUpdate& update,
               TimePoint now) {
   const auto service = state.m_services.find(update.m_service);
   if (service == state.m_services.end())
@@ -181,30 +182,32 @@
   const bool was_loading = replica.m_loading_until > now;
   if (was_loading != update.m_loading ||
       update.m_version != replica.m_weights) {
-    NoteReplicaChange(state.m_replica_changes, update.m_replica,
-                      {replica.m_weights, update.m_version, update.m_loading});
+    RecordReplicaChange(
+        state.m_replica_changes, update.m_replica,
+        {replica.m_weights, update.m_version, update.m_loading});
   }
   replica.m_closing_until = update.m_closing ? now + kLoadingHold : TimePoint();
   replica.m_loading_until = update.m_loading ? now + kLoadingHold : TimePoint();
   replica.m_weights = update.m_version;
-  replica.m_elsewhere = update.m_elsewhere.m_calls;
-  replica.m_unread_elsewhere = update.m_elsewhere.m_unread;
+  replica.m_other_entries_calls = update.m_other_entries_calls.m_calls;
+  replica.m_other_entries_unread_tokens =
+      update.m_other_entries_calls.m_unread_tokens;
   replica.m_waiting = update.m_waiting;
 }
 
-const PeerEntry* ReaderFor(const EntryState& state, TimePoint now) {
+const PeerEntry* FindStoreReader(const EntryState& state, TimePoint now) {
   for (const auto& [host, peer] : state.m_peers) {
-    if (!state.m_store_lost && host >= state.m_options.m_self.m_host)
+    if (!state.m_store_unavailable && host >= state.m_options.m_self.m_host)
       break;
     if (IsNear(state, peer) && IsHeard(state, peer, now) && peer.m_ready &&
         peer.m_proved_at + kMaxProofAge > BootNow() &&
-        now - peer.m_replicas_at < kMaxReplicaListAge)
+        now - peer.m_replicas_confirmed_at < kMaxReplicaListAge)
       return &peer;
   }
   return nullptr;
 }
 
-const PeerEntry* AheadOf(EntryState& state, TimePoint now) {
+const PeerEntry* PickNewerPeer(EntryState& state, TimePoint now) {
   std::vector<const PeerEntry*> candidates;
   uint64_t newest = state.m_operator_revision;
   for (const auto& [host, peer] : state.m_peers) {
@@ -221,9 +224,9 @@
                             : candidates[state.m_random() % candidates.size()];
 }
 
-const PeerEntry& ReplicaSource(EntryState& state,
-                               const PeerEntry& reader,
-                               TimePoint now) {
+const PeerEntry& PickReplicaListPeer(EntryState& state,
+                                     const PeerEntry& reader,
+                                     TimePoint now) {
   std::vector<const PeerEntry*> sources;
   for (const auto& [host, peer] : state.m_peers) {
     if (IsNear(state, peer) && IsHeard(state, peer, now) &&
@@ -233,7 +236,7 @@
   return sources.empty() ? reader : *sources[state.m_random() % sources.size()];
 }
 
-size_t EntriesBefore(const EntryState& state, TimePoint now) {
+size_t CountLivePredecessors(const EntryState& state, TimePoint now) {
   size_t before = 0;
   for (const auto& [host, peer] : state.m_peers) {
     if (host >= state.m_options.m_self.m_host)
@@ -244,7 +247,7 @@
   return before;
 }
 
-size_t ListedBefore(const EntryState& state) {
+size_t CountListedPredecessors(const EntryState& state) {
   size_t before = 0;
   for (const auto& [host, peer] : state.m_peers) {
     if (host >= state.m_options.m_self.m_host)
--- a/src/libverbenalead/entry/peer_updates.h
+++ b/src/libverbenalead/entry/peer_updates.h
@@ -16,47 +16,49 @@
 
 /// The calls of this entry at a replica, as reported to the replica's target
 /// process. Slot requests that are still unanswered are left out.
-links::ReplicaCalls CallsAt(const decide::ReplicaState& replica);
+links::ReplicaCalls ReportedCallsAt(const decide::ReplicaState& replica);
 
 /// Moves newly observed crashes to the records that are sent to other entries,
 /// and removes expired ones. Returns true if there are new ones.
-bool TakeOwnCrashes(EntryState& state, TimePoint now);
+bool CollectOwnCrashes(EntryState& state, TimePoint now);
 
 /// Limits `records` to the newest that fit into one datagram. Failure: hundreds
 /// of calls break together with their replicas. Symptom: an update with all
 /// records is too large to be sent, and the other entries take this one for
 /// dead. The oldest records can be dropped: a request that goes on crashing
 /// replicas produces new ones.
-void KeepNewest(std::vector<decide::CrashNote>& records);
+void LimitToDatagram(std::vector<decide::CrashRecord>& records);
 
 /// The update that this entry sends to the other entries of its data centre.
-links::EntryNews NewsOf(const EntryState& state);
+links::EntryUpdate NewsOf(const EntryState& state);
 
 /// The store time at which the store last confirmed that this entry has the
 /// newest revision of the operator's table; zero while the store does not
 /// answer this entry.
-Duration ProofOf(const EntryState& state);
+Duration StoreProofOf(const EntryState& state);
 
 /// Applies an update from another entry of this data centre.
-void TakeNews(EntryState& state, const links::EntryNews& update, TimePoint now);
+void TakeNews(EntryState& state,
+              const links::EntryUpdate& update,
+              TimePoint now);
 
 /// Applies the proof of another entry that has `revision`: at `proof`, by the
 /// store's clock, the store confirmed that nothing newer existed. If this entry
 /// has that revision too, its lease is renewed by the same proof. Returns the
 /// time of the proof on the local clock, or nothing while the offset of the
 /// store's clock is unknown.
-std::optional<Duration> TakeProof(EntryState& state,
-                                  uint64_t revision,
-                                  Duration proof);
+std::optional<Duration> ApplyPeerProof(EntryState& state,
+                                       uint64_t revision,
+                                       Duration proof);
 
 /// Applies crash records of other entries.
-void TakeCrashes(EntryState& state,
-                 std::vector<decide::CrashNote> crashes,
-                 TimePoint now);
+void ApplyCrashRecords(EntryState& state,
+                       std::vector<decide::CrashRecord> crashes,
+                       TimePoint now);
 
 /// Applies an update from a target process about its replica.
 void TakeNews(EntryState& state,
-              const links::ReplicaNews& update,
+              const links::ReplicaUpdate& update,
               TimePoint now);
 
 /// Returns the entry of this data centre that reads the store on behalf of this
@@ -69,30 +71,30 @@
 /// newest revision of the operator's table and the store time of its proof.
 /// Entries whose rows differ fetch them within the data centre. An entry that
 /// the store does not answer uses any other entry that reads.
-const PeerEntry* ReaderFor(const EntryState& state, TimePoint now);
+const PeerEntry* FindStoreReader(const EntryState& state, TimePoint now);
 
 /// Returns an entry of this data centre that has the newest known revision of
 /// the operator's table, or null if this entry has that revision itself. One of
 /// the entries that have it is chosen at random: 14 entries that all fetched
 /// 390 KB from the same one would wait for its link.
-const PeerEntry* AheadOf(EntryState& state, TimePoint now);
+const PeerEntry* PickNewerPeer(EntryState& state, TimePoint now);
 
 /// Returns an entry of this data centre from which to fetch the list of
 /// replicas: a random one of those that have the same list as `reader`. With
 /// 100 processes in a data centre and 3,000 replicas, `reader` alone would have
 /// to send 100 MB over a link of 40 Mbit/s after all processes have started at
 /// once.
-const PeerEntry& ReplicaSource(EntryState& state,
-                               const PeerEntry& reader,
-                               TimePoint now);
+const PeerEntry& PickReplicaListPeer(EntryState& state,
+                                     const PeerEntry& reader,
+                                     TimePoint now);
 
 /// Number of running entries of this data centre that precede this one in the
 /// order of host names, in which entries take over reading the store.
-size_t EntriesBefore(const EntryState& state, TimePoint now);
+size_t CountLivePredecessors(const EntryState& state, TimePoint now);
 
-/// As EntriesBefore, but counts all entries of this data centre that the store
-/// lists, whether or not an update of them has arrived.
-size_t ListedBefore(const EntryState& state);
+/// As CountLivePredecessors, but counts all entries of this data centre that
+/// the store lists, whether or not an update of them has arrived.
+size_t CountListedPredecessors(const EntryState& state);
 
 }  // namespace verbenalead::entry
 
--- a/src/libverbenalead/entry/peer_updates_test.cc
+++ b/src/libverbenalead/entry/peer_updates_test.cc
@@ -23,17 +23,17 @@
   state->m_routes =
       std::make_shared<decide::RouteTable>(model::RoutingConfig());
   state->m_replicas_known = true;
-  state->m_replicas_at = Now();
+  state->m_replicas_confirmed_at = Now();
   state->m_operator_revision = 5;
   // The local clock and the store's clock are the same here.
   state->m_store_clock.m_offset = Duration();
-  state->m_operator_proof = BootNow();
-  decide::Prove(state->m_lease, BootNow());
+  state->m_operator_confirmed_at = BootNow();
+  decide::RenewLease(state->m_lease, BootNow());
   return state;
 }
 
-class EntryNewsTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(EntryNewsTest);
+class PeerUpdatesTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(PeerUpdatesTest);
   CPPUNIT_TEST(StopsUsingAReaderThatLostTheStore);
   CPPUNIT_TEST(FetchesFromAnyEntryWithTheNewestRows);
   CPPUNIT_TEST(FetchesReplicasFromAnyEntryThatHasThem);
@@ -48,13 +48,13 @@
     const auto reader = Entry("e1");
     const auto other = Entry("e2");
     TakeNews(*other, NewsOf(*reader), Now());
-    CPPUNIT_ASSERT(ReaderFor(*other, Now()));
-    reader->m_store_lost = true;
+    CPPUNIT_ASSERT(FindStoreReader(*other, Now()));
+    reader->m_store_unavailable = true;
     TakeNews(*other, NewsOf(*reader), Now());
-    CPPUNIT_ASSERT(!ReaderFor(*other, Now()));
-    reader->m_store_lost = false;
+    CPPUNIT_ASSERT(!FindStoreReader(*other, Now()));
+    reader->m_store_unavailable = false;
     TakeNews(*other, NewsOf(*reader), Now());
-    CPPUNIT_ASSERT(ReaderFor(*other, Now()));
+    CPPUNIT_ASSERT(FindStoreReader(*other, Now()));
   }
 
   // Guards against a configuration of 390 KB reaching a data centre a second
@@ -70,10 +70,10 @@
     }
     std::set<std::string> chosen;
     for (int i = 0; i < 50; ++i)
-      chosen.insert(AheadOf(*newcomer, Now())->m_address.m_host);
+      chosen.insert(PickNewerPeer(*newcomer, Now())->m_address.m_host);
     CPPUNIT_ASSERT(chosen == std::set<std::string>({"e1", "e2"}));
     newcomer->m_operator_revision = 5;
-    CPPUNIT_ASSERT(!AheadOf(*newcomer, Now()));
+    CPPUNIT_ASSERT(!PickNewerPeer(*newcomer, Now()));
   }
 
   // Guards against calls being refused for seconds after all processes start at
@@ -89,12 +89,13 @@
     const PeerEntry reader = newcomer->m_peers.at("e1");
     std::set<std::string> chosen;
     for (int i = 0; i < 50; ++i)
-      chosen.insert(ReplicaSource(*newcomer, reader, Now()).m_address.m_host);
+      chosen.insert(
+          PickReplicaListPeer(*newcomer, reader, Now()).m_address.m_host);
     CPPUNIT_ASSERT(chosen == std::set<std::string>({"e1", "e2"}));
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(EntryNewsTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(PeerUpdatesTest);
 
 }  // namespace
 }  // namespace verbenalead::entry
--- a/src/libverbenalead/entry/platform_entry.cc
+++ b/src/libverbenalead/entry/platform_entry.cc
@@ -46,13 +46,13 @@
 constexpr Duration kAcceptCallsFor = 2900ms;
 /// The process exits this long before it would be killed.
 constexpr Duration kStopMargin = 400ms;
-constexpr Duration kStopPoll = 20ms;
+constexpr Duration kStopPollInterval = 20ms;
 /// Delays of the event loop from this length on affect calls and are logged.
 constexpr Duration kLoggedLag = 200ms;
 
 http::ClientOptions ReplicaConnections() {
   http::ClientOptions options;
-  options.m_keep = false;
+  options.m_reuse_connections = false;
   options.m_connect_timeout = kConnectTimeout;
   return options;
 }
@@ -75,11 +75,11 @@
         m_datagrams(m_threads.main(), m_state.m_options.m_self.m_peers),
         m_news(m_state, m_datagrams),
         m_summaries(m_state, m_datagrams),
-        m_asker(m_state, m_datagrams),
+        m_slot_requester(m_state, m_datagrams),
         m_places(m_state,
-                 m_asker,
+                 m_slot_requester,
                  [this](const decide::ReplicaState& replica) {
-                   m_news.TellCalls(replica, true);
+                   m_news.NotifyCalls(replica, true);
                  }),
         m_calls(m_state, m_places, m_replica_http),
         m_rows(m_threads.main(),
@@ -114,7 +114,7 @@
             m_threads,
             {},
             [this](const wire::Request& request, wire::ResponseWriter& caller) {
-              return m_rows.TellRows(request, caller);
+              return m_rows.ServeRows(request, caller);
             }),
         m_metrics(m_threads, {}, links::MetricsHandler(m_state.m_metrics)),
         m_signals(m_threads.main(), SIGTERM, SIGINT, SIGHUP) {}
@@ -127,7 +127,7 @@
     // notified at once.
     if (m_state.m_weights_revision > m_announced_weights) {
       m_announced_weights = m_state.m_weights_revision;
-      m_news.AskNearTargets();
+      m_news.RequestLocalUpdates();
     }
     if (m_state.m_routes == m_applied_routes)
       return;
@@ -155,30 +155,30 @@
       co_return;
     }
     co_await caller.Send(platform::EncodeAddresses(
-        EntriesFor(m_state, platform::CallerDataCenter(request),
-                   platform::kMostAddresses, Now()),
+        EntriesForCallers(m_state, platform::CallerDataCenter(request),
+                          platform::kMaxAddresses, Now()),
         kAddressListLifetime));
   }
 
   void HandleMessage(const links::Message& message) {
-    if (const auto* update = std::get_if<links::EntryNews>(&message)) {
+    if (const auto* update = std::get_if<links::EntryUpdate>(&message)) {
       TakeNews(m_state, *update, Now());
-      m_news.AnswerNewcomer(*update);
+      m_news.NotifyStartingEntry(*update);
       m_rows.Compare();
     } else if (const auto* summary =
                    std::get_if<links::DataCenterSummary>(&message)) {
       m_summaries.Take(*summary);
     } else if (const auto* replica =
-                   std::get_if<links::ReplicaNews>(&message)) {
+                   std::get_if<links::ReplicaUpdate>(&message)) {
       TakeNews(m_state, *replica, Now());
-    } else if (const auto* answer = std::get_if<links::PlaceAnswer>(&message)) {
-      m_asker.TakeAnswer(*answer);
+    } else if (const auto* answer = std::get_if<links::SlotAnswer>(&message)) {
+      m_slot_requester.TakeAnswer(*answer);
     }
     m_places.WakeAll();
   }
 
   void RecordLoopLag(Duration late) {
-    NoteLag(m_state.m_lag, late, Now());
+    RecordLag(m_state.m_lag, late, Now());
     m_state.m_metrics.Observe("loop_lag_seconds", "",
                               std::chrono::duration<double>(late).count());
     if (late >= kLoggedLag)
@@ -187,39 +187,39 @@
 
   Awaitable<void> SendCallUpdates() {
     while (true) {
-      const TimePoint due = Now() + kCallNewsInterval;
-      co_await Sleep(kCallNewsInterval);
+      const TimePoint due = Now() + kCallUpdateInterval;
+      co_await Sleep(kCallUpdateInterval);
       RecordLoopLag(Now() - due);
       if (!m_started)
-        m_started = NoteStart(m_state, m_start, Now());
+        m_started = RecordStartupSteps(m_state, m_start, Now());
       UpdatePools(m_state, Now());
       m_places.WakeAll();
-      m_news.TellCalls();
+      m_news.NotifyCalls();
     }
   }
 
   Awaitable<void> SendEntryUpdates() {
     while (true) {
-      co_await Sleep(kNewsInterval);
+      co_await Sleep(kUpdateSendInterval);
       m_rows.Compare();
-      m_news.TellEntries(m_rows.HasTakenOver());
+      m_news.NotifyEntries(m_rows.ConsumeTakeover());
       m_summaries.Tell();
-      WriteReplicaChanges(m_state.m_replica_changes, Now());
+      LogReplicaChanges(m_state.m_replica_changes, Now());
     }
   }
 
   Awaitable<void> FollowTargets() {
     for (uint64_t round = 0;; ++round) {
-      m_news.AskNearTargets();
+      m_news.RequestLocalUpdates();
       if (m_summaries.is_sender() && round % kRoundsPerRemoteRequest == 0)
-        m_news.TellFarTargets();
+        m_news.NotifyRemoteTargets();
       co_await Sleep(kFollowInterval);
     }
   }
 
   void HandleEntriesRead() {
-    m_rows.NoteEntriesKnown();
-    m_news.TellAllEntries();
+    m_rows.HandleEntriesKnown();
+    m_news.NotifyAllEntries();
   }
 
   Awaitable<void> AwaitSignals() {
@@ -240,14 +240,14 @@
     LogLine("stopping").With("calls", m_callers.busy()).Info();
     m_state.m_stopping = true;
     m_callers.Drain();
-    m_news.TellAllEntries();
+    m_news.NotifyAllEntries();
     co_await Sleep(kAcceptCallsFor);
-    m_state.m_takes_calls = false;
+    m_state.m_accepts_calls = false;
     m_callers.StopAccepting();
     m_directory.StopAccepting();
     const TimePoint end = begun + m_state.m_options.m_stop_bound - kStopMargin;
     while (m_callers.busy() > 0 && Now() < end)
-      co_await Sleep(kStopPoll);
+      co_await Sleep(kStopPollInterval);
     LogLine("stopped").With("calls_cut", m_callers.busy()).Info();
     m_threads.Stop();
   }
@@ -257,14 +257,14 @@
   http::Client m_replica_http;
   http::Client m_store_http;
   platform::Store m_store;
-  links::Datagrams m_datagrams;
-  NewsSender m_news;
+  links::DatagramSocket m_datagrams;
+  UpdateSender m_news;
   SummarySender m_summaries;
-  PlaceAsker m_asker;
-  PlaceWaiter m_places;
+  SlotRequester m_slot_requester;
+  SlotAllocator m_places;
   CallServer m_calls;
-  RowSources m_rows;
-  Registration m_registration;
+  RowSynchroniser m_rows;
+  EntryRegistration m_registration;
   http::Server m_callers;
   http::Server m_readiness;
   http::Server m_directory;
@@ -274,8 +274,8 @@
   /// The configuration that ApplyRows() applied last.
   std::shared_ptr<const decide::RouteTable> m_applied_routes;
   uint64_t m_announced_weights = 0;
-  StartProgress m_start;
-  /// All steps of StartProgress are completed.
+  StartupProgress m_start;
+  /// All steps of StartupProgress are completed.
   bool m_started = false;
 };
 
@@ -303,7 +303,8 @@
   const auto main = parts.m_threads.main();
   parts.m_rows.Start();
   SpawnLoop(main, parts.m_registration.KeepRegistered(), "keep_registered");
-  SpawnLoop(main, parts.m_registration.LearnFarEntries(), "learn_far_entries");
+  SpawnLoop(main, parts.m_registration.FollowRemoteEntries(),
+            "learn_far_entries");
   SpawnLoop(main, parts.SendEntryUpdates(), "send_news");
   SpawnLoop(main, parts.SendCallUpdates(), "send_call_news");
   SpawnLoop(main, parts.FollowTargets(), "follow_targets");
--- a/src/libverbenalead/entry/replica_change_log.cc
+++ b/src/libverbenalead/entry/replica_change_log.cc
@@ -10,9 +10,9 @@
 
 }  // namespace
 
-void NoteReplicaChange(ReplicaChangeLog& log,
-                       const std::string& replica,
-                       const ReplicaChangeLog::Change& change) {
+void RecordReplicaChange(ReplicaChangeLog& log,
+                         const std::string& replica,
+                         const ReplicaChangeLog::Change& change) {
   const auto [known, added] = log.m_changes.emplace(replica, change);
   if (added)
     return;
@@ -35,7 +35,7 @@
   return text;
 }
 
-void WriteReplicaChanges(ReplicaChangeLog& log, TimePoint now) {
+void LogReplicaChanges(ReplicaChangeLog& log, TimePoint now) {
   if (log.m_changes.empty() || now - log.m_written_at < kLineInterval)
     return;
   LogLine("replica_weights")
--- a/src/libverbenalead/entry/replica_change_log.h
+++ b/src/libverbenalead/entry/replica_change_log.h
@@ -28,9 +28,9 @@
   TimePoint m_written_at{};
 };
 
-void NoteReplicaChange(ReplicaChangeLog& log,
-                       const std::string& replica,
-                       const ReplicaChangeLog::Change& change);
+void RecordReplicaChange(ReplicaChangeLog& log,
+                         const std::string& replica,
+                         const ReplicaChangeLog::Change& change);
 
 /// Formats at most `limit` changes as in the log line: "i-1:1>2" for a replica
 /// that has other weights, "i-2:1>1,loading" for one that loads.
@@ -38,7 +38,7 @@
 
 /// Writes the line if there are changes and the last line is at least a second
 /// old.
-void WriteReplicaChanges(ReplicaChangeLog& log, TimePoint now);
+void LogReplicaChanges(ReplicaChangeLog& log, TimePoint now);
 
 }  // namespace verbenalead::entry
 
--- a/src/libverbenalead/entry/replica_change_log_test.cc
+++ b/src/libverbenalead/entry/replica_change_log_test.cc
@@ -14,9 +14,9 @@
  public:
   void MergesChangesOfOneReplica() {
     ReplicaChangeLog log;
-    NoteReplicaChange(log, "i-1", {1, 1, true});
-    NoteReplicaChange(log, "i-1", {1, 2, false});
-    NoteReplicaChange(log, "i-2", {1, 1, true});
+    RecordReplicaChange(log, "i-1", {1, 1, true});
+    RecordReplicaChange(log, "i-1", {1, 2, false});
+    RecordReplicaChange(log, "i-2", {1, 1, true});
     CPPUNIT_ASSERT_EQUAL(std::string("i-1:1>2 i-2:1>1,loading"),
                          FormatChanges(log, 16));
   }
@@ -27,18 +27,18 @@
   void ManyChangesMakeOneLineOfBoundedLength() {
     ReplicaChangeLog log;
     const TimePoint start = TimePoint() + 10s;
-    WriteReplicaChanges(log, start);
+    LogReplicaChanges(log, start);
     for (int replica = 0; replica < 150; ++replica)
-      NoteReplicaChange(log, "i-" + std::to_string(100 + replica),
-                        {1, 2, false});
+      RecordReplicaChange(log, "i-" + std::to_string(100 + replica),
+                          {1, 2, false});
     CPPUNIT_ASSERT_EQUAL(std::string("i-100:1>2 i-101:1>2"),
                          FormatChanges(log, 2));
-    WriteReplicaChanges(log, start);
+    LogReplicaChanges(log, start);
     CPPUNIT_ASSERT(log.m_changes.empty());
-    NoteReplicaChange(log, "i-1", {1, 2, false});
-    WriteReplicaChanges(log, start + 900ms);
+    RecordReplicaChange(log, "i-1", {1, 2, false});
+    LogReplicaChanges(log, start + 900ms);
     CPPUNIT_ASSERT_EQUAL(size_t{1}, log.m_changes.size());
-    WriteReplicaChanges(log, start + 1s);
+    LogReplicaChanges(log, start + 1s);
     CPPUNIT_ASSERT(log.m_changes.empty());
   }
 };
--- a/src/libverbenalead/entry/retry_attempt.cc
+++ b/src/libverbenalead/entry/retry_attempt.cc
@@ -13,23 +13,23 @@
 /// Marks the call as late, before its next placement, if its prompt can no
 /// longer be read in time.
 void PrepareNextAttempt(EntryState& state, CallRecord& record) {
-  decide::PrepareRepeat(
+  decide::PrepareRetry(
       record.m_pool_call,
       StateOf(state, record.m_plan.m_service).m_pool.m_prefill_rate, Now());
 }
 
 }  // namespace
 
-bool TakeRepeat(EntryState& state, const std::string& service) {
-  const bool allowed = decide::TakeRepeat(StateOf(state, service).m_repeats,
-                                          state.m_options.m_repeats,
-                                          EntriesAtMost(state), Now());
+bool TryTakeRetry(EntryState& state, const std::string& service) {
+  const bool allowed = decide::TryTakeRetry(StateOf(state, service).m_retries,
+                                            state.m_options.m_retries,
+                                            MaxExistingEntries(state), Now());
   if (!allowed)
     state.m_metrics.Count("repeats_denied_total", "");
   return allowed;
 }
 
-Awaitable<bool> SendAgain(EntryState& state,
+Awaitable<bool> SendRetry(EntryState& state,
                           CallRecord& record,
                           CallAttempt& attempt,
                           TimePoint wait_until,
@@ -37,11 +37,11 @@
   if (record.m_events.m_events > 0) {
     // The stream has begun and its caller waits for the next event, so the call
     // is placed as one that can be on time.
-    record.m_pool_call.m_fresh = true;
-    record.m_pool_call.m_read_by = Now() + kResumeReadLimit;
+    record.m_pool_call.m_can_be_on_time = true;
+    record.m_pool_call.m_read_deadline = Now() + kResumeReadLimit;
   }
   PrepareNextAttempt(state, record);
-  const TimePoint on_time_until = Now() + decide::kRepeatWait;
+  const TimePoint on_time_until = Now() + decide::kRetryWait;
   bool sent =
       co_await attempt.Send(std::min(wait_until, on_time_until), on_sent);
   const bool ended = attempt.cancelled() || record.Left(Now()) <= Duration();
--- a/src/libverbenalead/entry/retry_attempt.h
+++ b/src/libverbenalead/entry/retry_attempt.h
@@ -11,13 +11,13 @@
 /// Whether one more retry or hedge of a call of `service` is within the limit
 /// on retries; if so, counts it. Without the limit, retries would multiply the
 /// load of a service whose replicas fail.
-bool TakeRepeat(EntryState& state, const std::string& service);
+bool TryTakeRetry(EntryState& state, const std::string& service);
 
 /// Retries a call with the new attempt `attempt`. The call first waits for a
 /// place that lets it be on time; if none comes free, it waits until
 /// `wait_until` for a place that no on-time call needs. False: no place came
 /// free.
-Awaitable<bool> SendAgain(EntryState& state,
+Awaitable<bool> SendRetry(EntryState& state,
                           CallRecord& record,
                           CallAttempt& attempt,
                           TimePoint wait_until,
--- a/src/libverbenalead/entry/row_applier.cc
+++ b/src/libverbenalead/entry/row_applier.cc
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-void RowIntake::KeepOperatorRows(
+void RowApplier::MergeOperatorRows(
     const platform::Rows& rows,
     const std::function<Duration(const platform::Row&)>& age_of) {
   for (const platform::Row& row : rows.m_rows) {
@@ -48,53 +48,54 @@
     } else if (row.m_key.starts_with(platform::kWeightsKeyPrefix)) {
       m_state.m_weights_revision =
           std::max(m_state.m_weights_revision, row.m_revision);
-      TakeWeights(row, age_of(row));
+      ApplyWeights(row, age_of(row));
     }
   }
 }
 
-void RowIntake::TakeOperatorRows(const platform::Rows& rows, bool whole) {
+void RowApplier::ApplyOperatorRows(const platform::Rows& rows, bool whole) {
   const Duration answered_at = decide::AnsweredAt(
       m_state.m_store_clock, rows.m_asked_at, rows.m_store_time);
-  const bool first = whole && !m_weights_seen;
-  const Duration written_at = decide::EarliestWrite(
+  const bool first = whole && !m_operator_rows_read;
+  const Duration written_at = decide::EarliestWriteTime(
       rows.m_asked_at, answered_at, m_state.m_lease.m_proved_at);
   const Duration age =
-      first ? UnknownAge()
+      first ? AssumedAge()
             : std::max<Duration>(Duration(), BootNow() - written_at);
-  KeepOperatorRows(rows, [age](const platform::Row&) { return age; });
+  MergeOperatorRows(rows, [age](const platform::Row&) { return age; });
   if (whole)
-    m_weights_seen = true;
-  m_state.m_operator_proof = rows.m_store_time;
+    m_operator_rows_read = true;
+  m_state.m_operator_confirmed_at = rows.m_store_time;
   m_state.m_operator_answered_at = Now();
-  decide::Prove(m_state.m_lease, answered_at);
+  decide::RenewLease(m_state.m_lease, answered_at);
 }
 
-void RowIntake::TakeRelayedOperatorRows(const links::RelayedRows& relayed) {
-  const Duration unknown = UnknownAge();
-  KeepOperatorRows(relayed.m_rows, [&](const platform::Row& row) {
-    const auto age = relayed.m_ages.find(row.m_key);
-    return age == relayed.m_ages.end() ? unknown : age->second;
+void RowApplier::ApplyRelayedOperatorRows(const links::RelayedRows& relayed) {
+  const Duration unknown = AssumedAge();
+  MergeOperatorRows(relayed.m_rows, [&](const platform::Row& row) {
+    const auto age = relayed.m_max_ages.find(row.m_key);
+    return age == relayed.m_max_ages.end() ? unknown : age->second;
   });
-  m_weights_seen = true;
+  m_operator_rows_read = true;
   if (m_state.m_store_clock.m_offset) {
-    decide::Prove(m_state.m_lease, relayed.m_rows.m_store_time +
-                                       *m_state.m_store_clock.m_offset);
+    decide::RenewLease(m_state.m_lease, relayed.m_rows.m_store_time +
+                                            *m_state.m_store_clock.m_offset);
   }
 }
 
-Duration RowIntake::UsualBinding() const {
+Duration RowApplier::BindingDelay() const {
   return m_state.m_options.m_weights_bound - kBindingMargin;
 }
 
-Duration RowIntake::UnknownAge() const {
+Duration RowApplier::AssumedAge() const {
   const Duration now = BootNow();
   if (m_state.m_lease.m_proved_at)
-    return now - decide::EarliestWrite(now, now, m_state.m_lease.m_proved_at);
-  return UsualBinding() - kBindingAfterStart;
+    return now -
+           decide::EarliestWriteTime(now, now, m_state.m_lease.m_proved_at);
+  return BindingDelay() - kBindingAfterStart;
 }
 
-void RowIntake::TakeConfig(const std::string& text) {
+void RowApplier::TakeConfig(const std::string& text) {
   auto config = CatchFailure([&] { return platform::DecodeConfig(text); });
   if (!config) {
     LogLine("bad_config").With(config.error()).Error();
@@ -113,17 +114,17 @@
       std::make_shared<const decide::RouteTable>(std::move(*config));
 }
 
-void RowIntake::TakeWeights(const platform::Row& row, Duration age) {
+void RowApplier::ApplyWeights(const platform::Row& row, Duration age) {
   const auto declared = platform::DecodeWeights(row.m_value);
   if (!declared) {
     LogLine("bad_weights_row").Error();
     return;
   }
   m_seen[row.m_key] = BootNow() - age;
-  decide::WeightsWatch& watch = m_state.m_weights[declared->m_model];
+  decide::DeclaredVersions& watch = m_state.m_weights[declared->m_model];
   if (declared->m_version <= decide::Newest(watch))
     return;
-  const Duration binding_in = UsualBinding() - age;
+  const Duration binding_in = BindingDelay() - age;
   LogLine("weights_declared")
       .With("model", declared->m_model)
       .With("version", declared->m_version)
@@ -133,7 +134,7 @@
   decide::Declare(watch, declared->m_version, Now() + binding_in);
 }
 
-void RowIntake::TakeReplicaRow(const platform::Row& row) {
+void RowApplier::ApplyReplicaRow(const platform::Row& row) {
   if (row.m_deleted) {
     m_replica_rows.erase(row.m_key);
     m_replicas.erase(row.m_key);
@@ -166,9 +167,9 @@
   m_replicas[row.m_key] = std::move(*replica);
 }
 
-void RowIntake::TakeReplicaRows(const platform::Rows& rows,
-                                bool whole,
-                                TimePoint regained_at) {
+void RowApplier::ApplyReplicaRows(const platform::Rows& rows,
+                                  bool whole,
+                                  TimePoint regained_at) {
   if (whole) {
     std::set<std::string> present;
     for (const platform::Row& row : rows.m_rows)
@@ -181,7 +182,7 @@
   }
   const size_t before = m_replicas.size();
   for (const platform::Row& row : rows.m_rows)
-    TakeReplicaRow(row);
+    ApplyReplicaRow(row);
   if (m_replicas.size() < before) {
     LogLine("replicas_gone")
         .With("now", static_cast<uint64_t>(m_replicas.size()))
@@ -190,22 +191,23 @@
   }
   m_replicas_revision = std::max(m_replicas_revision, rows.m_revision);
   m_state.m_replicas_known = true;
-  m_state.m_replicas_at = Now();
+  m_state.m_replicas_confirmed_at = Now();
   UpdatePools(regained_at == TimePoint() ? TimePoint()
                                          : regained_at + kExpiredRowGrace);
 }
 
-bool RowIntake::TakeRelayedReplicaRows(const links::RelayedRows& relayed) {
+bool RowApplier::ApplyRelayedReplicaRows(const links::RelayedRows& relayed) {
   // An older table would bring back replicas that are known to be leaving.
   if (relayed.m_rows.m_revision < m_replicas_revision)
     return false;
-  TakeReplicaRows(
-      relayed.m_rows, true,
-      relayed.m_regained_ago ? Now() - *relayed.m_regained_ago : TimePoint());
+  ApplyReplicaRows(relayed.m_rows, true,
+                   relayed.m_store_regained_ago
+                       ? Now() - *relayed.m_store_regained_ago
+                       : TimePoint());
   return true;
 }
 
-void RowIntake::UpdatePools(TimePoint keep_missing_until) {
+void RowApplier::UpdatePools(TimePoint keep_missing_until) {
   const std::map<std::string, model::Replica> live =
       decide::LiveReplicas(m_replicas);
   std::map<std::string, std::vector<model::Replica>> by_service;
--- a/src/libverbenalead/entry/row_applier.h
+++ b/src/libverbenalead/entry/row_applier.h
@@ -14,32 +14,32 @@
 
 /// Applies rows of the store's tables to the state of an entry, whether they
 /// were read from the store or fetched from another entry.
-class RowIntake {
+class RowApplier {
  public:
-  explicit RowIntake(EntryState& state) : m_state(state) {}
+  explicit RowApplier(EntryState& state) : m_state(state) {}
 
   /// Applies rows of the operator's table: the configuration and the declared
   /// versions of weights. `whole`: the rows are all that the table holds.
-  void TakeOperatorRows(const platform::Rows& rows, bool whole);
+  void ApplyOperatorRows(const platform::Rows& rows, bool whole);
   /// Applies the operator's rows as fetched from an entry of the same data
   /// centre. Their proof renews the lease only once the offset of the store's
   /// clock is known, because a proof dated too late would extend the lease.
-  void TakeRelayedOperatorRows(const links::RelayedRows& relayed);
+  void ApplyRelayedOperatorRows(const links::RelayedRows& relayed);
   /// The newest known rows of the operator's table, by key.
   const std::map<std::string, platform::Row>& operator_rows() const {
     return m_operator_rows;
   }
   /// The earliest time at which each declaration of weights may have been made.
-  const links::SeenTimes& seen() const { return m_seen; }
+  const links::EarliestWriteTimes& seen() const { return m_seen; }
   /// Applies rows of the table of replicas. `regained_at`: when the store last
   /// answered again after a failure.
-  void TakeReplicaRows(const platform::Rows& rows,
-                       bool whole,
-                       TimePoint regained_at);
+  void ApplyReplicaRows(const platform::Rows& rows,
+                        bool whole,
+                        TimePoint regained_at);
   /// Applies the table of replicas as fetched from an entry of the same data
   /// centre. Returns false, and changes nothing, if it is older than the table
   /// known here.
-  bool TakeRelayedReplicaRows(const links::RelayedRows& relayed);
+  bool ApplyRelayedReplicaRows(const links::RelayedRows& relayed);
   /// The newest known rows of the table of replicas, by key.
   const std::map<std::string, platform::Row>& replica_rows() const {
     return m_replica_rows;
@@ -49,24 +49,24 @@
 
  private:
   /// Time from a declaration of weights until they are mandatory.
-  Duration UsualBinding() const;
+  Duration BindingDelay() const;
   /// Assumed age of a declaration that may have been made at any time since the
   /// store last confirmed that this entry had the newest revision.
-  Duration UnknownAge() const;
+  Duration AssumedAge() const;
   /// `age_of` returns the maximum time since a row was written.
-  void KeepOperatorRows(
+  void MergeOperatorRows(
       const platform::Rows& rows,
       const std::function<Duration(const platform::Row&)>& age_of);
   void TakeConfig(const std::string& text);
   /// `age`: time since the declaration was made.
-  void TakeWeights(const platform::Row& row, Duration age);
-  void TakeReplicaRow(const platform::Row& row);
+  void ApplyWeights(const platform::Row& row, Duration age);
+  void ApplyReplicaRow(const platform::Row& row);
   void UpdatePools(TimePoint keep_missing_until);
 
   EntryState& m_state;
-  bool m_weights_seen = false;
+  bool m_operator_rows_read = false;
   std::map<std::string, platform::Row> m_operator_rows;
-  links::SeenTimes m_seen;
+  links::EarliestWriteTimes m_seen;
   std::map<std::string, platform::Row> m_replica_rows;
   uint64_t m_replicas_revision = 0;
   /// The rows of the table of replicas that could be decoded.
--- a/src/libverbenalead/entry/row_applier_test.cc
+++ b/src/libverbenalead/entry/row_applier_test.cc
@@ -29,8 +29,8 @@
   return all;
 }
 
-class RowIntakeTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(RowIntakeTest);
+class RowApplierTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(RowApplierTest);
   CPPUNIT_TEST(AppliesRowsOfAnotherEntry);
   CPPUNIT_TEST(AnOlderListDoesNotBringBackALeavingReplica);
   CPPUNIT_TEST(ExpiredRowsAreKeptAfterARelay);
@@ -46,12 +46,13 @@
     EntryOptions options;
     options.m_weights_bound = 8s;
     m_state = std::make_unique<EntryState>(options);
-    m_intake = std::make_unique<RowIntake>(*m_state);
+    m_intake = std::make_unique<RowApplier>(*m_state);
   }
 
   void AppliesRowsOfAnotherEntry() {
-    m_intake->TakeReplicaRows(Rows(5, {ReplicaRow("1", 5)}), true, TimePoint());
-    CPPUNIT_ASSERT(m_intake->TakeRelayedReplicaRows(
+    m_intake->ApplyReplicaRows(Rows(5, {ReplicaRow("1", 5)}), true,
+                               TimePoint());
+    CPPUNIT_ASSERT(m_intake->ApplyRelayedReplicaRows(
         {Rows(8, {ReplicaRow("1", 5), ReplicaRow("2", 8)}), {}, std::nullopt}));
     CPPUNIT_ASSERT_EQUAL(size_t{2}, Replicas().size());
     CPPUNIT_ASSERT_EQUAL(uint64_t{8}, m_intake->replicas_revision());
@@ -63,10 +64,11 @@
   // read from the store that the replica is leaving, and then fetches an older
   // list from another entry. An older list must not be applied.
   void AnOlderListDoesNotBringBackALeavingReplica() {
-    m_intake->TakeReplicaRows(Rows(5, {ReplicaRow("1", 5)}), true, TimePoint());
-    m_intake->TakeReplicaRows(Rows(9, {ReplicaRow("1", 9, "draining")}), false,
-                              TimePoint());
-    CPPUNIT_ASSERT(!m_intake->TakeRelayedReplicaRows(
+    m_intake->ApplyReplicaRows(Rows(5, {ReplicaRow("1", 5)}), true,
+                               TimePoint());
+    m_intake->ApplyReplicaRows(Rows(9, {ReplicaRow("1", 9, "draining")}), false,
+                               TimePoint());
+    CPPUNIT_ASSERT(!m_intake->ApplyRelayedReplicaRows(
         {Rows(7, {ReplicaRow("1", 5)}), {}, std::nullopt}));
     CPPUNIT_ASSERT(Replicas().at("1").m_replica.m_leaving);
   }
@@ -76,10 +78,12 @@
   // replicas for two seconds. An entry that fetches its list must keep them as
   // long.
   void ExpiredRowsAreKeptAfterARelay() {
-    m_intake->TakeReplicaRows(Rows(5, {ReplicaRow("1", 5)}), true, TimePoint());
-    m_intake->TakeRelayedReplicaRows({Rows(8, {}), {}, Duration(100ms)});
+    m_intake->ApplyReplicaRows(Rows(5, {ReplicaRow("1", 5)}), true,
+                               TimePoint());
+    m_intake->ApplyRelayedReplicaRows({Rows(8, {}), {}, Duration(100ms)});
     CPPUNIT_ASSERT_EQUAL(size_t{1}, Replicas().size());
-    decide::DropMissing(m_state->m_services.at("pool").m_pool, Now() + 3s);
+    decide::RemoveExpiredReplicas(m_state->m_services.at("pool").m_pool,
+                                  Now() + 3s);
     CPPUNIT_ASSERT(Replicas().empty());
   }
 
@@ -90,9 +94,9 @@
   void BoundCountsFromTheDeclaration() {
     links::RelayedRows relayed = {
         Rows(7, {DeclarationRow(7)}), {}, std::nullopt};
-    relayed.m_ages["version/m"] = 3s;
-    m_intake->TakeRelayedOperatorRows(relayed);
-    const decide::WeightsWatch& watch = m_state->m_weights.at("m");
+    relayed.m_max_ages["version/m"] = 3s;
+    m_intake->ApplyRelayedOperatorRows(relayed);
+    const decide::DeclaredVersions& watch = m_state->m_weights.at("m");
     const Duration left = m_state->m_options.m_weights_bound - 600ms - 3s;
     CPPUNIT_ASSERT_EQUAL(uint64_t{0},
                          decide::Binding(watch, Now() + left - 500ms));
@@ -103,9 +107,9 @@
   // entry was restarted and fetched the rows from another one that doesn't have
   // the age of the declaration. It must not be treated as new.
   void ADeclarationOfUnknownAgeBindsSoonAfterAStart() {
-    m_intake->TakeRelayedOperatorRows(
+    m_intake->ApplyRelayedOperatorRows(
         {Rows(7, {DeclarationRow(7)}), {}, std::nullopt});
-    const decide::WeightsWatch& watch = m_state->m_weights.at("m");
+    const decide::DeclaredVersions& watch = m_state->m_weights.at("m");
     CPPUNIT_ASSERT_EQUAL(uint64_t{2}, decide::Binding(watch, Now() + 2600ms));
   }
 
@@ -116,7 +120,7 @@
     const Duration now = BootNow();
     TakeAnswer(now - 2s, now - 2s, {});
     TakeAnswer(now - 1s, now - 1s, {DeclarationRow(7)});
-    const decide::WeightsWatch& watch = m_state->m_weights.at("m");
+    const decide::DeclaredVersions& watch = m_state->m_weights.at("m");
     const Duration left = m_state->m_options.m_weights_bound - 600ms - 2s;
     CPPUNIT_ASSERT_EQUAL(uint64_t{0},
                          decide::Binding(watch, Now() + left - 500ms));
@@ -130,8 +134,8 @@
   void AgesAreRelayedWithoutTheStoresClock() {
     links::RelayedRows relayed = {
         Rows(7, {DeclarationRow(7)}), {}, std::nullopt};
-    relayed.m_ages["version/m"] = 3s;
-    m_intake->TakeRelayedOperatorRows(relayed);
+    relayed.m_max_ages["version/m"] = 3s;
+    m_intake->ApplyRelayedOperatorRows(relayed);
     CPPUNIT_ASSERT(!m_state->m_store_clock.m_offset);
     const Duration age = BootNow() - m_intake->seen().at("version/m");
     CPPUNIT_ASSERT(age >= 3s && age < 4s);
@@ -140,8 +144,8 @@
   void UndecodableRowAddsNoReplica() {
     platform::Row bad = ReplicaRow("2", 6);
     bad.m_value = "\xff";
-    m_intake->TakeReplicaRows(Rows(6, {ReplicaRow("1", 5), bad}), true,
-                              TimePoint());
+    m_intake->ApplyReplicaRows(Rows(6, {ReplicaRow("1", 5), bad}), true,
+                               TimePoint());
     CPPUNIT_ASSERT_EQUAL(size_t{1}, Replicas().size());
     CPPUNIT_ASSERT_EQUAL(size_t{2}, m_intake->replica_rows().size());
   }
@@ -154,7 +158,7 @@
     platform::Rows answer = Rows(7, std::move(rows));
     answer.m_asked_at = asked_at;
     answer.m_store_time = answered_at;
-    m_intake->TakeOperatorRows(answer, m_first_answer);
+    m_intake->ApplyOperatorRows(answer, m_first_answer);
     m_first_answer = false;
   }
 
@@ -163,11 +167,11 @@
   }
 
   std::unique_ptr<EntryState> m_state;
-  std::unique_ptr<RowIntake> m_intake;
+  std::unique_ptr<RowApplier> m_intake;
   bool m_first_answer = true;
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(RowIntakeTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(RowApplierTest);
 
 }  // namespace
 }  // namespace verbenalead::entry
--- a/src/libverbenalead/entry/row_synchroniser.cc
+++ b/src/libverbenalead/entry/row_synchroniser.cc
@@ -17,14 +17,14 @@
 constexpr Duration kOperatorLongPoll = 1200ms;
 /// Pace of requests for the table of replicas. A replica that leaves must get
 /// no calls 2 s after it announced that.
-constexpr links::FollowPace kReplicaPace = {Duration(), 900ms, Duration(),
-                                            false};
+constexpr links::PollSchedule kReplicaPace = {Duration(), 900ms, Duration(),
+                                              false};
 /// Pace of requests for both tables while another entry reads for this one:
 /// seldom, and only in case the rows of the other entry are wrong. If the store
 /// does not answer, a quick retry is not needed.
 constexpr Duration kPeerReadsInterval = 300s;
-constexpr links::FollowPace kPeerReadsPace = {Duration(), kPeerReadsInterval,
-                                              2s, false};
+constexpr links::PollSchedule kPeerReadsPace = {Duration(), kPeerReadsInterval,
+                                                2s, false};
 /// An entry that has just started gets all rows from another one of its data
 /// centre within a second. If rows are missing after this time, it reads them
 /// from the store.
@@ -35,11 +35,11 @@
 
 }  // namespace
 
-RowSources::RowSources(const boost::asio::any_io_executor& executor,
-                       EntryState& state,
-                       platform::Store& store,
-                       wire::Client& peers,
-                       std::function<void()> on_rows)
+RowSynchroniser::RowSynchroniser(const boost::asio::any_io_executor& executor,
+                                 EntryState& state,
+                                 platform::Store& store,
+                                 wire::Client& peers,
+                                 std::function<void()> on_rows)
     : m_state(state),
       m_peers(peers),
       m_executor(executor),
@@ -51,7 +51,7 @@
           platform::kOperatorTable,
           [this] { return OperatorPace(); },
           [this](const platform::Rows& rows, bool whole) {
-            m_intake.TakeOperatorRows(rows, whole);
+            m_intake.ApplyOperatorRows(rows, whole);
             m_on_rows();
           }),
       m_replicas(
@@ -60,74 +60,75 @@
           platform::kReplicaTable,
           [this] { return ReplicaPace(); },
           [this](const platform::Rows& rows, bool whole) {
-            m_intake.TakeReplicaRows(rows, whole, m_replicas.regained_at());
+            m_intake.ApplyReplicaRows(rows, whole, m_replicas.regained_at());
             m_on_rows();
           }) {}
 
-void RowSources::Start() {
-  m_cold.m_started = Now();
+void RowSynchroniser::Start() {
+  m_cold_start.m_started = Now();
   SpawnLoop(m_executor, m_operator.Run(), "operator_rows");
   SpawnLoop(m_executor, m_replicas.Run(), "replica_rows");
 }
 
-void RowSources::NoteEntriesKnown() {
-  decide::NoteOthers(m_cold, ListedBefore(m_state), Now());
+void RowSynchroniser::HandleEntriesKnown() {
+  decide::RecordRank(m_cold_start, CountListedPredecessors(m_state), Now());
 }
 
-bool RowSources::IsHeld(bool known) const {
+bool RowSynchroniser::IsReadDeferred(bool known) const {
   const TimePoint now = Now();
   if (!known) {
-    const bool expects_peer_rows = m_reading == decide::Reading::kFromPeer &&
-                                   now - m_cold.m_started < kPeerRowsTimeout;
-    return expects_peer_rows || !decide::MayRead(m_cold, now);
+    const bool expects_peer_rows =
+        m_reading == decide::Reading::kFromPeer &&
+        now - m_cold_start.m_started < kPeerRowsTimeout;
+    return expects_peer_rows || !decide::MayReadStore(m_cold_start, now);
   }
   return m_reading == decide::Reading::kFromPeer &&
-         now - m_read_for_since < kPeerReadsInterval;
+         now - m_peer_reads_since < kPeerReadsInterval;
 }
 
-links::FollowPace RowSources::OperatorPace() {
-  links::FollowPace pace = kPeerReadsPace;
-  if (m_reading == decide::Reading::kOwn) {
+links::PollSchedule RowSynchroniser::OperatorPace() {
+  links::PollSchedule pace = kPeerReadsPace;
+  if (m_reading == decide::Reading::kFromStore) {
     // An entry that has just taken over must prove at once that it has the
     // newest revision, so its first request is answered without a wait.
     const bool proved =
         Now() - m_state.m_operator_answered_at < kOperatorLongPoll;
     pace = {proved ? kOperatorLongPoll : Duration(),
-            decide::TakeTurn(m_operator_pace, Now()), PauseAfterFailure(),
+            decide::RecordRequest(m_operator_pace, Now()), PauseAfterFailure(),
             false};
   }
-  pace.m_hold = IsHeld(m_state.m_routes != nullptr);
+  pace.m_hold = IsReadDeferred(m_state.m_routes != nullptr);
   return pace;
 }
 
-Duration RowSources::PauseAfterFailure() {
+Duration RowSynchroniser::PauseAfterFailure() {
   return decide::PauseAfterFailure(
-      EntriesBefore(m_state, Now()),
+      CountLivePredecessors(m_state, Now()),
       std::uniform_real_distribution<double>(0, 1)(m_state.m_random));
 }
 
-links::FollowPace RowSources::ReplicaPace() {
-  links::FollowPace pace = kPeerReadsPace;
-  if (m_reading == decide::Reading::kOwn) {
+links::PollSchedule RowSynchroniser::ReplicaPace() {
+  links::PollSchedule pace = kPeerReadsPace;
+  if (m_reading == decide::Reading::kFromStore) {
     pace = kReplicaPace;
-    pace.m_after_failure = PauseAfterFailure();
+    pace.m_retry_pause = PauseAfterFailure();
   }
   // While the store answers for neither table, only the operator's table is
   // requested. Requests for both by 98 entries doubled the number of requests,
   // each of which is charged. If only the operator's rows fail, the table of
   // replicas is still requested.
-  pace.m_hold = IsHeld(m_state.m_replicas_known) ||
+  pace.m_hold = IsReadDeferred(m_state.m_replicas_known) ||
                 (m_operator.lost() && m_replicas.lost());
   return pace;
 }
 
-void RowSources::Compare() {
+void RowSynchroniser::Compare() {
   const TimePoint now = Now();
-  m_state.m_store_lost = m_operator.lost() || m_replicas.lost();
-  const PeerEntry* reader = ReaderFor(m_state, now);
+  m_state.m_store_unavailable = m_operator.lost() || m_replicas.lost();
+  const PeerEntry* reader = FindStoreReader(m_state, now);
   const decide::Reading before = m_reading;
-  m_reading = decide::NextReading(m_turn, reader != nullptr,
-                                  EntriesBefore(m_state, now), now);
+  m_reading = decide::NextReadSource(m_turn, reader != nullptr,
+                                     CountLivePredecessors(m_state, now), now);
   if (m_reading != before) {
     LogLine("reading")
         .With("from", reader ? reader->m_address.m_host
@@ -135,14 +136,14 @@
         .With("waits", m_reading == decide::Reading::kWaiting)
         .Info();
     if (m_reading == decide::Reading::kFromPeer)
-      m_read_for_since = now;
-    if (m_reading == decide::Reading::kOwn) {
-      m_took_over = now;
-      m_operator.Poke();
-      m_replicas.Poke();
+      m_peer_reads_since = now;
+    if (m_reading == decide::Reading::kFromStore) {
+      m_took_over_at = now;
+      m_operator.PollNow();
+      m_replicas.PollNow();
     }
   }
-  const PeerEntry* newer = AheadOf(m_state, now);
+  const PeerEntry* newer = PickNewerPeer(m_state, now);
   if (newer && !m_fetching_operator && now >= m_next_operator_fetch) {
     Spawn(m_executor, FetchOperatorRows(newer->m_address.m_peers),
           "fetch_operator_rows");
@@ -151,78 +152,80 @@
     CompareReplicas(*reader);
 }
 
-void RowSources::CompareReplicas(const PeerEntry& reader) {
+void RowSynchroniser::CompareReplicas(const PeerEntry& reader) {
   const TimePoint now = Now();
   if (reader.m_replicas_hash == m_state.m_replicas_hash) {
-    m_state.m_replicas_at = now;
+    m_state.m_replicas_confirmed_at = now;
   } else if (!m_fetching_replicas && now >= m_next_replica_fetch) {
-    const PeerEntry& source = ReplicaSource(m_state, reader, now);
+    const PeerEntry& source = PickReplicaListPeer(m_state, reader, now);
     Spawn(m_executor, FetchReplicaRows(source.m_address.m_peers),
           "fetch_replica_rows");
   }
 }
 
-bool RowSources::HasTakenOver() {
-  if (!m_took_over || m_state.m_operator_answered_at < *m_took_over ||
-      m_state.m_replicas_at < *m_took_over)
+bool RowSynchroniser::ConsumeTakeover() {
+  if (!m_took_over_at || m_state.m_operator_answered_at < *m_took_over_at ||
+      m_state.m_replicas_confirmed_at < *m_took_over_at)
     return false;
-  m_took_over.reset();
+  m_took_over_at.reset();
   return true;
 }
 
-bool RowSources::IsPutOff(const Failure& failure, TimePoint& ask_at) {
+bool RowSynchroniser::IsDeferred(const Failure& failure, TimePoint& ask_at) {
   if (failure.m_code != FailureCode::kRefused)
     return false;
   LogLine("rows_put_off").With(failure).Info();
-  ask_at = Now() + decide::PutOffFor(m_state.m_random);
+  ask_at = Now() + decide::DeferralDelay(m_state.m_random);
   return true;
 }
 
-Awaitable<void> RowSources::FetchOperatorRows(Endpoint from) {
+Awaitable<void> RowSynchroniser::FetchOperatorRows(Endpoint from) {
   m_fetching_operator = true;
-  const decide::BurstPace before = m_operator_fetch_pace;
+  const decide::BurstPacer before = m_operator_fetch_pace;
   m_next_operator_fetch =
-      Now() + decide::TakeTurn(m_operator_fetch_pace, Now());
+      Now() + decide::RecordRequest(m_operator_fetch_pace, Now());
   const auto relayed =
       co_await links::FetchRows(m_peers, from, links::kOperatorRowsPath, true);
   m_fetching_operator = false;
-  if (!relayed && IsPutOff(relayed.error(), m_next_operator_fetch)) {
+  if (!relayed && IsDeferred(relayed.error(), m_next_operator_fetch)) {
     m_operator_fetch_pace = before;
     co_return;
   }
   if (!relayed) {
     LogLine("rows_not_relayed").With(relayed.error()).Warn();
-    m_operator.Poke();
+    m_operator.PollNow();
     co_return;
   }
-  m_intake.TakeRelayedOperatorRows(*relayed);
+  m_intake.ApplyRelayedOperatorRows(*relayed);
   m_operator.SkipTo(relayed->m_rows.m_revision);
   m_on_rows();
 }
 
-Awaitable<void> RowSources::FetchReplicaRows(Endpoint from) {
+Awaitable<void> RowSynchroniser::FetchReplicaRows(Endpoint from) {
   m_fetching_replicas = true;
-  const decide::BurstPace before = m_replica_fetch_pace;
-  m_next_replica_fetch = Now() + decide::TakeTurn(m_replica_fetch_pace, Now());
+  const decide::BurstPacer before = m_replica_fetch_pace;
+  m_next_replica_fetch =
+      Now() + decide::RecordRequest(m_replica_fetch_pace, Now());
   const auto relayed =
       co_await links::FetchRows(m_peers, from, links::kReplicaRowsPath, true);
   m_fetching_replicas = false;
-  if (!relayed && IsPutOff(relayed.error(), m_next_replica_fetch)) {
+  if (!relayed && IsDeferred(relayed.error(), m_next_replica_fetch)) {
     m_replica_fetch_pace = before;
     co_return;
   }
   if (!relayed) {
     LogLine("rows_not_relayed").With(relayed.error()).Warn();
-    m_replicas.Poke();
+    m_replicas.PollNow();
     co_return;
   }
-  if (!m_intake.TakeRelayedReplicaRows(*relayed))
+  if (!m_intake.ApplyRelayedReplicaRows(*relayed))
     co_return;
   m_replicas.SkipTo(relayed->m_rows.m_revision);
   m_on_rows();
 }
 
-std::shared_ptr<const std::string> RowSources::TextOf(const std::string& path) {
+std::shared_ptr<const std::string> RowSynchroniser::TextOf(
+    const std::string& path) {
   const bool replicas = path == links::kReplicaRowsPath;
   const bool known =
       replicas ? m_state.m_replicas_known
@@ -232,7 +235,7 @@
     return nullptr;
   const uint64_t revision =
       replicas ? m_intake.replicas_revision() : m_state.m_operator_revision;
-  ToldRows& encoded = m_told[path];
+  EncodedRows& encoded = m_told[path];
   if (encoded.m_text && encoded.m_revision == revision)
     return encoded.m_text;
   std::map<std::string, platform::Row> rows =
@@ -245,33 +248,35 @@
   encoded.m_revision = revision;
   encoded.m_text =
       std::make_shared<const std::string>(Deflate(links::EncodeRows(
-          rows, followed, replicas ? links::SeenTimes() : m_intake.seen())));
+          rows, followed,
+          replicas ? links::EarliestWriteTimes() : m_intake.seen())));
   return encoded.m_text;
 }
 
-bool RowSources::MayTell(const wire::Request& request, uint64_t bytes) {
-  return !request.m_headers.contains(links::kMayBePutOff) ||
-         decide::TakeHandout(m_handouts, bytes, Now());
+bool RowSynchroniser::MaySendRows(const wire::Request& request,
+                                  uint64_t bytes) {
+  return !request.m_headers.contains(links::kMayBeDeferred) ||
+         decide::TryAdmitTransfer(m_row_transfers, bytes, Now());
 }
 
-Awaitable<void> RowSources::TellRows(const wire::Request& request,
-                                     wire::ResponseWriter& caller) {
+Awaitable<void> RowSynchroniser::ServeRows(const wire::Request& request,
+                                           wire::ResponseWriter& caller) {
   const std::shared_ptr<const std::string> text = TextOf(request.m_path);
   if (!text) {
     co_await caller.Send(wire::JsonResponse(404, "{}"));
     co_return;
   }
-  if (!MayTell(request, text->size())) {
+  if (!MaySendRows(request, text->size())) {
     m_state.m_metrics.Count("rows_put_off_total", "");
     co_await caller.Send(wire::JsonResponse(503, "{}"));
     co_return;
   }
-  links::RelayFacts facts;
-  facts.m_proof = m_state.m_operator_proof;
+  links::RelayMetadata facts;
+  facts.m_confirmed_at = m_state.m_operator_confirmed_at;
   facts.m_told_at = BootNow();
   if (m_replicas.regained_at() != TimePoint())
-    facts.m_regained_ago = Now() - m_replicas.regained_at();
-  wire::ResponseHead head(200, links::EncodeFacts(facts));
+    facts.m_store_regained_ago = Now() - m_replicas.regained_at();
+  wire::ResponseHead head(200, links::EncodeRelayMetadata(facts));
   if (!co_await caller.Start(std::move(head)))
     co_return;
   for (size_t begin = 0; begin < text->size(); begin += kResponsePieceSize) {
--- a/src/libverbenalead/entry/row_synchroniser.h
+++ b/src/libverbenalead/entry/row_synchroniser.h
@@ -21,17 +21,17 @@
 
 /// Keeps the rows of the operator's table and of the table of replicas current.
 /// Reads them from the store, or fetches them from the entry of the same data
-/// centre that reads the store (see ReaderFor), and serves them to other
+/// centre that reads the store (see FindStoreReader), and serves them to other
 /// entries and to targets.
-class RowSources {
+class RowSynchroniser {
  public:
   /// `on_rows` is called after rows have been applied. `store` and `peers`
   /// outlive this.
-  RowSources(const boost::asio::any_io_executor& executor,
-             EntryState& state,
-             platform::Store& store,
-             wire::Client& peers,
-             std::function<void()> on_rows);
+  RowSynchroniser(const boost::asio::any_io_executor& executor,
+                  EntryState& state,
+                  platform::Store& store,
+                  wire::Client& peers,
+                  std::function<void()> on_rows);
 
   /// Starts to follow both tables. An entry that has just started delays its
   /// own reads while it may get the rows from others.
@@ -43,21 +43,21 @@
   void Compare();
 
   /// The entries of this data centre have been read from the store.
-  void NoteEntriesKnown();
+  void HandleEntriesKnown();
 
   /// Returns true once after this entry has taken over reading and the store
   /// has answered: the other entries wait for these rows.
-  bool HasTakenOver();
+  bool ConsumeTakeover();
 
   /// Responds to entries and targets of this data centre that fetch rows.
-  Awaitable<void> TellRows(const wire::Request& request,
-                           wire::ResponseWriter& caller);
+  Awaitable<void> ServeRows(const wire::Request& request,
+                            wire::ResponseWriter& caller);
 
-  RowIntake& intake() { return m_intake; }
+  RowApplier& intake() { return m_intake; }
 
  private:
   /// Encoded and compressed rows, as sent in responses.
-  struct ToldRows {
+  struct EncodedRows {
     uint64_t m_revision = 0;
     std::shared_ptr<const std::string> m_text;
   };
@@ -65,23 +65,23 @@
   static constexpr uint32_t kBurst = 5;
   static constexpr Duration kInterval = 400ms;
 
-  links::FollowPace OperatorPace();
-  links::FollowPace ReplicaPace();
+  links::PollSchedule OperatorPace();
+  links::PollSchedule ReplicaPace();
   /// Pause of this entry after a request that the store did not answer.
   Duration PauseAfterFailure();
   /// Whether the store need not be read now, because another entry is expected
   /// to supply the rows. `known`: rows of the table have been applied here
   /// before.
-  bool IsHeld(bool known) const;
+  bool IsReadDeferred(bool known) const;
   /// Returns the encoded rows for `path`, or null if they are not known yet or
   /// there is no such path.
   std::shared_ptr<const std::string> TextOf(const std::string& path);
   void CompareReplicas(const PeerEntry& reader);
   /// Whether `bytes` of rows may be sent now in response to `request`.
-  bool MayTell(const wire::Request& request, uint64_t bytes);
+  bool MaySendRows(const wire::Request& request, uint64_t bytes);
   /// Whether `failure` means that the other entry has deferred the request for
   /// rows. If so, sets `ask_at` to the time of the next request.
-  bool IsPutOff(const Failure& failure, TimePoint& ask_at);
+  bool IsDeferred(const Failure& failure, TimePoint& ask_at);
   Awaitable<void> FetchOperatorRows(Endpoint from);
   Awaitable<void> FetchReplicaRows(Endpoint from);
 
@@ -89,28 +89,29 @@
   wire::Client& m_peers;
   const boost::asio::any_io_executor m_executor;
   const std::function<void()> m_on_rows;
-  RowIntake m_intake;
+  RowApplier m_intake;
   links::TableFollower m_operator;
   links::TableFollower m_replicas;
-  decide::ReadingTurn m_turn;
-  decide::Reading m_reading = decide::Reading::kOwn;
-  /// When this entry took over reading, until HasTakenOver() has reported it.
-  std::optional<TimePoint> m_took_over;
-  decide::ColdStart m_cold;
+  decide::ReaderFailover m_turn;
+  decide::Reading m_reading = decide::Reading::kFromStore;
+  /// When this entry took over reading, until ConsumeTakeover() has reported
+  /// it.
+  std::optional<TimePoint> m_took_over_at;
+  decide::ColdStart m_cold_start;
   /// Another entry has read the store for this one at least since this time.
-  TimePoint m_read_for_since{};
+  TimePoint m_peer_reads_since{};
   /// The rows last encoded, by path: 14 other entries fetch the same 390 KB.
-  std::map<std::string, ToldRows> m_told;
-  decide::HandoutPace m_handouts;
+  std::map<std::string, EncodedRows> m_told;
+  decide::RowTransferLimit m_row_transfers;
   bool m_fetching_operator = false;
   bool m_fetching_replicas = false;
   /// Changes in quick succession are read from the store together, and fetched
   /// together: five changes a second of 100 KB use a seventh of the link to the
   /// store, and the reading entry sends each to 14 others. They must be in
   /// force after 2 s.
-  decide::BurstPace m_operator_pace{kBurst, kInterval};
-  decide::BurstPace m_operator_fetch_pace{kBurst, kInterval};
-  decide::BurstPace m_replica_fetch_pace{kBurst, kInterval};
+  decide::BurstPacer m_operator_pace{kBurst, kInterval};
+  decide::BurstPacer m_operator_fetch_pace{kBurst, kInterval};
+  decide::BurstPacer m_replica_fetch_pace{kBurst, kInterval};
   TimePoint m_next_operator_fetch{};
   TimePoint m_next_replica_fetch{};
 };
--- a/src/libverbenalead/entry/slot_allocator.cc
+++ b/src/libverbenalead/entry/slot_allocator.cc
@@ -19,7 +19,7 @@
 }  // namespace
 
 /// A call that waits for a place. The timer is cancelled to wake it.
-struct PlaceWaiter::Waiter {
+struct SlotAllocator::Waiter {
   Waiter(const asio::any_io_executor& executor,
          std::string service,
          uint32_t prompt_tokens)
@@ -33,48 +33,50 @@
   std::optional<Place> m_place;
 };
 
-PlaceWaiter::PlaceWaiter(
+SlotAllocator::SlotAllocator(
     EntryState& state,
-    PlaceAsker& asker,
+    SlotRequester& asker,
     std::function<void(const decide::ReplicaState&)> on_change)
-    : m_state(state), m_asker(asker), m_on_change(std::move(on_change)) {
-  m_asker.OnGranted(
-      [this](uint64_t reservation) { TakeGrant(reservation); },
-      [this](const std::string& replica) { ReturnGrant(replica); });
+    : m_state(state),
+      m_slot_requester(asker),
+      m_on_change(std::move(on_change)) {
+  m_slot_requester.SetGrantHandlers(
+      [this](uint64_t reservation) { HandleGrant(reservation); },
+      [this](const std::string& replica) { ReturnUnneededGrant(replica); });
 }
 
-Awaitable<std::optional<std::string>> PlaceWaiter::Take(std::string service,
-                                                        decide::PoolCall call,
-                                                        TimePoint deadline) {
+Awaitable<std::optional<std::string>> SlotAllocator::Take(std::string service,
+                                                          decide::PoolCall call,
+                                                          TimePoint deadline) {
   const uint64_t ticket = call.m_ticket;
   while (true) {
-    auto place = co_await TakeOrWait(service, call, deadline);
+    auto place = co_await AcquireOrWait(service, call, deadline);
     if (!place) {
-      WithdrawAll(ticket);
+      WithdrawReservations(ticket);
       co_return std::nullopt;
     }
     bool granted = place->m_granted;
     if (!granted)
-      granted = co_await m_asker.Ask(service, place->m_replica, call);
+      granted = co_await m_slot_requester.Ask(service, place->m_replica, call);
     if (granted) {
-      WithdrawAll(ticket);
+      WithdrawReservations(ticket);
       co_return place->m_replica;
     }
     // The target denied the place. Its answer also updated this entry's view of
     // the replica, so the next round chooses another one.
     decide::ReplicaPool& pool = StateOf(m_state, service).m_pool;
-    decide::NoteBegun(pool, place->m_replica, call.m_prompt_tokens);
+    decide::NotePromptRead(pool, place->m_replica, call.m_prompt_tokens);
     decide::Release(pool, place->m_replica, decide::AttemptEnd::kNotRun, Now());
     m_state.m_metrics.Count("places_denied_total", "");
   }
 }
 
-Awaitable<std::optional<PlaceWaiter::Place>> PlaceWaiter::TakeOrWait(
+Awaitable<std::optional<SlotAllocator::Place>> SlotAllocator::AcquireOrWait(
     std::string service,
     decide::PoolCall call,
     TimePoint deadline) {
   decide::ReplicaPool& pool = StateOf(m_state, service).m_pool;
-  auto replica = decide::TakePlace(pool, call, Now(), m_state.m_random);
+  auto replica = decide::AcquireSlot(pool, call, Now(), m_state.m_random);
   if (replica) {
     Place place;
     place.m_replica = *replica;
@@ -94,52 +96,54 @@
       asio::redirect_error(asio::use_awaitable, ignored));
   m_waiters.erase(ticket);
   if (!waiter->m_place)
-    decide::StopWaiting(StateOf(m_state, service).m_pool, ticket);
+    decide::RemoveWaitingCall(StateOf(m_state, service).m_pool, ticket);
   co_return waiter->m_place;
 }
 
-void PlaceWaiter::Reserve(const std::string& service,
-                          const decide::PoolCall& call,
-                          TimePoint deadline) {
+void SlotAllocator::Reserve(const std::string& service,
+                            const decide::PoolCall& call,
+                            TimePoint deadline) {
   if (m_reservations.contains(call.m_ticket))
     return;
   const decide::ReplicaPool& pool = StateOf(m_state, service).m_pool;
-  for (const std::string& replica : decide::WaitingPlaces(
+  for (const std::string& replica : decide::ReplicasToWaitAt(
            pool, call, kReservations, Now(), m_state.m_random)) {
-    const auto reservation = m_asker.Reserve(service, replica, call, deadline);
+    const auto reservation =
+        m_slot_requester.Reserve(service, replica, call, deadline);
     if (!reservation)
       continue;
     m_reservations[call.m_ticket].push_back(*reservation);
-    m_reserved_for[*reservation] = call.m_ticket;
+    m_ticket_by_reservation[*reservation] = call.m_ticket;
   }
 }
 
-void PlaceWaiter::WithdrawAll(uint64_t ticket) {
+void SlotAllocator::WithdrawReservations(uint64_t ticket) {
   const auto found = m_reservations.find(ticket);
   if (found == m_reservations.end())
     return;
   for (uint64_t reservation : found->second) {
-    m_asker.Withdraw(reservation);
-    m_reserved_for.erase(reservation);
+    m_slot_requester.Withdraw(reservation);
+    m_ticket_by_reservation.erase(reservation);
   }
   m_reservations.erase(found);
 }
 
-void PlaceWaiter::TakeGrant(uint64_t reservation) {
-  const auto ticket = m_reserved_for.find(reservation);
-  const std::string replica = m_asker.ReplicaOf(reservation);
-  const auto waiter = ticket == m_reserved_for.end()
+void SlotAllocator::HandleGrant(uint64_t reservation) {
+  const auto ticket = m_ticket_by_reservation.find(reservation);
+  const std::string replica =
+      m_slot_requester.ReplicaOfReservation(reservation);
+  const auto waiter = ticket == m_ticket_by_reservation.end()
                           ? m_waiters.end()
                           : m_waiters.find(ticket->second);
   if (waiter == m_waiters.end() || waiter->second->m_place) {
-    ReturnGrant(replica);
+    ReturnUnneededGrant(replica);
     return;
   }
   Waiter& waiting = *waiter->second;
   decide::ReplicaPool& pool = StateOf(m_state, waiting.m_service).m_pool;
-  if (!decide::TakeGranted(pool, replica, waiting.m_prompt_tokens))
+  if (!decide::AddGrantedSlot(pool, replica, waiting.m_prompt_tokens))
     return;
-  decide::StopWaiting(pool, ticket->second);
+  decide::RemoveWaitingCall(pool, ticket->second);
   Place place;
   place.m_replica = replica;
   place.m_granted = true;
@@ -147,49 +151,50 @@
   waiting.m_timer.cancel();
 }
 
-void PlaceWaiter::ReturnGrant(const std::string& replica) {
+void SlotAllocator::ReturnUnneededGrant(const std::string& replica) {
   m_state.m_metrics.Count("grants_unused_total", "");
   for (const auto& [service, state] : m_state.m_services)
-    TellCalls(service, replica);
+    NotifyCalls(service, replica);
 }
 
-void PlaceWaiter::TellCalls(const std::string& service,
-                            const std::string& replica) {
+void SlotAllocator::NotifyCalls(const std::string& service,
+                                const std::string& replica) {
   const decide::ReplicaPool& pool = StateOf(m_state, service).m_pool;
   const auto found = pool.m_replicas.find(replica);
   if (found != pool.m_replicas.end() && pool.m_prefill_rate > 0)
     m_on_change(found->second);
 }
 
-void PlaceWaiter::NoteBegun(const std::string& service,
-                            const std::string& replica,
-                            uint32_t prompt_tokens) {
-  decide::NoteBegun(StateOf(m_state, service).m_pool, replica, prompt_tokens);
-  TellCalls(service, replica);
+void SlotAllocator::NotePromptRead(const std::string& service,
+                                   const std::string& replica,
+                                   uint32_t prompt_tokens) {
+  decide::NotePromptRead(StateOf(m_state, service).m_pool, replica,
+                         prompt_tokens);
+  NotifyCalls(service, replica);
 }
 
-void PlaceWaiter::Cancel(uint64_t ticket) {
+void SlotAllocator::Cancel(uint64_t ticket) {
   const auto found = m_waiters.find(ticket);
   if (found != m_waiters.end())
     found->second->m_timer.cancel();
 }
 
-void PlaceWaiter::Release(const std::string& service,
-                          const std::string& replica,
-                          decide::AttemptEnd end) {
+void SlotAllocator::Release(const std::string& service,
+                            const std::string& replica,
+                            decide::AttemptEnd end) {
   decide::Release(StateOf(m_state, service).m_pool, replica, end, Now());
   // The target is notified first, as calls of all entries queued there take
   // precedence over calls that wait only at this entry.
-  TellCalls(service, replica);
+  NotifyCalls(service, replica);
   Wake(service);
 }
 
-void PlaceWaiter::Wake(const std::string& service) {
+void SlotAllocator::Wake(const std::string& service) {
   decide::ReplicaPool& pool = StateOf(m_state, service).m_pool;
   if (pool.m_waiting.empty())
     return;
-  for (const decide::PoolStart& start :
-       decide::StartWaiting(pool, Now(), m_state.m_random)) {
+  for (const decide::StartedCall& start :
+       decide::StartWaitingCalls(pool, Now(), m_state.m_random)) {
     const auto found = m_waiters.find(start.m_ticket);
     if (found == m_waiters.end()) {
       decide::Release(pool, start.m_replica, decide::AttemptEnd::kAbandoned,
@@ -203,7 +208,7 @@
   }
 }
 
-void PlaceWaiter::WakeAll() {
+void SlotAllocator::WakeAll() {
   for (const auto& [service, state] : m_state.m_services)
     Wake(service);
 }
--- a/src/libverbenalead/entry/slot_allocator.h
+++ b/src/libverbenalead/entry/slot_allocator.h
@@ -16,14 +16,14 @@
 
 /// Obtains places at replicas for calls. A call for which no place is free
 /// waits until one is released here or a target grants one.
-class PlaceWaiter {
+class SlotAllocator {
  public:
   /// `asker` confirms each place with the target of its replica. `on_change` is
   /// called with each replica at which this entry's calls have changed, so that
   /// its target can be notified.
-  PlaceWaiter(EntryState& state,
-              PlaceAsker& asker,
-              std::function<void(const decide::ReplicaState&)> on_change);
+  SlotAllocator(EntryState& state,
+                SlotRequester& asker,
+                std::function<void(const decide::ReplicaState&)> on_change);
 
   /// Obtains a place for `call` and returns the replica of `service`; nothing
   /// if no place came free until `deadline`, or Cancel() was called for its
@@ -37,9 +37,9 @@
 
   /// Called when the replica has begun to answer a call: its prompt has been
   /// read and no longer delays other calls that are placed there.
-  void NoteBegun(const std::string& service,
-                 const std::string& replica,
-                 uint32_t prompt_tokens);
+  void NotePromptRead(const std::string& service,
+                      const std::string& replica,
+                      uint32_t prompt_tokens);
   /// Releases a place and wakes waiting calls.
   void Release(const std::string& service,
                const std::string& replica,
@@ -60,31 +60,31 @@
 
   /// Takes a free place of the pool by this entry's own view, or waits until
   /// one comes free or a target grants one.
-  Awaitable<std::optional<Place>> TakeOrWait(std::string service,
-                                             decide::PoolCall call,
-                                             TimePoint deadline);
+  Awaitable<std::optional<Place>> AcquireOrWait(std::string service,
+                                                decide::PoolCall call,
+                                                TimePoint deadline);
   /// Also queues `call` at targets, which know of free places sooner.
   void Reserve(const std::string& service,
                const decide::PoolCall& call,
                TimePoint deadline);
-  void WithdrawAll(uint64_t ticket);
+  void WithdrawReservations(uint64_t ticket);
   /// Called when a target has granted a place to a call queued there.
-  void TakeGrant(uint64_t reservation);
+  void HandleGrant(uint64_t reservation);
   /// Returns a granted place whose call has a place elsewhere or has ended, so
   /// that the target can grant it to the next call.
-  void ReturnGrant(const std::string& replica);
+  void ReturnUnneededGrant(const std::string& replica);
   /// Sends the target of `replica` this entry's current calls there.
-  void TellCalls(const std::string& service, const std::string& replica);
+  void NotifyCalls(const std::string& service, const std::string& replica);
 
   EntryState& m_state;
-  PlaceAsker& m_asker;
+  SlotRequester& m_slot_requester;
   const std::function<void(const decide::ReplicaState&)> m_on_change;
   uint64_t m_last_ticket = 0;
   std::map<uint64_t, std::shared_ptr<Waiter>> m_waiters;
   /// Reservations at targets by the call's ticket.
   std::map<uint64_t, std::vector<uint64_t>> m_reservations;
   /// The call's ticket by reservation.
-  std::map<uint64_t, uint64_t> m_reserved_for;
+  std::map<uint64_t, uint64_t> m_ticket_by_reservation;
 };
 
 }  // namespace verbenalead::entry
--- a/src/libverbenalead/entry/slot_allocator_test.cc
+++ b/src/libverbenalead/entry/slot_allocator_test.cc
@@ -11,8 +11,8 @@
 
 constexpr uint32_t kSlots = 4;
 
-class PlaceWaiterTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(PlaceWaiterTest);
+class SlotAllocatorTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(SlotAllocatorTest);
   CPPUNIT_TEST(WaitingCallGetsTheSlotGrantedByATarget);
   CPPUNIT_TEST(UnneededGrantIsReturned);
   CPPUNIT_TEST(WaitEndsAtTheDeadlineWithoutAGrant);
@@ -22,15 +22,16 @@
   void setUp() override {
     EntryOptions options;
     options.m_self.m_data_center = "a";
-    options.m_targets_port = 9;
+    options.m_target_datagram_port = 9;
     m_state = std::make_unique<EntryState>(options);
     m_io = std::make_unique<boost::asio::io_context>();
-    m_datagrams = std::make_unique<links::Datagrams>(m_io->get_executor(),
-                                                     Endpoint("127.0.0.1", 0));
-    m_asker = std::make_unique<PlaceAsker>(*m_state, *m_datagrams);
+    m_datagrams = std::make_unique<links::DatagramSocket>(
+        m_io->get_executor(), Endpoint("127.0.0.1", 0));
+    m_slot_requester = std::make_unique<SlotRequester>(*m_state, *m_datagrams);
     m_told.clear();
-    m_places = std::make_unique<PlaceWaiter>(
-        *m_state, *m_asker, [this](const decide::ReplicaState& replica) {
+    m_places = std::make_unique<SlotAllocator>(
+        *m_state, *m_slot_requester,
+        [this](const decide::ReplicaState& replica) {
           m_told.push_back(replica.m_replica.m_id);
         });
     decide::ReplicaPool& pool = StateOf(*m_state, "pool").m_pool;
@@ -42,7 +43,7 @@
     replica.m_slots = kSlots;
     replica.m_weights["m"] = 1;
     decide::SetReplicas(pool, {replica}, TimePoint(), Now());
-    pool.m_replicas.at("i-1").m_elsewhere = kSlots;
+    pool.m_replicas.at("i-1").m_other_entries_calls = kSlots;
   }
 
   // Guards against refusing an on-time call although a place came free at a
@@ -51,10 +52,10 @@
   void WaitingCallGetsTheSlotGrantedByATarget() {
     Take(10s);
     CPPUNIT_ASSERT(!m_done);
-    m_asker->TakeAnswer(Answer(1, false));
+    m_slot_requester->TakeAnswer(Answer(1, false));
     m_io->poll();
     CPPUNIT_ASSERT(!m_done);
-    m_asker->TakeAnswer(Answer(1, true));
+    m_slot_requester->TakeAnswer(Answer(1, true));
     m_io->poll();
     CPPUNIT_ASSERT(m_done);
     CPPUNIT_ASSERT(m_place == std::string("i-1"));
@@ -69,7 +70,7 @@
     Take(10s);
     m_places->Cancel(kTicket);
     m_io->poll();
-    m_asker->TakeAnswer(Answer(1, true));
+    m_slot_requester->TakeAnswer(Answer(1, true));
     m_io->poll();
     CPPUNIT_ASSERT(m_done && !m_place);
     CPPUNIT_ASSERT_EQUAL(0U, Replica().m_in_flight);
@@ -81,7 +82,7 @@
     m_io->run();
     CPPUNIT_ASSERT(m_done && !m_place);
     // A late grant is ignored, as no call waits any more.
-    m_asker->TakeAnswer(Answer(1, true));
+    m_slot_requester->TakeAnswer(Answer(1, true));
     CPPUNIT_ASSERT_EQUAL(0U, Replica().m_in_flight);
   }
 
@@ -92,7 +93,7 @@
     decide::PoolCall call;
     call.m_ticket = kTicket;
     call.m_prompt_tokens = 10;
-    call.m_read_by = Now() + 10s;
+    call.m_read_deadline = Now() + 10s;
     m_place = co_await m_places->Take("pool", call, Now() + wait);
     m_done = true;
   }
@@ -107,29 +108,29 @@
   }
 
   /// The target's answer to the first reservation (queued), or the later grant.
-  static links::PlaceAnswer Answer(uint64_t ticket, bool granted) {
-    links::PlaceAnswer answer;
+  static links::SlotAnswer Answer(uint64_t ticket, bool granted) {
+    links::SlotAnswer answer;
     answer.m_ticket = ticket;
     answer.m_granted = granted;
     answer.m_queued = !granted;
     answer.m_news.m_replica = "i-1";
     answer.m_news.m_service = "pool";
     answer.m_news.m_version = 1;
-    answer.m_news.m_elsewhere.m_calls = kSlots;
+    answer.m_news.m_other_entries_calls.m_calls = kSlots;
     return answer;
   }
 
   std::unique_ptr<EntryState> m_state;
   std::unique_ptr<boost::asio::io_context> m_io;
-  std::unique_ptr<links::Datagrams> m_datagrams;
-  std::unique_ptr<PlaceAsker> m_asker;
-  std::unique_ptr<PlaceWaiter> m_places;
+  std::unique_ptr<links::DatagramSocket> m_datagrams;
+  std::unique_ptr<SlotRequester> m_slot_requester;
+  std::unique_ptr<SlotAllocator> m_places;
   std::vector<std::string> m_told;
   std::optional<std::string> m_place;
   bool m_done = false;
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(PlaceWaiterTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(SlotAllocatorTest);
 
 }  // namespace
 }  // namespace verbenalead::entry
--- a/src/libverbenalead/entry/slot_requester.cc
+++ b/src/libverbenalead/entry/slot_requester.cc
@@ -27,8 +27,8 @@
 }  // namespace
 
 /// A request to a target and its answer.
-struct PlaceAsker::Question {
-  explicit Question(const asio::any_io_executor& executor)
+struct SlotRequester::PendingRequest {
+  explicit PendingRequest(const asio::any_io_executor& executor)
       : m_timer(executor) {}
 
   asio::steady_timer m_timer;
@@ -36,48 +36,48 @@
   bool m_granted = false;
 };
 
-Awaitable<bool> PlaceAsker::Ask(std::string service,
-                                std::string replica,
-                                decide::PoolCall call) {
+Awaitable<bool> SlotRequester::Ask(std::string service,
+                                   std::string replica,
+                                   decide::PoolCall call) {
   decide::ReplicaPool& pool = StateOf(m_state, service).m_pool;
   const auto found = pool.m_replicas.find(replica);
   if (pool.m_prefill_rate <= 0 || found == pool.m_replicas.end())
     co_return true;
-  if (found->second.m_silent_until > Now())
+  if (found->second.m_unresponsive_until > Now())
     co_return true;
   const auto executor = co_await asio::this_coro::executor;
-  auto pending = std::make_shared<Question>(executor);
-  decide::NoteAsked(pool, replica, call.m_prompt_tokens);
-  const links::PlaceRequest request = RequestFor(found->second, call);
+  auto pending = std::make_shared<PendingRequest>(executor);
+  decide::NoteSlotRequestSent(pool, replica, call.m_prompt_tokens);
+  const links::SlotRequestMessage request = RequestFor(found->second, call);
   const uint64_t ticket = request.m_ticket;
-  m_questions[ticket] = pending;
+  m_pending_requests[ticket] = pending;
   m_datagrams.Send(TargetOf(found->second), request);
   pending->m_timer.expires_after(kAnswerTimeout);
   boost::system::error_code ignored;
   co_await pending->m_timer.async_wait(
       asio::redirect_error(asio::use_awaitable, ignored));
-  m_questions.erase(ticket);
-  decide::NoteAnswer(pool, replica, call.m_prompt_tokens);
+  m_pending_requests.erase(ticket);
+  decide::NoteSlotRequestDone(pool, replica, call.m_prompt_tokens);
   if (pending->m_answered)
     co_return pending->m_granted;
   const auto silent = pool.m_replicas.find(replica);
   if (silent != pool.m_replicas.end())
-    silent->second.m_silent_until = Now() + kSilentTargetHoldOff;
+    silent->second.m_unresponsive_until = Now() + kSilentTargetHoldOff;
   m_state.m_metrics.Count("targets_silent_total", "");
   LogLine("target_silent").With("replica", replica).Info();
   co_return true;
 }
 
-std::optional<uint64_t> PlaceAsker::Reserve(const std::string& service,
-                                            const std::string& replica,
-                                            const decide::PoolCall& call,
-                                            TimePoint until) {
+std::optional<uint64_t> SlotRequester::Reserve(const std::string& service,
+                                               const std::string& replica,
+                                               const decide::PoolCall& call,
+                                               TimePoint until) {
   const decide::ReplicaPool& pool = StateOf(m_state, service).m_pool;
   const auto found = pool.m_replicas.find(replica);
   if (pool.m_prefill_rate <= 0 || found == pool.m_replicas.end() ||
-      found->second.m_silent_until > Now())
+      found->second.m_unresponsive_until > Now())
     return std::nullopt;
-  links::PlaceRequest request = RequestFor(found->second, call);
+  links::SlotRequestMessage request = RequestFor(found->second, call);
   request.m_wait = until - Now();
   const Endpoint target = TargetOf(found->second);
   m_reserved[request.m_ticket] = {replica, target};
@@ -85,41 +85,42 @@
   return request.m_ticket;
 }
 
-void PlaceAsker::Withdraw(uint64_t reservation) {
+void SlotRequester::Withdraw(uint64_t reservation) {
   const auto found = m_reserved.find(reservation);
   if (found == m_reserved.end())
     return;
   m_datagrams.Send(found->second.second,
-                   links::PlaceWithdrawal{found->second.first, reservation});
+                   links::SlotWithdrawal{found->second.first, reservation});
   m_reserved.erase(found);
 }
 
-std::string PlaceAsker::ReplicaOf(uint64_t reservation) const {
+std::string SlotRequester::ReplicaOfReservation(uint64_t reservation) const {
   const auto found = m_reserved.find(reservation);
   return found == m_reserved.end() ? "" : found->second.first;
 }
 
-Endpoint PlaceAsker::TargetOf(const decide::ReplicaState& replica) const {
+Endpoint SlotRequester::TargetOf(const decide::ReplicaState& replica) const {
   return {replica.m_replica.m_endpoint.address(),
-          m_state.m_options.m_targets_port};
+          m_state.m_options.m_target_datagram_port};
 }
 
-links::PlaceRequest PlaceAsker::RequestFor(const decide::ReplicaState& replica,
-                                           const decide::PoolCall& call) {
-  links::PlaceRequest request;
+links::SlotRequestMessage SlotRequester::RequestFor(
+    const decide::ReplicaState& replica,
+    const decide::PoolCall& call) {
+  links::SlotRequestMessage request;
   request.m_replica = replica.m_replica.m_id;
   request.m_ticket = ++m_last_ticket;
   request.m_prompt_tokens = call.m_prompt_tokens;
-  request.m_fresh = call.m_fresh;
+  request.m_can_be_on_time = call.m_can_be_on_time;
   request.m_read_within =
-      call.m_read_by == TimePoint::max()
+      call.m_read_deadline == TimePoint::max()
           ? kNoReadLimit
-          : std::max<Duration>(Duration(), call.m_read_by - Now());
-  request.m_calls = CallsAt(replica);
+          : std::max<Duration>(Duration(), call.m_read_deadline - Now());
+  request.m_calls = ReportedCallsAt(replica);
   return request;
 }
 
-void PlaceAsker::TakeAnswer(const links::PlaceAnswer& answer) {
+void SlotRequester::TakeAnswer(const links::SlotAnswer& answer) {
   TakeNews(m_state, answer.m_news, Now());
   if (m_reserved.contains(answer.m_ticket)) {
     if (answer.m_granted && m_granted)
@@ -128,10 +129,10 @@
       m_reserved.erase(answer.m_ticket);
     return;
   }
-  const auto found = m_questions.find(answer.m_ticket);
-  if (found == m_questions.end()) {
-    if (answer.m_granted && m_unwanted)
-      m_unwanted(answer.m_news.m_replica);
+  const auto found = m_pending_requests.find(answer.m_ticket);
+  if (found == m_pending_requests.end()) {
+    if (answer.m_granted && m_on_unneeded_grant)
+      m_on_unneeded_grant(answer.m_news.m_replica);
     return;
   }
   found->second->m_answered = true;
--- a/src/libverbenalead/entry/slot_requester.h
+++ b/src/libverbenalead/entry/slot_requester.h
@@ -21,9 +21,9 @@
 /// send their calls of that time to the replica that looked least loaded, and
 /// overload it. The target process counts the calls of all entries, and a
 /// request to it takes one round trip of 0.4 to 4 ms.
-class PlaceAsker {
+class SlotRequester {
  public:
-  PlaceAsker(EntryState& state, links::Datagrams& datagrams)
+  SlotRequester(EntryState& state, links::DatagramSocket& datagrams)
       : m_state(state), m_datagrams(datagrams) {}
 
   /// Whether the target grants `call` a place at `replica`. If the target
@@ -44,34 +44,35 @@
   /// Sets the handlers of grants. `granted` is called with the reservation when
   /// a target grants a place to a queued call; `unwanted` is called with the
   /// replica when a target grants a place for which no call waits any more.
-  void OnGranted(std::function<void(uint64_t reservation)> granted,
-                 std::function<void(const std::string& replica)> unwanted) {
+  void SetGrantHandlers(
+      std::function<void(uint64_t reservation)> granted,
+      std::function<void(const std::string& replica)> unwanted) {
     m_granted = std::move(granted);
-    m_unwanted = std::move(unwanted);
+    m_on_unneeded_grant = std::move(unwanted);
   }
   /// Replica of a reservation; empty: it was withdrawn or has ended.
-  std::string ReplicaOf(uint64_t reservation) const;
+  std::string ReplicaOfReservation(uint64_t reservation) const;
 
   /// Handles a target's answer to Ask() or Reserve(), or a later grant.
-  void TakeAnswer(const links::PlaceAnswer& answer);
+  void TakeAnswer(const links::SlotAnswer& answer);
 
  private:
-  struct Question;
+  struct PendingRequest;
 
   /// Address of the target process that runs beside `replica`.
   Endpoint TargetOf(const decide::ReplicaState& replica) const;
-  links::PlaceRequest RequestFor(const decide::ReplicaState& replica,
-                                 const decide::PoolCall& call);
+  links::SlotRequestMessage RequestFor(const decide::ReplicaState& replica,
+                                       const decide::PoolCall& call);
 
   EntryState& m_state;
-  links::Datagrams& m_datagrams;
+  links::DatagramSocket& m_datagrams;
   uint64_t m_last_ticket = 0;
   /// Requests of Ask() that wait for an answer, by ticket.
-  std::map<uint64_t, std::shared_ptr<Question>> m_questions;
+  std::map<uint64_t, std::shared_ptr<PendingRequest>> m_pending_requests;
   /// Replica and target of the calls queued at targets, by reservation.
   std::map<uint64_t, std::pair<std::string, Endpoint>> m_reserved;
   std::function<void(uint64_t)> m_granted;
-  std::function<void(const std::string&)> m_unwanted;
+  std::function<void(const std::string&)> m_on_unneeded_grant;
 };
 
 }  // namespace verbenalead::entry
--- a/src/libverbenalead/entry/startup_progress.cc
+++ b/src/libverbenalead/entry/startup_progress.cc
@@ -26,16 +26,18 @@
 
 std::vector<std::pair<std::string, bool>> StepsOf(const EntryState& state,
                                                   TimePoint now) {
-  return {{"others", state.m_far_entries.has_value()},
+  return {{"others", state.m_remote_entries.has_value()},
           {"configuration", state.m_routes != nullptr},
           {"replicas", state.m_replicas_known},
-          {"lease", LeaseHolds(state)},
+          {"lease", HasValidLease(state)},
           {"usable_replica", EnginesUsable(state, now)}};
 }
 
 }  // namespace
 
-bool NoteStart(EntryState& state, StartProgress& progress, TimePoint now) {
+bool RecordStartupSteps(EntryState& state,
+                        StartupProgress& progress,
+                        TimePoint now) {
   const auto steps = StepsOf(state, now);
   for (const auto& [step, done] : steps) {
     if (progress.m_done.contains(step))
--- a/src/libverbenalead/entry/startup_progress.h
+++ b/src/libverbenalead/entry/startup_progress.h
@@ -14,7 +14,7 @@
 /// serves calls, so that the cause of a slow restart of many entries can be
 /// seen in their metrics and in a few log lines: `event=start_step
 /// step=replicas after_ms=812`.
-struct StartProgress {
+struct StartupProgress {
   TimePoint m_started{};
   /// Completed steps: `others`, `configuration`, `replicas`, `lease`,
   /// `usable_replica` (of each service with engines).
@@ -24,7 +24,9 @@
 /// Records the steps completed by `now`: a log line for each, and the gauges
 /// `start_step_seconds{step}` and `start_waits{step}` (1: not completed).
 /// Returns whether all are completed; there is nothing left to record then.
-bool NoteStart(EntryState& state, StartProgress& progress, TimePoint now);
+bool RecordStartupSteps(EntryState& state,
+                        StartupProgress& progress,
+                        TimePoint now);
 
 }  // namespace verbenalead::entry
 
--- a/src/libverbenalead/entry/summary.cc
+++ b/src/libverbenalead/entry/summary.cc
@@ -24,8 +24,9 @@
   summary.m_version = replica.m_weights;
   summary.m_closing = replica.m_closing_until > now;
   summary.m_loading = replica.m_loading_until > now;
-  summary.m_calls.m_calls = replica.m_in_flight + replica.m_elsewhere;
-  summary.m_calls.m_unread = replica.m_unread + replica.m_unread_elsewhere;
+  summary.m_calls.m_calls = replica.m_in_flight + replica.m_other_entries_calls;
+  summary.m_calls.m_unread_tokens =
+      replica.m_unread_tokens + replica.m_other_entries_unread_tokens;
   summary.m_waiting = replica.m_waiting;
   return summary;
 }
@@ -58,7 +59,7 @@
     peer.m_address = {entry.m_host, summary.m_data_center, entry.m_callers,
                       entry.m_peers};
     peer.m_ready = entry.m_ready;
-    peer.m_heard_at = now;
+    peer.m_last_seen_at = now;
   }
 }
 
@@ -70,7 +71,7 @@
     if (found == service.m_pool.m_replicas.end())
       continue;
     const decide::ReplicaState& replica = found->second;
-    links::ReplicaNews update;
+    links::ReplicaUpdate update;
     update.m_replica = summary.m_replica;
     update.m_service = name;
     update.m_version = summary.m_version;
@@ -78,12 +79,12 @@
     update.m_loading = summary.m_loading;
     // The summary counts the calls of all entries. This entry's own are
     // subtracted, as they are counted separately.
-    update.m_elsewhere.m_calls =
+    update.m_other_entries_calls.m_calls =
         summary.m_calls.m_calls -
         std::min(summary.m_calls.m_calls, replica.m_in_flight);
-    update.m_elsewhere.m_unread =
-        summary.m_calls.m_unread -
-        std::min(summary.m_calls.m_unread, replica.m_unread);
+    update.m_other_entries_calls.m_unread_tokens =
+        summary.m_calls.m_unread_tokens -
+        std::min(summary.m_calls.m_unread_tokens, replica.m_unread_tokens);
     update.m_waiting = summary.m_waiting;
     TakeNews(state, update, now);
     return;
@@ -92,7 +93,7 @@
 
 }  // namespace
 
-std::vector<decide::SummaryPeer> SummaryPeersOf(const EntryState& state,
+std::vector<decide::SummaryPeer> ToSummaryPeers(const EntryState& state,
                                                 TimePoint now) {
   std::vector<decide::SummaryPeer> peers;
   for (const auto& [host, peer] : state.m_peers) {
@@ -107,7 +108,7 @@
   summary.m_data_center = OwnDataCenter(state);
   summary.m_sender = state.m_options.m_self.m_host;
   summary.m_operator_revision = state.m_operator_revision;
-  summary.m_operator_proof = ProofOf(state);
+  summary.m_operator_confirmed_at = StoreProofOf(state);
   summary.m_entries = EntriesOf(state, now);
   for (const auto& [name, service] : state.m_services) {
     if (!IsEngineService(state, name))
@@ -118,19 +119,19 @@
     }
   }
   summary.m_crashes = state.m_own_crashes;
-  for (const auto& [crash, at] : state.m_near_crashes)
+  for (const auto& [crash, at] : state.m_local_crashes)
     summary.m_crashes.push_back({crash.first, crash.second, at});
   std::sort(summary.m_crashes.begin(), summary.m_crashes.end(),
-            [](const decide::CrashNote& a, const decide::CrashNote& b) {
+            [](const decide::CrashRecord& a, const decide::CrashRecord& b) {
               return a.m_at < b.m_at;
             });
-  KeepNewest(summary.m_crashes);
+  LimitToDatagram(summary.m_crashes);
   return summary;
 }
 
-bool TakeSummary(EntryState& state,
-                 const links::DataCenterSummary& summary,
-                 TimePoint now) {
+bool ApplySummary(EntryState& state,
+                  const links::DataCenterSummary& summary,
+                  TimePoint now) {
   if (summary.m_data_center == OwnDataCenter(state))
     return false;
   // Two summaries that pass through different relays may arrive in either
@@ -147,10 +148,11 @@
   }
   last = {summary.m_sender, summary.m_number};
   ApplyEntries(state, summary, now);
-  TakeProof(state, summary.m_operator_revision, summary.m_operator_proof);
+  ApplyPeerProof(state, summary.m_operator_revision,
+                 summary.m_operator_confirmed_at);
   for (const links::ReplicaSummary& summary : summary.m_replicas)
     ApplyReplicaSummary(state, summary, now);
-  TakeCrashes(state, summary.m_crashes, now);
+  ApplyCrashRecords(state, summary.m_crashes, now);
   return true;
 }
 
--- a/src/libverbenalead/entry/summary.h
+++ b/src/libverbenalead/entry/summary.h
@@ -7,9 +7,9 @@
 
 namespace verbenalead::entry {
 
-/// The other entries, in the form that `decide::SendsSummary` and
+/// The other entries, in the form that `decide::IsSummarySender` and
 /// `decide::SummaryRecipients` expect.
-std::vector<decide::SummaryPeer> SummaryPeersOf(const EntryState& state,
+std::vector<decide::SummaryPeer> ToSummaryPeers(const EntryState& state,
                                                 TimePoint now);
 
 /// Builds the summary of this entry's data centre: its entries, its replicas
@@ -19,9 +19,9 @@
 /// Applies the summary of another data centre. False: it was ignored, because
 /// this or a newer summary of the same sender was already applied, or because
 /// it describes this data centre.
-bool TakeSummary(EntryState& state,
-                 const links::DataCenterSummary& summary,
-                 TimePoint now);
+bool ApplySummary(EntryState& state,
+                  const links::DataCenterSummary& summary,
+                  TimePoint now);
 
 }  // namespace verbenalead::entry
 
--- a/src/libverbenalead/entry/summary_sender.cc
+++ b/src/libverbenalead/entry/summary_sender.cc
@@ -23,23 +23,24 @@
 
 }  // namespace
 
-SummarySender::SummarySender(EntryState& state, links::Datagrams& datagrams)
+SummarySender::SummarySender(EntryState& state,
+                             links::DatagramSocket& datagrams)
     : m_state(state),
       m_datagrams(datagrams),
       m_number(static_cast<uint64_t>(ToMilliseconds(BootNow()))) {}
 
 void SummarySender::Tell() {
   const TimePoint now = Now();
-  const std::vector<decide::SummaryPeer> peers = SummaryPeersOf(m_state, now);
+  const std::vector<decide::SummaryPeer> peers = ToSummaryPeers(m_state, now);
   const model::EntryAddress& self = m_state.m_options.m_self;
   const bool is_sender_now =
       IsReady(m_state) &&
-      decide::SendsSummary(self.m_host, self.m_data_center, peers);
+      decide::IsSummarySender(self.m_host, self.m_data_center, peers);
   if (is_sender_now != m_is_sender) {
     m_is_sender = is_sender_now;
     LogLine("sends_summary").With("sends", is_sender_now).Info();
   }
-  if (!is_sender_now || now - m_sent_at < decide::kChangedSummaryInterval)
+  if (!is_sender_now || now - m_sent_at < decide::kLoadChangeSummaryInterval)
     return;
   links::DataCenterSummary summary = SummaryOf(m_state, now);
   const bool changed = HasLoadChange(m_told, summary.m_replicas);
@@ -55,7 +56,7 @@
 }
 
 void SummarySender::Take(const links::DataCenterSummary& summary) {
-  if (!TakeSummary(m_state, summary, Now()) || summary.m_relayed)
+  if (!ApplySummary(m_state, summary, Now()) || summary.m_relayed)
     return;
   links::DataCenterSummary relayed = summary;
   relayed.m_relayed = true;
--- a/src/libverbenalead/entry/summary_sender.h
+++ b/src/libverbenalead/entry/summary_sender.h
@@ -14,10 +14,10 @@
 class SummarySender {
  public:
   /// `state` and `datagrams` outlive this.
-  SummarySender(EntryState& state, links::Datagrams& datagrams);
+  SummarySender(EntryState& state, links::DatagramSocket& datagrams);
 
   /// Sends a summary if this entry sends them for its data centre and one is
-  /// due. Called every kNewsInterval.
+  /// due. Called every kUpdateSendInterval.
   void Tell();
   /// Applies a summary, and relays it if it came directly from its sender.
   void Take(const links::DataCenterSummary& summary);
@@ -26,7 +26,7 @@
 
  private:
   EntryState& m_state;
-  links::Datagrams& m_datagrams;
+  links::DatagramSocket& m_datagrams;
   bool m_is_sender = false;
   /// Sequence number of the last summary. It starts at the clock's
   /// milliseconds, so that it keeps rising over a restart of this process;
--- a/src/libverbenalead/entry/summary_test.cc
+++ b/src/libverbenalead/entry/summary_test.cc
@@ -74,7 +74,7 @@
   bool Tell(uint64_t number) {
     links::DataCenterSummary summary = SummaryOf(*m_sender, Now());
     summary.m_number = number;
-    return TakeSummary(*m_receiver, summary, Now());
+    return ApplySummary(*m_receiver, summary, Now());
   }
 
   // An entry places calls at replicas of other data centres by the summary. If
@@ -83,19 +83,19 @@
   // didn't know of.
   void ReportsLocalReplicasWithTheCallsOfAllEntries() {
     At(*m_sender, "i-a").m_in_flight = 2;
-    At(*m_sender, "i-a").m_elsewhere = 4;
-    At(*m_sender, "i-a").m_unread = 100;
-    At(*m_sender, "i-a").m_unread_elsewhere = 900;
+    At(*m_sender, "i-a").m_other_entries_calls = 4;
+    At(*m_sender, "i-a").m_unread_tokens = 100;
+    At(*m_sender, "i-a").m_other_entries_unread_tokens = 900;
     At(*m_receiver, "i-a").m_in_flight = 1;
-    At(*m_receiver, "i-a").m_unread = 300;
-    At(*m_sender, "i-b").m_elsewhere = 7;
+    At(*m_receiver, "i-a").m_unread_tokens = 300;
+    At(*m_sender, "i-b").m_other_entries_calls = 7;
     CPPUNIT_ASSERT(Tell(1));
-    CPPUNIT_ASSERT_EQUAL(5U, At(*m_receiver, "i-a").m_elsewhere);
+    CPPUNIT_ASSERT_EQUAL(5U, At(*m_receiver, "i-a").m_other_entries_calls);
     CPPUNIT_ASSERT_EQUAL(uint64_t{700},
-                         At(*m_receiver, "i-a").m_unread_elsewhere);
+                         At(*m_receiver, "i-a").m_other_entries_unread_tokens);
     // Replicas of the receiver's own data centre aren't part of the summary:
     // their targets report them.
-    CPPUNIT_ASSERT_EQUAL(0U, At(*m_receiver, "i-b").m_elsewhere);
+    CPPUNIT_ASSERT_EQUAL(0U, At(*m_receiver, "i-b").m_other_entries_calls);
   }
 
   void LoadIsKnownInOtherDataCenters() {
@@ -114,13 +114,13 @@
     older.m_number = 1;
     At(*m_sender, "i-a").m_weights = 2;
     CPPUNIT_ASSERT(Tell(2));
-    CPPUNIT_ASSERT(!TakeSummary(*m_receiver, older, Now()));
+    CPPUNIT_ASSERT(!ApplySummary(*m_receiver, older, Now()));
     CPPUNIT_ASSERT(!Tell(2));
     CPPUNIT_ASSERT_EQUAL(uint64_t{2}, At(*m_receiver, "i-a").m_weights);
     // A summary of the receiver's own data centre is ignored too.
     older.m_data_center = "b";
     older.m_number = 9;
-    CPPUNIT_ASSERT(!TakeSummary(*m_receiver, older, Now()));
+    CPPUNIT_ASSERT(!ApplySummary(*m_receiver, older, Now()));
   }
 
   // Guards against directing callers to entries that have died. Entries of the
@@ -130,12 +130,12 @@
     peer.m_address = {"a2", "a", Endpoint("10.0.0.2", 80),
                       Endpoint("10.0.0.2", 81)};
     peer.m_ready = true;
-    peer.m_heard_at = Now();
+    peer.m_last_seen_at = Now();
     m_sender->m_lease.m_proved_at = BootNow();
     CPPUNIT_ASSERT(Tell(1));
     CPPUNIT_ASSERT_EQUAL(size_t{2},
-                         EntriesFor(*m_receiver, "a", 64, Now()).size());
-    peer.m_heard_at = Now() - 2s;
+                         EntriesForCallers(*m_receiver, "a", 64, Now()).size());
+    peer.m_last_seen_at = Now() - 2s;
     CPPUNIT_ASSERT(Tell(2));
     CPPUNIT_ASSERT(!m_receiver->m_peers.at("a2").m_ready);
   }
@@ -144,7 +144,7 @@
   // centres. Crashes seen by entries of the same data centre are part of the
   // summary, each once.
   void CrashIsKnownInOtherDataCenters() {
-    links::EntryNews update;
+    links::EntryUpdate update;
     update.m_address = {"a2", "a", Endpoint("10.0.0.2", 80),
                         Endpoint("10.0.0.2", 81)};
     update.m_crashes = {{5, "i-1/7", TimePoint()}, {5, "i-2/7", TimePoint()}};
@@ -153,16 +153,16 @@
     TakeNews(*m_sender, update, Now());
     CPPUNIT_ASSERT_EQUAL(size_t{3},
                          SummaryOf(*m_sender, Now()).m_crashes.size());
-    CPPUNIT_ASSERT(!decide::IsSetAside(m_receiver->m_crashes, 5, Now()));
+    CPPUNIT_ASSERT(!decide::IsQuarantined(m_receiver->m_crashes, 5, Now()));
     CPPUNIT_ASSERT(Tell(1));
-    CPPUNIT_ASSERT(decide::IsSetAside(m_receiver->m_crashes, 5, Now()));
+    CPPUNIT_ASSERT(decide::IsQuarantined(m_receiver->m_crashes, 5, Now()));
   }
 
   // Thousands of calls break at once with their replicas. If the list of these
   // crashes exceeds a datagram, no summary can be sent and other data centres
   // treat this one as lost.
   void ManyCrashesFitIntoADatagram() {
-    links::EntryNews update;
+    links::EntryUpdate update;
     update.m_address = {"a2", "a", Endpoint("10.0.0.2", 80),
                         Endpoint("10.0.0.2", 81)};
     for (uint64_t request = 0; request < 5000; ++request)
@@ -183,28 +183,28 @@
   // centre renews its lease too, if it has the same revision of the operator's
   // table.
   void ProofsRenewTheLeaseInOtherDataCenters() {
-    m_sender->m_operator_proof = BootNow();
-    CPPUNIT_ASSERT(!LeaseHolds(*m_receiver));
+    m_sender->m_operator_confirmed_at = BootNow();
+    CPPUNIT_ASSERT(!HasValidLease(*m_receiver));
     m_receiver->m_operator_revision = 4;
     CPPUNIT_ASSERT(Tell(1));
-    CPPUNIT_ASSERT(!LeaseHolds(*m_receiver));
+    CPPUNIT_ASSERT(!HasValidLease(*m_receiver));
     m_receiver->m_operator_revision = 5;
     CPPUNIT_ASSERT(Tell(2));
-    CPPUNIT_ASSERT(LeaseHolds(*m_receiver));
+    CPPUNIT_ASSERT(HasValidLease(*m_receiver));
   }
 
   // A hundred entries restart at once and retry failed calls. Until an entry
   // knows how many there are, it must not claim the share of retries that it
   // would have among a few.
   void RetryShareAssumesManyEntriesUntilCounted() {
-    CPPUNIT_ASSERT(EntriesAtMost(*m_receiver) >= 1000);
-    links::EntryNews update;
+    CPPUNIT_ASSERT(MaxExistingEntries(*m_receiver) >= 1000);
+    links::EntryUpdate update;
     update.m_address = {"b2", "b", Endpoint("10.0.0.2", 80),
                         Endpoint("10.0.0.2", 81)};
-    update.m_far_entries = 78;
+    update.m_remote_entries = 78;
     TakeNews(*m_receiver, update, Now());
-    CPPUNIT_ASSERT(EntriesAtMost(*m_receiver) >= 80);
-    CPPUNIT_ASSERT(EntriesAtMost(*m_receiver) < 100);
+    CPPUNIT_ASSERT(MaxExistingEntries(*m_receiver) >= 80);
+    CPPUNIT_ASSERT(MaxExistingEntries(*m_receiver) < 100);
   }
 
  private:
--- a/src/libverbenalead/front/committed_change.h
+++ b/src/libverbenalead/front/committed_change.h
@@ -9,17 +9,17 @@
 
 /// A committed change, and how many other entries have received it from the
 /// entry that committed it.
-struct AcceptedChange {
+struct CommittedChange {
   model::Change m_change;
   /// Number of other entries known to have received the change.
-  size_t m_held_by = 0;
+  size_t m_received_by = 0;
   /// Number of other entries. If there are some but none of them has received
   /// the change, the loss of this entry hides the change until the table is
   /// read again.
   size_t m_others = 0;
 
-  friend bool operator==(const AcceptedChange&,
-                         const AcceptedChange&) = default;
+  friend bool operator==(const CommittedChange&,
+                         const CommittedChange&) = default;
 };
 
 }  // namespace verbenalead::front
--- a/src/libverbenalead/front/operators_api.cc
+++ b/src/libverbenalead/front/operators_api.cc
@@ -49,7 +49,7 @@
 }
 
 json::object ShowResource(const model::ResourceKey& key,
-                          const decide::ResourceInForce& resource) {
+                          const decide::ActiveResource& resource) {
   boost::system::error_code ignored;
   return {{"kind", key.m_kind},
           {"name", key.m_name},
@@ -141,10 +141,10 @@
   if (!accepted)
     co_return ErrorFor(accepted.error(), operation);
   json::object body = ShowChange(accepted->m_change);
-  body["held_by"] = accepted->m_held_by;
+  body["held_by"] = accepted->m_received_by;
   // 202: the change is committed, but only this entry has it until the table is
   // read again.
-  const bool hidden = accepted->m_held_by == 0 && accepted->m_others > 0;
+  const bool hidden = accepted->m_received_by == 0 && accepted->m_others > 0;
   co_return wire::JsonResponse(hidden ? 202 : 200,
                                json::serialize(body) + "\n");
 }
@@ -211,7 +211,7 @@
     if (lines.empty())
       lines = "\n";
     alive = co_await writer.Write(std::move(lines));
-    co_await context->m_wait_beyond(after, Now() + kWatchHeartbeat);
+    co_await context->m_wait_for_newer_revision(after, Now() + kWatchHeartbeat);
   }
 }
 
--- a/src/libverbenalead/front/operators_context.h
+++ b/src/libverbenalead/front/operators_context.h
@@ -24,11 +24,11 @@
   /// Returns the changes after a revision; nullopt if the revision is too old.
   std::function<std::optional<std::vector<model::Change>>(uint64_t)> m_changes;
   /// Commits a write and sends it to the other entries.
-  std::function<Awaitable<AsyncResult<AcceptedChange>>(model::ResourceWrite)>
+  std::function<Awaitable<AsyncResult<CommittedChange>>(model::ResourceWrite)>
       m_commit;
   /// Waits until a revision above the given one is in force, or until the
   /// deadline.
-  std::function<Awaitable<void>(uint64_t, TimePoint)> m_wait_beyond;
+  std::function<Awaitable<void>(uint64_t, TimePoint)> m_wait_for_newer_revision;
   std::function<std::vector<model::TargetReport>()> m_targets;
   /// Returns the lines of a request's trace from all processes, in order.
   std::function<Awaitable<std::vector<std::string>>(std::string)> m_trace;
--- a/src/libverbenalead/http/client.cc
+++ b/src/libverbenalead/http/client.cc
@@ -106,7 +106,7 @@
         m_endpoint(std::move(endpoint)),
         m_step(std::move(step)),
         m_stream(std::move(stream)),
-        m_keep(keep) {
+        m_reuse_connections(keep) {
     m_parser.body_limit(boost::none);
     m_parser.skip(no_body);
   }
@@ -175,8 +175,8 @@
     for (const auto& field : m_parser.get())
       m_trailers[LowerCase(field.name_string())] = std::string(field.value());
     if constexpr (std::is_same_v<Socket, beast::tcp_stream>) {
-      if (m_keep && m_parser.get().keep_alive() && m_buffer.size() == 0 &&
-          m_stream) {
+      if (m_reuse_connections && m_parser.get().keep_alive() &&
+          m_buffer.size() == 0 && m_stream) {
         m_stream->expires_never();
         m_pool.Give(m_endpoint, std::move(m_stream));
       }
@@ -187,7 +187,7 @@
   Endpoint m_endpoint;
   std::string m_step;
   std::unique_ptr<Socket> m_stream;
-  const bool m_keep;
+  const bool m_reuse_connections;
   beast::flat_buffer m_buffer;
   bhttp::response_parser<bhttp::buffer_body> m_parser;
   wire::Headers m_trailers;
@@ -305,7 +305,7 @@
                                 std::move(request), deadline, false);
   }
   Stream stream;
-  if (m_options.m_keep)
+  if (m_options.m_reuse_connections)
     stream = PoolOf(executor).Take(endpoint);
   if (!stream) {
     TimePoint connect_by = deadline;
@@ -317,7 +317,8 @@
     stream = std::move(*connected);
   }
   co_return co_await SendOver(std::move(stream), std::move(endpoint),
-                              std::move(request), deadline, m_options.m_keep);
+                              std::move(request), deadline,
+                              m_options.m_reuse_connections);
 }
 
 }  // namespace verbenalead::http
--- a/src/libverbenalead/http/client_options.h
+++ b/src/libverbenalead/http/client_options.h
@@ -10,7 +10,7 @@
   /// Keep connections for later requests. The other side may close a kept
   /// connection just before the next request is sent, and then it is unknown
   /// whether that request ran. Set to false where this matters.
-  bool m_keep = true;
+  bool m_reuse_connections = true;
   /// Maximum time to establish a connection; zero: up to the deadline of the
   /// request. A host without power doesn't answer at all, so connecting to it
   /// always takes the full time.
--- a/src/libverbenalead/http/disconnect_monitor.cc
+++ b/src/libverbenalead/http/disconnect_monitor.cc
@@ -11,29 +11,30 @@
 namespace {
 
 /// Interval at which a connection is checked while it has unread bytes: a
-/// pipelined request, or TLS records. CallerWatch must not read them, and until
-/// they are read, waiting for the socket to become readable returns at once.
+/// pipelined request, or TLS records. DisconnectMonitor must not read them, and
+/// until they are read, waiting for the socket to become readable returns at
+/// once.
 constexpr Duration kPollInterval = 200ms;
 
 }  // namespace
 
-void CallerWatch::Begin(std::function<void()> on_gone) {
-  m_on_gone = std::move(on_gone);
+void DisconnectMonitor::Begin(std::function<void()> on_gone) {
+  m_on_disconnect = std::move(on_gone);
   if (!m_armed)
-    Arm();
+    WaitForReadable();
 }
 
-void CallerWatch::End() {
-  m_on_gone = nullptr;
+void DisconnectMonitor::End() {
+  m_on_disconnect = nullptr;
 }
 
-void CallerWatch::Detach() {
+void DisconnectMonitor::Detach() {
   m_detached = true;
-  m_on_gone = nullptr;
+  m_on_disconnect = nullptr;
   m_timer.cancel();
 }
 
-void CallerWatch::Arm() {
+void DisconnectMonitor::WaitForReadable() {
   m_armed = true;
   m_socket.async_wait(
       boost::asio::ip::tcp::socket::wait_read,
@@ -44,11 +45,11 @@
       });
 }
 
-void CallerWatch::Look() {
-  if (m_detached || !m_on_gone)
+void DisconnectMonitor::Look() {
+  if (m_detached || !m_on_disconnect)
     return;
-  if (Gone()) {
-    std::exchange(m_on_gone, nullptr)();
+  if (IsDisconnected()) {
+    std::exchange(m_on_disconnect, nullptr)();
     return;
   }
   m_armed = true;
@@ -63,7 +64,7 @@
 
 /// Checks the state of the TCP connection instead of reading from it: pending
 /// bytes may belong to a pipelined request or be encrypted.
-bool CallerWatch::Gone() {
+bool DisconnectMonitor::IsDisconnected() {
   tcp_info info{};
   socklen_t size = sizeof(info);
   const int failed =
--- a/src/libverbenalead/http/disconnect_monitor.h
+++ b/src/libverbenalead/http/disconnect_monitor.h
@@ -12,9 +12,10 @@
 /// computed. The server neither reads nor writes during that time, so no I/O
 /// error would report it, and the engine would continue to work for a caller
 /// that is gone. All calls must come from the thread of the socket.
-class CallerWatch : public std::enable_shared_from_this<CallerWatch> {
+class DisconnectMonitor
+    : public std::enable_shared_from_this<DisconnectMonitor> {
  public:
-  explicit CallerWatch(boost::asio::ip::tcp::socket& socket)
+  explicit DisconnectMonitor(boost::asio::ip::tcp::socket& socket)
       : m_socket(socket), m_timer(socket.get_executor()) {}
 
   /// Calls `on_gone` once if the caller closes its connection before End().
@@ -24,13 +25,13 @@
   void Detach();
 
  private:
-  void Arm();
+  void WaitForReadable();
   void Look();
-  bool Gone();
+  bool IsDisconnected();
 
   boost::asio::ip::tcp::socket& m_socket;
   boost::asio::steady_timer m_timer;
-  std::function<void()> m_on_gone;
+  std::function<void()> m_on_disconnect;
   bool m_armed = false;
   bool m_detached = false;
 };
--- a/src/libverbenalead/http/http1_writer.h
+++ b/src/libverbenalead/http/http1_writer.h
@@ -26,7 +26,7 @@
       : m_stream(stream), m_idle(idle), m_keep_alive(std::move(keep_alive)) {}
 
   Awaitable<bool> Send(wire::Response response) override {
-    if (m_gone)
+    if (m_disconnected)
       co_return false;
     boost::beast::http::response<boost::beast::http::string_body> message;
     Fill(message, response.m_status, response.m_headers);
@@ -39,7 +39,7 @@
   }
 
   Awaitable<bool> Start(wire::ResponseHead head) override {
-    if (m_gone)
+    if (m_disconnected)
       co_return false;
     boost::beast::http::response<boost::beast::http::empty_body> message;
     Fill(message, head.m_status, head.m_headers);
@@ -54,8 +54,8 @@
   }
 
   Awaitable<bool> Write(std::string bytes) override {
-    if (bytes.empty() || m_gone)
-      co_return !m_gone;
+    if (bytes.empty() || m_disconnected)
+      co_return !m_disconnected;
     ExpectProgress();
     boost::beast::error_code error;
     co_await boost::asio::async_write(
@@ -65,7 +65,7 @@
   }
 
   Awaitable<bool> Finish(wire::Headers trailers) override {
-    if (m_gone)
+    if (m_disconnected)
       co_return false;
     boost::beast::http::fields fields;
     for (const auto& [name, value] : trailers)
@@ -77,20 +77,20 @@
     co_return Note(error, true);
   }
 
-  bool gone() const override { return m_gone; }
+  bool gone() const override { return m_disconnected; }
 
-  void OnGone(std::function<void()> function) override {
-    if (function && m_gone)
+  void OnDisconnect(std::function<void()> function) override {
+    if (function && m_disconnected)
       function();
     else
-      m_on_gone = std::move(function);
+      m_on_disconnect = std::move(function);
   }
 
   /// Records that the connection has ended and calls the function set by
-  /// OnGone().
-  void NoteGone() {
-    m_gone = true;
-    if (const auto on_gone = std::exchange(m_on_gone, nullptr))
+  /// OnDisconnect().
+  void RecordDisconnect() {
+    m_disconnected = true;
+    if (const auto on_gone = std::exchange(m_on_disconnect, nullptr))
       on_gone();
   }
 
@@ -120,19 +120,19 @@
   bool Note(const boost::beast::error_code& error, bool finished) {
     boost::beast::get_lowest_layer(m_stream).expires_never();
     if (error)
-      NoteGone();
+      RecordDisconnect();
     else
       m_finished = finished;
-    return !m_gone;
+    return !m_disconnected;
   }
 
   Stream& m_stream;
   const Duration m_idle;
   const std::function<bool()> m_keep_alive;
-  std::function<void()> m_on_gone;
+  std::function<void()> m_on_disconnect;
   bool m_kept_alive = false;
   bool m_finished = false;
-  bool m_gone = false;
+  bool m_disconnected = false;
 };
 
 }  // namespace verbenalead::http
--- a/src/libverbenalead/http/reloadable_tls_context.cc
+++ b/src/libverbenalead/http/reloadable_tls_context.cc
@@ -11,7 +11,7 @@
 
 }  // namespace
 
-AsyncResult<bool> TlsKeeper::Load() {
+AsyncResult<bool> ReloadableTlsContext::Load() {
   auto context = std::make_shared<ssl::context>(ssl::context::tls_server);
   const int min_version =
       m_files.m_min_version == kVersion13 ? TLS1_3_VERSION : TLS1_2_VERSION;
@@ -32,7 +32,7 @@
   return true;
 }
 
-TlsKeeper::Context TlsKeeper::current() const {
+ReloadableTlsContext::Context ReloadableTlsContext::current() const {
   std::lock_guard lock(m_mutex);
   return m_context;
 }
--- a/src/libverbenalead/http/reloadable_tls_context.h
+++ b/src/libverbenalead/http/reloadable_tls_context.h
@@ -15,11 +15,11 @@
 
 /// Holds the certificate that a server presents, which can be reloaded without
 /// a restart. Thread-safe.
-class TlsKeeper {
+class ReloadableTlsContext {
  public:
   using Context = std::shared_ptr<boost::asio::ssl::context>;
 
-  explicit TlsKeeper(TlsFiles files) : m_files(std::move(files)) {}
+  explicit ReloadableTlsContext(TlsFiles files) : m_files(std::move(files)) {}
 
   /// Reads the files. On failure the previous certificate stays in use, so that
   /// a partly written file doesn't lock out all callers.
--- a/src/libverbenalead/http/server.cc
+++ b/src/libverbenalead/http/server.cc
@@ -127,7 +127,7 @@
                              beast::flat_buffer& buffer,
                              StatePtr state,
                              std::string peer,
-                             CallerWatch& monitor) {
+                             DisconnectMonitor& monitor) {
   const ServerLimits limits = state->limits();
   beast::get_lowest_layer(stream).expires_after(limits.m_request);
   Parser parser;
@@ -148,7 +148,7 @@
   };
   Http1Writer<Stream> writer(stream, limits.m_idle, keep_alive);
   beast::get_lowest_layer(stream).expires_never();
-  monitor.Begin([&writer] { writer.NoteGone(); });
+  monitor.Begin([&writer] { writer.RecordDisconnect(); });
   co_await state->m_handler(request, writer);
   monitor.End();
   co_return writer.finished() && writer.kept_alive();
@@ -161,8 +161,8 @@
   const auto remote = tcp_layer.socket().remote_endpoint(ignored);
   const std::string peer =
       remote.address().to_string() + ":" + std::to_string(remote.port());
-  auto monitor = std::make_shared<CallerWatch>(tcp_layer.socket());
-  auto connection = std::make_shared<KeptConnection>(tcp_layer.socket());
+  auto monitor = std::make_shared<DisconnectMonitor>(tcp_layer.socket());
+  auto connection = std::make_shared<ServerConnection>(tcp_layer.socket());
   state->m_connections.Add(connection);
   beast::flat_buffer buffer;
   bool more = true;
@@ -187,7 +187,7 @@
 }
 
 Awaitable<void> ServeTls(tcp::socket socket, StatePtr state) {
-  const TlsKeeper::Context context = state->m_tls->current();
+  const ReloadableTlsContext::Context context = state->m_tls->current();
   beast::ssl_stream<beast::tcp_stream> stream(std::move(socket), *context);
   beast::get_lowest_layer(stream).expires_after(kHandshakeTimeout);
   beast::error_code error;
@@ -216,7 +216,7 @@
 Server::Server(IoThreads& threads,
                ServerLimits limits,
                wire::Handler handler,
-               std::shared_ptr<const TlsKeeper> tls)
+               std::shared_ptr<const ReloadableTlsContext> tls)
     : m_state(std::make_shared<ServerState>(limits,
                                             std::move(handler),
                                             std::move(tls))),
@@ -226,7 +226,7 @@
 
 void Server::StopAccepting() {
   m_listener.Stop();
-  m_state->m_connections.EndIdle();
+  m_state->m_connections.CloseIdle();
 }
 
 void Server::SetLimits(const ServerLimits& limits) {
--- a/src/libverbenalead/http/server.h
+++ b/src/libverbenalead/http/server.h
@@ -22,7 +22,7 @@
   Server(IoThreads& threads,
          ServerLimits limits,
          wire::Handler handler,
-         std::shared_ptr<const TlsKeeper> tls = nullptr);
+         std::shared_ptr<const ReloadableTlsContext> tls = nullptr);
 
   /// Starts listening. Port 0: any free port.
   AsyncResult<Endpoint> Listen(const Endpoint& endpoint) {
--- a/src/libverbenalead/http/server_connections.cc
+++ b/src/libverbenalead/http/server_connections.cc
@@ -4,33 +4,33 @@
 
 namespace verbenalead::http {
 
-void KeptConnection::EndIfIdle() {
+void ServerConnection::CloseIfIdle() {
   if (!m_idle || m_socket == nullptr)
     return;
   boost::system::error_code ignored;
   m_socket->cancel(ignored);
 }
 
-void KeptConnections::Add(const Pointer& connection) {
+void ServerConnections::Add(const Pointer& connection) {
   const std::lock_guard<std::mutex> lock(m_mutex);
   m_connections.insert(connection);
 }
 
-void KeptConnections::Remove(const Pointer& connection) {
+void ServerConnections::Remove(const Pointer& connection) {
   const std::lock_guard<std::mutex> lock(m_mutex);
   m_connections.erase(connection);
 }
 
-void KeptConnections::EndIdle() {
+void ServerConnections::CloseIdle() {
   const std::lock_guard<std::mutex> lock(m_mutex);
   m_ended = true;
   for (const Pointer& connection : m_connections) {
     boost::asio::post(connection->executor(),
-                      [connection] { connection->EndIfIdle(); });
+                      [connection] { connection->CloseIfIdle(); });
   }
 }
 
-bool KeptConnections::ended() const {
+bool ServerConnections::ended() const {
   const std::lock_guard<std::mutex> lock(m_mutex);
   return m_ended;
 }
--- a/src/libverbenalead/http/server_connections.h
+++ b/src/libverbenalead/http/server_connections.h
@@ -10,9 +10,9 @@
 
 /// Handle by which a server can end one of its connections while it waits for a
 /// next request. Belongs to the thread of the socket.
-class KeptConnection {
+class ServerConnection {
  public:
-  explicit KeptConnection(boost::asio::ip::tcp::socket& socket)
+  explicit ServerConnection(boost::asio::ip::tcp::socket& socket)
       : m_socket(&socket), m_executor(socket.get_executor()) {}
 
   /// Sets whether an answer was sent and the connection waits for the next
@@ -22,7 +22,7 @@
   void Detach() { m_socket = nullptr; }
   /// Ends the wait for a next request, if there is one. Must be called on the
   /// thread of the socket.
-  void EndIfIdle();
+  void CloseIfIdle();
 
   const boost::asio::any_io_executor& executor() const { return m_executor; }
 
@@ -33,15 +33,15 @@
 };
 
 /// The open connections of one server. Thread-safe.
-class KeptConnections {
+class ServerConnections {
  public:
-  using Pointer = std::shared_ptr<KeptConnection>;
+  using Pointer = std::shared_ptr<ServerConnection>;
 
   void Add(const Pointer& connection);
   void Remove(const Pointer& connection);
   /// Closes the connections that wait for a next request. The server closes any
   /// other connection after its current answer, see ended().
-  void EndIdle();
+  void CloseIdle();
   bool ended() const;
 
  private:
--- a/src/libverbenalead/http/server_state.h
+++ b/src/libverbenalead/http/server_state.h
@@ -17,7 +17,7 @@
 struct ServerState {
   ServerState(ServerLimits limits,
               wire::Handler handler,
-              std::shared_ptr<const TlsKeeper> tls)
+              std::shared_ptr<const ReloadableTlsContext> tls)
       : m_handler(std::move(handler)),
         m_tls(std::move(tls)),
         m_limits(limits) {}
@@ -33,8 +33,8 @@
 
   const wire::Handler m_handler;
   /// Null for plain TCP.
-  const std::shared_ptr<const TlsKeeper> m_tls;
-  KeptConnections m_connections;
+  const std::shared_ptr<const ReloadableTlsContext> m_tls;
+  ServerConnections m_connections;
   std::atomic<bool> m_draining{false};
   /// Number of requests of which a byte has been read and whose answer is not
   /// completely written.
--- a/src/libverbenalead/links/call_update.h
+++ b/src/libverbenalead/links/call_update.h
@@ -9,14 +9,15 @@
 
 /// Sent by an entry to a target process: the entry's calls in progress at the
 /// replica on that host. The target process adds up the calls of all entries
-/// and sends each entry the sum of the others (ReplicaNews::m_elsewhere). If
-/// the entries informed each other instead, the number of messages would grow
-/// with the square of the number of entries.
-struct CallNews {
+/// and sends each entry the sum of the others
+/// (ReplicaUpdate::m_other_entries_calls). If the entries informed each other
+/// instead, the number of messages would grow with the square of the number of
+/// entries.
+struct CallUpdate {
   std::string m_replica;
   ReplicaCalls m_calls;
 
-  friend bool operator==(const CallNews&, const CallNews&) = default;
+  friend bool operator==(const CallUpdate&, const CallUpdate&) = default;
 };
 
 }  // namespace verbenalead::links
--- a/src/libverbenalead/links/data_center_summary.h
+++ b/src/libverbenalead/links/data_center_summary.h
@@ -29,11 +29,11 @@
   /// and the store's time at which the store confirmed that there was no newer
   /// one. The time is zero if the sender has lost its connection to the store.
   uint64_t m_operator_revision = 0;
-  Duration m_operator_proof{};
+  Duration m_operator_confirmed_at{};
   std::vector<EntrySummary> m_entries;
   std::vector<ReplicaSummary> m_replicas;
   /// Crashes of replicas that entries of the data centre saw recently.
-  std::vector<decide::CrashNote> m_crashes;
+  std::vector<decide::CrashRecord> m_crashes;
 
   friend bool operator==(const DataCenterSummary&,
                          const DataCenterSummary&) = default;
--- a/src/libverbenalead/links/datagram_socket.cc
+++ b/src/libverbenalead/links/datagram_socket.cc
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-struct Datagrams::State {
+struct DatagramSocket::State {
   explicit State(udp::socket socket) : m_socket(std::move(socket)) {
     m_socket.non_blocking(true);
   }
@@ -30,14 +30,14 @@
   udp::socket m_socket;
 };
 
-Datagrams::Datagrams(const asio::any_io_executor& executor,
-                     const Endpoint& endpoint)
+DatagramSocket::DatagramSocket(const asio::any_io_executor& executor,
+                               const Endpoint& endpoint)
     : m_state(std::make_unique<State>(
           udp::socket(executor, ToUdpEndpoint(endpoint)))) {}
 
-Datagrams::~Datagrams() = default;
+DatagramSocket::~DatagramSocket() = default;
 
-void Datagrams::Send(const Endpoint& to, const Message& message) {
+void DatagramSocket::Send(const Endpoint& to, const Message& message) {
   boost::system::error_code error;
   m_state->m_socket.send_to(asio::buffer(EncodeMessage(message)),
                             ToUdpEndpoint(to), 0, error);
@@ -49,7 +49,7 @@
   }
 }
 
-Awaitable<void> Datagrams::Receive(
+Awaitable<void> DatagramSocket::Receive(
     std::function<void(const Endpoint&, const Message&)> on_message) {
   std::string buffer(kMaxDatagramBytes, '\0');
   while (true) {
--- a/src/libverbenalead/links/datagram_socket.h
+++ b/src/libverbenalead/links/datagram_socket.h
@@ -14,12 +14,12 @@
 /// Sends and receives messages over UDP. Sending never blocks: a datagram that
 /// the socket can't send at once is dropped. Messages carry whole states, so
 /// the next message makes up for a dropped one.
-class Datagrams {
+class DatagramSocket {
  public:
   /// Binds to `endpoint`; throws if that fails.
-  Datagrams(const boost::asio::any_io_executor& executor,
-            const Endpoint& endpoint);
-  ~Datagrams();
+  DatagramSocket(const boost::asio::any_io_executor& executor,
+                 const Endpoint& endpoint);
+  ~DatagramSocket();
 
   void Send(const Endpoint& to, const Message& message);
   /// Calls `on_message` with the sender of each received message and the
--- a/src/libverbenalead/links/entry_update.h
+++ b/src/libverbenalead/links/entry_update.h
@@ -10,16 +10,16 @@
 namespace verbenalead::links {
 
 /// State of an entry, sent to the other entries of its data centre.
-struct EntryNews {
+struct EntryUpdate {
   model::EntryAddress m_address;
   /// The entry accepts calls.
   bool m_ready = false;
-  std::vector<decide::CrashNote> m_crashes;
+  std::vector<decide::CrashRecord> m_crashes;
   /// Revision of the newest change of the operator's table that the entry has,
   /// and the store's time at which the store confirmed that there was no newer
   /// one. The time is zero if the entry has lost its connection to the store.
   uint64_t m_operator_revision = 0;
-  Duration m_operator_proof{};
+  Duration m_operator_confirmed_at{};
   /// Hash of the entry's list of replicas; entries whose hashes are equal have
   /// the same list.
   uint64_t m_replicas_hash = 0;
@@ -27,9 +27,9 @@
   Duration m_replicas_age{};
   /// Upper bound of the number of entries in other data centres; absent if
   /// unknown.
-  std::optional<uint32_t> m_far_entries;
+  std::optional<uint32_t> m_remote_entries;
 
-  friend bool operator==(const EntryNews&, const EntryNews&) = default;
+  friend bool operator==(const EntryUpdate&, const EntryUpdate&) = default;
 };
 
 }  // namespace verbenalead::links
--- a/src/libverbenalead/links/message.cc
+++ b/src/libverbenalead/links/message.cc
@@ -23,23 +23,24 @@
 constexpr char kSummary[] = "summary";
 
 json::array EncodeCalls(const ReplicaCalls& calls) {
-  return {calls.m_calls, calls.m_unread};
+  return {calls.m_calls, calls.m_unread_tokens};
 }
 
-json::object Encode(const EntryNews& update) {
-  json::object object = {{"kind", kEntry},
-                         {"host", update.m_address.m_host},
-                         {"data_center", update.m_address.m_data_center},
-                         {"callers", ToString(update.m_address.m_callers)},
-                         {"peers", ToString(update.m_address.m_peers)},
-                         {"ready", update.m_ready},
-                         {"crashes", EncodeCrashes(update.m_crashes)},
-                         {"revision", update.m_operator_revision},
-                         {"proof_ms", ToMilliseconds(update.m_operator_proof)},
-                         {"replicas", std::to_string(update.m_replicas_hash)},
-                         {"age_ms", ToMilliseconds(update.m_replicas_age)}};
-  if (update.m_far_entries)
-    object["far_entries"] = *update.m_far_entries;
+json::object Encode(const EntryUpdate& update) {
+  json::object object = {
+      {"kind", kEntry},
+      {"host", update.m_address.m_host},
+      {"data_center", update.m_address.m_data_center},
+      {"callers", ToString(update.m_address.m_callers)},
+      {"peers", ToString(update.m_address.m_peers)},
+      {"ready", update.m_ready},
+      {"crashes", EncodeCrashes(update.m_crashes)},
+      {"revision", update.m_operator_revision},
+      {"proof_ms", ToMilliseconds(update.m_operator_confirmed_at)},
+      {"replicas", std::to_string(update.m_replicas_hash)},
+      {"age_ms", ToMilliseconds(update.m_replicas_age)}};
+  if (update.m_remote_entries)
+    object["far_entries"] = *update.m_remote_entries;
   return object;
 }
 
@@ -49,18 +50,19 @@
   return object;
 }
 
-json::object Encode(const CallNews& update) {
+json::object Encode(const CallUpdate& update) {
   return {{"kind", kCalls},
           {"replica", update.m_replica},
           {"calls", EncodeCalls(update.m_calls)}};
 }
 
-json::object Encode(const ReplicaNews& update) {
-  json::object object = {{"kind", kReplica},
-                         {"replica", update.m_replica},
-                         {"service", update.m_service},
-                         {"version", update.m_version},
-                         {"elsewhere", EncodeCalls(update.m_elsewhere)}};
+json::object Encode(const ReplicaUpdate& update) {
+  json::object object = {
+      {"kind", kReplica},
+      {"replica", update.m_replica},
+      {"service", update.m_service},
+      {"version", update.m_version},
+      {"elsewhere", EncodeCalls(update.m_other_entries_calls)}};
   // These messages are sent thousands of times a second, and the fields below
   // rarely differ from their defaults, so defaults are left out.
   if (update.m_closing)
@@ -72,7 +74,7 @@
   return object;
 }
 
-json::object Encode(const ChunkNews& update) {
+json::object Encode(const ChunkUpdate& update) {
   json::array chunks(update.m_chunks.begin(), update.m_chunks.end());
   return {{"kind", kChunks},
           {"host", update.m_host},
@@ -81,38 +83,39 @@
           {"chunks", std::move(chunks)}};
 }
 
-json::object Encode(const DrawNews& update) {
-  const decide::DrawReport& report = update.m_report;
+json::object Encode(const OriginFetchUpdate& update) {
+  const decide::OriginFetchReport& report = update.m_report;
   return {{"kind", kOriginFetches},
           {"host", report.m_host},
           {"model", update.m_model},
           {"version", update.m_version},
           {"under_way",
            json::array(report.m_under_way.begin(), report.m_under_way.end())},
-          {"drawn", json::array(report.m_drawn.begin(), report.m_drawn.end())}};
+          {"drawn", json::array(report.m_origin_fetched.begin(),
+                                report.m_origin_fetched.end())}};
 }
 
-json::object Encode(const FollowRequest& request) {
+json::object Encode(const SubscriptionRequest& request) {
   return {{"kind", kFollow},
           {"chunks", request.m_chunks},
           {"near", request.m_near},
           {"revision", request.m_weights_revision},
           {"replicas", std::to_string(request.m_replicas_hash)},
-          {"fullness", request.m_fullness_percent}};
+          {"fullness", request.m_used_slots_percent}};
 }
 
-json::object Encode(const PlaceRequest& request) {
+json::object Encode(const SlotRequestMessage& request) {
   return {{"kind", kSlotRequest},
           {"replica", request.m_replica},
           {"ticket", request.m_ticket},
           {"tokens", request.m_prompt_tokens},
-          {"fresh", request.m_fresh},
+          {"fresh", request.m_can_be_on_time},
           {"read_ms", ToMilliseconds(request.m_read_within)},
           {"wait_ms", ToMilliseconds(request.m_wait)},
           {"calls", EncodeCalls(request.m_calls)}};
 }
 
-json::object Encode(const PlaceAnswer& answer) {
+json::object Encode(const SlotAnswer& answer) {
   json::object object = Encode(answer.m_news);
   object["kind"] = kSlotAnswer;
   object["ticket"] = answer.m_ticket;
@@ -121,7 +124,7 @@
   return object;
 }
 
-json::object Encode(const PlaceWithdrawal& withdrawal) {
+json::object Encode(const SlotWithdrawal& withdrawal) {
   return {{"kind", kSlotWithdrawal},
           {"replica", withdrawal.m_replica},
           {"ticket", withdrawal.m_ticket}};
@@ -133,8 +136,8 @@
   return Duration(std::chrono::milliseconds(milliseconds));
 }
 
-Result<FollowRequest> DecodeFollow(const json::object& object) {
-  FollowRequest request;
+Result<SubscriptionRequest> DecodeFollow(const json::object& object) {
+  SubscriptionRequest request;
   BOOST_LEAF_ASSIGN(request.m_chunks,
                     model::FlagFieldOr(object, "chunks", false));
   BOOST_LEAF_ASSIGN(request.m_near, model::FlagFieldOr(object, "near", false));
@@ -143,7 +146,7 @@
   BOOST_LEAF_AUTO(hash, model::TextFieldOr(object, "replicas", "0"));
   request.m_replicas_hash = std::strtoull(hash.c_str(), nullptr, 10);
   BOOST_LEAF_AUTO(fullness, model::NumberFieldOr(object, "fullness", 100));
-  request.m_fullness_percent = static_cast<uint32_t>(fullness);
+  request.m_used_slots_percent = static_cast<uint32_t>(fullness);
   return request;
 }
 
@@ -157,8 +160,8 @@
                       static_cast<uint64_t>(numbers->at(1).as_int64())};
 }
 
-Result<EntryNews> DecodeEntry(const json::object& object) {
-  EntryNews update;
+Result<EntryUpdate> DecodeEntry(const json::object& object) {
+  EntryUpdate update;
   BOOST_LEAF_ASSIGN(update.m_address.m_host, model::TextField(object, "host"));
   BOOST_LEAF_ASSIGN(update.m_address.m_data_center,
                     model::TextField(object, "data_center"));
@@ -170,7 +173,7 @@
   BOOST_LEAF_ASSIGN(update.m_operator_revision,
                     model::NumberFieldOr(object, "revision", 0));
   BOOST_LEAF_AUTO(proof, model::NumberFieldOr(object, "proof_ms", 0));
-  update.m_operator_proof = std::chrono::milliseconds(proof);
+  update.m_operator_confirmed_at = std::chrono::milliseconds(proof);
   BOOST_LEAF_AUTO(hash, model::TextFieldOr(object, "replicas", "0"));
   update.m_replicas_hash = std::strtoull(hash.c_str(), nullptr, 10);
   BOOST_LEAF_AUTO(age, model::NumberFieldOr(object, "age_ms", 0));
@@ -178,20 +181,20 @@
   BOOST_LEAF_ASSIGN(update.m_crashes, DecodeCrashes(object));
   if (object.contains("far_entries")) {
     BOOST_LEAF_AUTO(far_entries, model::NumberField(object, "far_entries"));
-    update.m_far_entries = static_cast<uint32_t>(far_entries);
+    update.m_remote_entries = static_cast<uint32_t>(far_entries);
   }
   return update;
 }
 
-Result<CallNews> DecodeCallNews(const json::object& object) {
-  CallNews update;
+Result<CallUpdate> DecodeCallNews(const json::object& object) {
+  CallUpdate update;
   BOOST_LEAF_ASSIGN(update.m_replica, model::TextField(object, "replica"));
   BOOST_LEAF_ASSIGN(update.m_calls, DecodeCalls(object, "calls"));
   return update;
 }
 
-Result<ReplicaNews> DecodeReplica(const json::object& object) {
-  ReplicaNews update;
+Result<ReplicaUpdate> DecodeReplica(const json::object& object) {
+  ReplicaUpdate update;
   BOOST_LEAF_ASSIGN(update.m_replica, model::TextField(object, "replica"));
   BOOST_LEAF_ASSIGN(update.m_service, model::TextField(object, "service"));
   BOOST_LEAF_ASSIGN(update.m_version, model::NumberField(object, "version"));
@@ -199,27 +202,29 @@
                     model::FlagFieldOr(object, "closing", false));
   BOOST_LEAF_ASSIGN(update.m_loading,
                     model::FlagFieldOr(object, "loading", false));
-  BOOST_LEAF_ASSIGN(update.m_elsewhere, DecodeCalls(object, "elsewhere"));
+  BOOST_LEAF_ASSIGN(update.m_other_entries_calls,
+                    DecodeCalls(object, "elsewhere"));
   BOOST_LEAF_AUTO(waiting, model::NumberFieldOr(object, "waiting", 0));
   update.m_waiting = static_cast<uint32_t>(waiting);
   return update;
 }
 
-Result<PlaceRequest> DecodeSlotRequest(const json::object& object) {
-  PlaceRequest request;
+Result<SlotRequestMessage> DecodeSlotRequest(const json::object& object) {
+  SlotRequestMessage request;
   BOOST_LEAF_ASSIGN(request.m_replica, model::TextField(object, "replica"));
   BOOST_LEAF_ASSIGN(request.m_ticket, model::NumberField(object, "ticket"));
   BOOST_LEAF_AUTO(tokens, model::NumberField(object, "tokens"));
   request.m_prompt_tokens = static_cast<uint32_t>(tokens);
-  BOOST_LEAF_ASSIGN(request.m_fresh, model::FlagFieldOr(object, "fresh", true));
+  BOOST_LEAF_ASSIGN(request.m_can_be_on_time,
+                    model::FlagFieldOr(object, "fresh", true));
   BOOST_LEAF_ASSIGN(request.m_read_within, TimeField(object, "read_ms"));
   BOOST_LEAF_ASSIGN(request.m_wait, TimeField(object, "wait_ms"));
   BOOST_LEAF_ASSIGN(request.m_calls, DecodeCalls(object, "calls"));
   return request;
 }
 
-Result<PlaceAnswer> DecodeAnswer(const json::object& object) {
-  PlaceAnswer answer;
+Result<SlotAnswer> DecodeAnswer(const json::object& object) {
+  SlotAnswer answer;
   BOOST_LEAF_ASSIGN(answer.m_ticket, model::NumberField(object, "ticket"));
   BOOST_LEAF_ASSIGN(answer.m_granted,
                     model::FlagFieldOr(object, "granted", false));
@@ -229,8 +234,8 @@
   return answer;
 }
 
-Result<PlaceWithdrawal> DecodeWithdrawal(const json::object& object) {
-  PlaceWithdrawal withdrawal;
+Result<SlotWithdrawal> DecodeWithdrawal(const json::object& object) {
+  SlotWithdrawal withdrawal;
   BOOST_LEAF_ASSIGN(withdrawal.m_replica, model::TextField(object, "replica"));
   BOOST_LEAF_ASSIGN(withdrawal.m_ticket, model::NumberField(object, "ticket"));
   return withdrawal;
@@ -251,8 +256,8 @@
   return chunks;
 }
 
-Result<ChunkNews> DecodeChunks(const json::object& object) {
-  ChunkNews update;
+Result<ChunkUpdate> DecodeChunks(const json::object& object) {
+  ChunkUpdate update;
   BOOST_LEAF_ASSIGN(update.m_host, model::TextField(object, "host"));
   BOOST_LEAF_ASSIGN(update.m_model, model::TextField(object, "model"));
   BOOST_LEAF_ASSIGN(update.m_version, model::NumberField(object, "version"));
@@ -260,14 +265,14 @@
   return update;
 }
 
-Result<DrawNews> DecodeOriginFetches(const json::object& object) {
-  DrawNews update;
+Result<OriginFetchUpdate> DecodeOriginFetches(const json::object& object) {
+  OriginFetchUpdate update;
   BOOST_LEAF_ASSIGN(update.m_model, model::TextField(object, "model"));
   BOOST_LEAF_ASSIGN(update.m_version, model::NumberField(object, "version"));
-  decide::DrawReport& report = update.m_report;
+  decide::OriginFetchReport& report = update.m_report;
   BOOST_LEAF_ASSIGN(report.m_host, model::TextField(object, "host"));
   BOOST_LEAF_ASSIGN(report.m_under_way, ChunksField(object, "under_way"));
-  BOOST_LEAF_ASSIGN(report.m_drawn, ChunksField(object, "drawn"));
+  BOOST_LEAF_ASSIGN(report.m_origin_fetched, ChunksField(object, "drawn"));
   return update;
 }
 
--- a/src/libverbenalead/links/message.h
+++ b/src/libverbenalead/links/message.h
@@ -22,15 +22,15 @@
 /// One datagram between processes of this project. Datagrams may be lost,
 /// duplicated or delayed. So each carries a whole state rather than a
 /// difference, and senders resend or time out instead of relying on an answer.
-using Message = std::variant<EntryNews,
-                             CallNews,
-                             ReplicaNews,
-                             ChunkNews,
-                             DrawNews,
-                             FollowRequest,
-                             PlaceRequest,
-                             PlaceAnswer,
-                             PlaceWithdrawal,
+using Message = std::variant<EntryUpdate,
+                             CallUpdate,
+                             ReplicaUpdate,
+                             ChunkUpdate,
+                             OriginFetchUpdate,
+                             SubscriptionRequest,
+                             SlotRequestMessage,
+                             SlotAnswer,
+                             SlotWithdrawal,
                              DataCenterSummary>;
 
 std::string EncodeMessage(const Message& message);
--- a/src/libverbenalead/links/message_test.cc
+++ b/src/libverbenalead/links/message_test.cc
@@ -17,37 +17,37 @@
 
  public:
   void RoundTripsEachKind() {
-    EntryNews entry;
+    EntryUpdate entry;
     entry.m_address = {"e1", "a", Endpoint("10.0.0.1", 80),
                        Endpoint("10.0.0.1", 81)};
     entry.m_ready = true;
     entry.m_operator_revision = 5;
-    entry.m_operator_proof = 1234ms;
+    entry.m_operator_confirmed_at = 1234ms;
     entry.m_replicas_hash = uint64_t{1} << 63;
     entry.m_replicas_age = 321ms;
     entry.m_crashes = {{uint64_t{1} << 63, "i-1/7", TimePoint()}};
-    EntryNews entry_with_count = entry;
-    entry_with_count.m_far_entries = 78;
+    EntryUpdate entry_with_count = entry;
+    entry_with_count.m_remote_entries = 78;
     DataCenterSummary summary;
     summary.m_data_center = "a";
     summary.m_sender = "e1";
     summary.m_number = 77;
     summary.m_relayed = true;
     summary.m_operator_revision = 5;
-    summary.m_operator_proof = 1234ms;
+    summary.m_operator_confirmed_at = 1234ms;
     summary.m_entries = {
         {"e1", Endpoint("10.0.0.1", 80), Endpoint("10.0.0.1", 81), true},
         {"e2", Endpoint("10.0.0.2", 80), Endpoint("10.0.0.2", 81), false}};
     summary.m_replicas = {{"i-1", 3, true, false, {5, 900}, 2},
                           {"i-2", 0, false, true, {0, 0}, 0}};
     summary.m_crashes = entry.m_crashes;
-    ReplicaNews replica;
+    ReplicaUpdate replica;
     replica.m_replica = "i-1";
     replica.m_service = "pool";
     replica.m_version = 3;
     replica.m_closing = true;
     replica.m_loading = true;
-    replica.m_elsewhere = {5, 900};
+    replica.m_other_entries_calls = {5, 900};
     replica.m_waiting = 3;
     const Message messages[] = {
         entry,
@@ -55,14 +55,14 @@
         summary,
         DataCenterSummary(),
         replica,
-        CallNews{"i-1", {2, 100}},
-        ChunkNews{"10.0.0.2", "m", 2, {0, 3, 47}},
-        DrawNews{"m", 2, {"10.0.0.2", {7, 9}, {8}}},
-        FollowRequest{true, true, 77, uint64_t{1} << 63, 85},
-        PlaceRequest{"i-1", 9, 1290, false, 120ms, 250ms, {2, 100}},
-        PlaceAnswer{9, true, false, replica},
-        PlaceAnswer{9, false, true, replica},
-        PlaceWithdrawal{"i-1", 9},
+        CallUpdate{"i-1", {2, 100}},
+        ChunkUpdate{"10.0.0.2", "m", 2, {0, 3, 47}},
+        OriginFetchUpdate{"m", 2, {"10.0.0.2", {7, 9}, {8}}},
+        SubscriptionRequest{true, true, 77, uint64_t{1} << 63, 85},
+        SlotRequestMessage{"i-1", 9, 1290, false, 120ms, 250ms, {2, 100}},
+        SlotAnswer{9, true, false, replica},
+        SlotAnswer{9, false, true, replica},
+        SlotWithdrawal{"i-1", 9},
     };
     for (const Message& message : messages) {
       const std::string text = EncodeMessage(message);
@@ -100,8 +100,8 @@
   }
 
   void DecodesOrRejectsAnyBytes() {
-    const std::string good =
-        EncodeMessage(PlaceRequest{"i-1", 9, 1290, true, 120ms, 250ms, {}});
+    const std::string good = EncodeMessage(
+        SlotRequestMessage{"i-1", 9, 1290, true, 120ms, 250ms, {}});
     const bool held = rc::check("any bytes", [&](const std::string& noise) {
       std::string text = good;
       const size_t at = *rc::gen::inRange<size_t>(0, text.size());
--- a/src/libverbenalead/links/origin_fetch_update.h
+++ b/src/libverbenalead/links/origin_fetch_update.h
@@ -12,12 +12,13 @@
 /// chunks that it is fetching or has just fetched from the origin. The others
 /// then don't fetch the same chunks from the origin, which costs money per
 /// byte.
-struct DrawNews {
+struct OriginFetchUpdate {
   std::string m_model;
   uint64_t m_version = 0;
-  decide::DrawReport m_report;
+  decide::OriginFetchReport m_report;
 
-  friend bool operator==(const DrawNews&, const DrawNews&) = default;
+  friend bool operator==(const OriginFetchUpdate&,
+                         const OriginFetchUpdate&) = default;
 };
 
 }  // namespace verbenalead::links
--- a/src/libverbenalead/links/relayed_rows.cc
+++ b/src/libverbenalead/links/relayed_rows.cc
@@ -70,7 +70,7 @@
 }
 
 Result<RelayedRows> ReadRelayed(const wire::Response& response) {
-  const RelayFacts facts = DecodeFacts(response.m_headers);
+  const RelayMetadata facts = DecodeRelayMetadata(response.m_headers);
   if (wire::Get(response.m_headers, kEncoding) != kDeflate)
     return DecodeRows(response.m_body, facts);
   BOOST_LEAF_AUTO(text, Inflate(response.m_body, kMaxTableBytes));
@@ -79,27 +79,27 @@
 
 }  // namespace
 
-wire::Headers EncodeFacts(const RelayFacts& facts) {
+wire::Headers EncodeRelayMetadata(const RelayMetadata& facts) {
   wire::Headers headers = {{"content-type", "application/json"},
                            {kEncoding, kDeflate},
-                           {kProof, TimeText(facts.m_proof)},
+                           {kProof, TimeText(facts.m_confirmed_at)},
                            {kSentAt, TimeText(facts.m_told_at)}};
-  if (facts.m_regained_ago)
-    headers[kRegainedAgo] = TimeText(*facts.m_regained_ago);
+  if (facts.m_store_regained_ago)
+    headers[kRegainedAgo] = TimeText(*facts.m_store_regained_ago);
   return headers;
 }
 
-RelayFacts DecodeFacts(const wire::Headers& headers) {
-  RelayFacts facts;
-  facts.m_proof = TimeField(headers, kProof).value_or(Duration());
+RelayMetadata DecodeRelayMetadata(const wire::Headers& headers) {
+  RelayMetadata facts;
+  facts.m_confirmed_at = TimeField(headers, kProof).value_or(Duration());
   facts.m_told_at = TimeField(headers, kSentAt).value_or(Duration());
-  facts.m_regained_ago = TimeField(headers, kRegainedAgo);
+  facts.m_store_regained_ago = TimeField(headers, kRegainedAgo);
   return facts;
 }
 
 std::string EncodeRows(const std::map<std::string, platform::Row>& rows,
                        uint64_t revision,
-                       const SeenTimes& seen) {
+                       const EarliestWriteTimes& seen) {
   json::array list;
   for (const auto& [key, row] : rows) {
     json::object object{{"key", key}, {"revision", row.m_revision}};
@@ -117,13 +117,13 @@
 }
 
 Result<RelayedRows> DecodeRows(const std::string& text,
-                               const RelayFacts& facts) {
+                               const RelayMetadata& facts) {
   BOOST_LEAF_AUTO(object, model::ParseObject(text, "relayed rows"));
   RelayedRows relayed;
   platform::Rows& rows = relayed.m_rows;
   BOOST_LEAF_ASSIGN(rows.m_revision, model::NumberField(object, "revision"));
-  rows.m_store_time = facts.m_proof;
-  relayed.m_regained_ago = facts.m_regained_ago;
+  rows.m_store_time = facts.m_confirmed_at;
+  relayed.m_store_regained_ago = facts.m_store_regained_ago;
   const json::value* list = object.if_contains("rows");
   if (!list || !list->is_array())
     return model::BadField("rows", "a list");
@@ -135,7 +135,7 @@
                     model::NumberFieldOr(value.as_object(), "seen_ms", 0));
     const Duration seen_at = std::chrono::milliseconds(seen);
     if (seen > 0 && facts.m_told_at >= seen_at)
-      relayed.m_ages[row.m_key] = facts.m_told_at - seen_at;
+      relayed.m_max_ages[row.m_key] = facts.m_told_at - seen_at;
     rows.m_rows.push_back(std::move(row));
   }
   return relayed;
@@ -148,7 +148,7 @@
   wire::Request request;
   request.m_path = std::move(path);
   if (may_be_deferred)
-    request.m_headers[kMayBePutOff] = "1";
+    request.m_headers[kMayBeDeferred] = "1";
   const std::string step = "GET " + request.m_path;
   const TimePoint requested_at = Now();
   const wire::ProgressTimeouts timeouts = {kProgressTimeout, kProgressTimeout,
@@ -167,7 +167,7 @@
   // m_told_at was set at an unknown moment between the request and the answer,
   // and the ages are upper bounds, so the whole duration of the request is
   // added.
-  for (auto& [key, age] : relayed->m_ages)
+  for (auto& [key, age] : relayed->m_max_ages)
     age += Now() - requested_at;
   co_return std::move(*relayed);
 }
--- a/src/libverbenalead/links/relayed_rows.h
+++ b/src/libverbenalead/links/relayed_rows.h
@@ -23,26 +23,26 @@
 
 /// What an entry sends beside the rows. It is kept apart from the encoded rows,
 /// since it changes while they stay the same and can be reused.
-struct RelayFacts {
+struct RelayMetadata {
   /// The store's time at which the store confirmed that the rows are the
   /// newest.
-  Duration m_proof{};
+  Duration m_confirmed_at{};
   /// When the entry sent this, by its boot clock, which also counts the time
   /// for which the host was suspended.
   Duration m_told_at{};
   /// Time since the entry's connection to the store was restored; absent if it
   /// was never lost.
-  std::optional<Duration> m_regained_ago;
+  std::optional<Duration> m_store_regained_ago;
 
-  friend bool operator==(const RelayFacts&, const RelayFacts&) = default;
+  friend bool operator==(const RelayMetadata&, const RelayMetadata&) = default;
 };
 
-wire::Headers EncodeFacts(const RelayFacts& facts);
-RelayFacts DecodeFacts(const wire::Headers& headers);
+wire::Headers EncodeRelayMetadata(const RelayMetadata& facts);
+RelayMetadata DecodeRelayMetadata(const wire::Headers& headers);
 
 /// Earliest times at which rows may have been written, by key, on the same
-/// clock as RelayFacts::m_told_at.
-using SeenTimes = std::map<std::string, Duration>;
+/// clock as RelayMetadata::m_told_at.
+using EarliestWriteTimes = std::map<std::string, Duration>;
 
 /// All rows of a table as an entry has them, for other processes of its data
 /// centre. When each host read the table from the store itself, a configuration
@@ -50,22 +50,22 @@
 struct RelayedRows {
   platform::Rows m_rows;
   /// Upper bounds of the ages of rows, by key; absent if unknown.
-  std::map<std::string, Duration> m_ages;
-  std::optional<Duration> m_regained_ago;
+  std::map<std::string, Duration> m_max_ages;
+  std::optional<Duration> m_store_regained_ago;
 };
 
 std::string EncodeRows(const std::map<std::string, platform::Row>& rows,
                        uint64_t revision,
-                       const SeenTimes& seen);
+                       const EarliestWriteTimes& seen);
 /// Decodes the output of EncodeRows that was received together with `facts`.
 /// Fails with kInvalid.
 Result<RelayedRows> DecodeRows(const std::string& text,
-                               const RelayFacts& facts);
+                               const RelayMetadata& facts);
 
 /// Header field of a request for rows: the requester can retry later or ask
 /// another entry, so the server may refuse the request while it serves many
 /// others.
-inline constexpr char kMayBePutOff[] = "may-be-put-off";
+inline constexpr char kMayBeDeferred[] = "may-be-put-off";
 
 /// Fetches the rows that the entry at `endpoint` serves at `path`, compressed
 /// with Deflate. Fails with kRefused if the entry doesn't have the rows, or if
--- a/src/libverbenalead/links/relayed_rows_test.cc
+++ b/src/libverbenalead/links/relayed_rows_test.cc
@@ -31,15 +31,15 @@
     CPPUNIT_ASSERT(relayed.m_rows.m_rows[1] == rows.at("b"));
     CPPUNIT_ASSERT_EQUAL(uint64_t{12}, relayed.m_rows.m_revision);
     CPPUNIT_ASSERT(relayed.m_rows.m_store_time == Duration(5s));
-    CPPUNIT_ASSERT(!relayed.m_regained_ago);
+    CPPUNIT_ASSERT(!relayed.m_store_regained_ago);
   }
 
   void CarriesTimeSinceStoreWasRegained() {
-    const RelayFacts facts = {5s, 7s, 1500ms};
-    CPPUNIT_ASSERT(DecodeFacts(EncodeFacts(facts)) == facts);
+    const RelayMetadata facts = {5s, 7s, 1500ms};
+    CPPUNIT_ASSERT(DecodeRelayMetadata(EncodeRelayMetadata(facts)) == facts);
     const RelayedRows relayed = Decode(EncodeRows({}, 1, {}), facts);
-    CPPUNIT_ASSERT(relayed.m_regained_ago == Duration(1500ms));
-    CPPUNIT_ASSERT(DecodeFacts({{"proof-ms", "x"}}) == RelayFacts());
+    CPPUNIT_ASSERT(relayed.m_store_regained_ago == Duration(1500ms));
+    CPPUNIT_ASSERT(DecodeRelayMetadata({{"proof-ms", "x"}}) == RelayMetadata());
   }
 
   // Guards against calls that start on old weights after the time limit for new
@@ -52,9 +52,9 @@
         {"x", {"x", "", 1, false}}};
     const std::string text = EncodeRows(rows, 7, {{"version/m", 100s}});
     const RelayedRows relayed = Decode(text, {102s, 103s, std::nullopt});
-    CPPUNIT_ASSERT_EQUAL(size_t{1}, relayed.m_ages.size());
-    CPPUNIT_ASSERT(relayed.m_ages.at("version/m") == Duration(3s));
-    CPPUNIT_ASSERT(Decode(text, {102s, 0s, std::nullopt}).m_ages.empty());
+    CPPUNIT_ASSERT_EQUAL(size_t{1}, relayed.m_max_ages.size());
+    CPPUNIT_ASSERT(relayed.m_max_ages.at("version/m") == Duration(3s));
+    CPPUNIT_ASSERT(Decode(text, {102s, 0s, std::nullopt}).m_max_ages.empty());
   }
 
   // Guards against calls refused for seconds after all processes start at once.
@@ -89,7 +89,8 @@
   }
 
  private:
-  static RelayedRows Decode(const std::string& text, const RelayFacts& facts) {
+  static RelayedRows Decode(const std::string& text,
+                            const RelayMetadata& facts) {
     auto relayed = CatchFailure([&] { return DecodeRows(text, facts); });
     CPPUNIT_ASSERT(relayed.has_value());
     return std::move(*relayed);
--- a/src/libverbenalead/links/replica_calls.h
+++ b/src/libverbenalead/links/replica_calls.h
@@ -11,7 +11,7 @@
   uint32_t m_calls = 0;
   /// Prompt tokens of the calls whose answer hasn't begun, so whose prompt the
   /// replica may not have read yet.
-  uint64_t m_unread = 0;
+  uint64_t m_unread_tokens = 0;
 
   friend bool operator==(const ReplicaCalls&, const ReplicaCalls&) = default;
 };
--- a/src/libverbenalead/links/replica_summary.h
+++ b/src/libverbenalead/links/replica_summary.h
@@ -13,7 +13,7 @@
   std::string m_replica;
   /// Version of the weights that the replica has loaded; 0: none.
   uint64_t m_version = 0;
-  /// `m_closing` and `m_loading` are as in ReplicaNews.
+  /// `m_closing` and `m_loading` are as in ReplicaUpdate.
   bool m_closing = false;
   bool m_loading = false;
   /// Calls of all entries at the replica.
--- a/src/libverbenalead/links/replica_update.h
+++ b/src/libverbenalead/links/replica_update.h
@@ -9,7 +9,7 @@
 namespace verbenalead::links {
 
 /// State of a replica, sent by the target process on its host to one entry.
-struct ReplicaNews {
+struct ReplicaUpdate {
   std::string m_replica;
   std::string m_service;
   /// Version of the weights that the replica has loaded; 0: none.
@@ -21,11 +21,11 @@
   /// scheduled time to load them has come.
   bool m_loading = false;
   /// Calls of all other entries at the replica.
-  ReplicaCalls m_elsewhere;
+  ReplicaCalls m_other_entries_calls;
   /// Calls queued at the target process for a slot.
   uint32_t m_waiting = 0;
 
-  friend bool operator==(const ReplicaNews&, const ReplicaNews&) = default;
+  friend bool operator==(const ReplicaUpdate&, const ReplicaUpdate&) = default;
 };
 
 }  // namespace verbenalead::links
--- a/src/libverbenalead/links/slot_answer.h
+++ b/src/libverbenalead/links/slot_answer.h
@@ -7,17 +7,17 @@
 
 namespace verbenalead::links {
 
-/// Answer of a target process to a PlaceRequest. It is sent at once, and sent
-/// again for a queued call when the call gets its slot.
-struct PlaceAnswer {
+/// Answer of a target process to a SlotRequestMessage. It is sent at once, and
+/// sent again for a queued call when the call gets its slot.
+struct SlotAnswer {
   uint64_t m_ticket = 0;
   bool m_granted = false;
   /// The call has been queued at the target process and waits for a slot.
   bool m_queued = false;
   /// State of the replica, without the slot granted by this answer.
-  ReplicaNews m_news;
+  ReplicaUpdate m_news;
 
-  friend bool operator==(const PlaceAnswer&, const PlaceAnswer&) = default;
+  friend bool operator==(const SlotAnswer&, const SlotAnswer&) = default;
 };
 
 }  // namespace verbenalead::links
--- a/src/libverbenalead/links/slot_request_message.h
+++ b/src/libverbenalead/links/slot_request_message.h
@@ -13,14 +13,14 @@
 /// at its replica. Only the target process counts the calls of all entries;
 /// entries that relied on their own, slightly old counts would send their calls
 /// to the same replica at the same time.
-struct PlaceRequest {
+struct SlotRequestMessage {
   std::string m_replica;
   uint64_t m_ticket = 0;
   uint32_t m_prompt_tokens = 0;
   /// The call can still meet its latency objective, provided that the replica
   /// reads the call's prompt and all prompts queued before it within
   /// `m_read_within`.
-  bool m_fresh = true;
+  bool m_can_be_on_time = true;
   Duration m_read_within{};
   /// How long the call may be queued if no slot is free; zero: not at all.
   Duration m_wait{};
@@ -29,7 +29,8 @@
   /// a restart of either process corrects the counts of the target process.
   ReplicaCalls m_calls;
 
-  friend bool operator==(const PlaceRequest&, const PlaceRequest&) = default;
+  friend bool operator==(const SlotRequestMessage&,
+                         const SlotRequestMessage&) = default;
 };
 
 }  // namespace verbenalead::links
--- a/src/libverbenalead/links/slot_withdrawal.h
+++ b/src/libverbenalead/links/slot_withdrawal.h
@@ -8,12 +8,12 @@
 
 /// Withdraws an entry's request for a slot that its call no longer needs. If
 /// this message is lost, the slot is granted and the entry releases it unused.
-struct PlaceWithdrawal {
+struct SlotWithdrawal {
   std::string m_replica;
   uint64_t m_ticket = 0;
 
-  friend bool operator==(const PlaceWithdrawal&,
-                         const PlaceWithdrawal&) = default;
+  friend bool operator==(const SlotWithdrawal&,
+                         const SlotWithdrawal&) = default;
 };
 
 }  // namespace verbenalead::links
--- a/src/libverbenalead/links/subscription_request.h
+++ b/src/libverbenalead/links/subscription_request.h
@@ -6,8 +6,8 @@
 /// Subscribes the sender to the updates of a target process for a few seconds,
 /// and states which revisions the sender has, so that the target process can
 /// fetch what it lacks. Sent repeatedly while the sender needs the updates.
-struct FollowRequest {
-  /// Subscribes to ChunkNews if true, otherwise to ReplicaNews.
+struct SubscriptionRequest {
+  /// Subscribes to ChunkUpdate if true, otherwise to ReplicaUpdate.
   bool m_chunks = false;
   /// The sender is in the same data centre. An entry in another data centre
   /// only states its revisions and isn't subscribed: it gets the replica's
@@ -22,9 +22,10 @@
   uint64_t m_replicas_hash = 0;
   /// Share of the slots of the usable replicas of the target's service that are
   /// in use, as far as the sender knows, in percent.
-  uint32_t m_fullness_percent = 100;
+  uint32_t m_used_slots_percent = 100;
 
-  friend bool operator==(const FollowRequest&, const FollowRequest&) = default;
+  friend bool operator==(const SubscriptionRequest&,
+                         const SubscriptionRequest&) = default;
 };
 
 }  // namespace verbenalead::links
--- a/src/libverbenalead/links/summary_codec.cc
+++ b/src/libverbenalead/links/summary_codec.cc
@@ -77,8 +77,12 @@
 json::array EncodeReplica(const ReplicaSummary& replica) {
   const int64_t flags = (replica.m_closing ? kClosingFlag : 0) |
                         (replica.m_loading ? kLoadingFlag : 0);
-  return {replica.m_replica,       replica.m_version,        flags,
-          replica.m_calls.m_calls, replica.m_calls.m_unread, replica.m_waiting};
+  return {replica.m_replica,
+          replica.m_version,
+          flags,
+          replica.m_calls.m_calls,
+          replica.m_calls.m_unread_tokens,
+          replica.m_waiting};
 }
 
 Result<ReplicaSummary> DecodeReplica(const json::value& value) {
@@ -96,7 +100,7 @@
   replica.m_closing = (flags & kClosingFlag) != 0;
   replica.m_loading = (flags & kLoadingFlag) != 0;
   replica.m_calls.m_calls = static_cast<uint32_t>(calls);
-  replica.m_calls.m_unread = static_cast<uint64_t>(unread);
+  replica.m_calls.m_unread_tokens = static_cast<uint64_t>(unread);
   replica.m_waiting = static_cast<uint32_t>(waiting);
   return replica;
 }
@@ -115,7 +119,7 @@
           {"number", summary.m_number},
           {"relayed", summary.m_relayed},
           {"revision", summary.m_operator_revision},
-          {"proof_ms", ToMilliseconds(summary.m_operator_proof)},
+          {"proof_ms", ToMilliseconds(summary.m_operator_confirmed_at)},
           {"entries", std::move(entries)},
           {"replicas", std::move(replicas)},
           {"crashes", EncodeCrashes(summary.m_crashes)}};
@@ -132,7 +136,7 @@
   BOOST_LEAF_ASSIGN(summary.m_operator_revision,
                     model::NumberField(object, "revision"));
   BOOST_LEAF_AUTO(proof, model::NumberField(object, "proof_ms"));
-  summary.m_operator_proof = std::chrono::milliseconds(proof);
+  summary.m_operator_confirmed_at = std::chrono::milliseconds(proof);
   BOOST_LEAF_AUTO(entries, ListField(object, "entries"));
   for (const json::value& value : *entries) {
     BOOST_LEAF_AUTO(entry, DecodeEntry(value));
@@ -147,23 +151,23 @@
   return summary;
 }
 
-json::array EncodeCrashes(const std::vector<decide::CrashNote>& crashes) {
+json::array EncodeCrashes(const std::vector<decide::CrashRecord>& crashes) {
   json::array notes;
-  for (const decide::CrashNote& note : crashes) {
+  for (const decide::CrashRecord& note : crashes) {
     notes.push_back(json::object{{"request", std::to_string(note.m_key)},
                                  {"replica", note.m_target}});
   }
   return notes;
 }
 
-Result<std::vector<decide::CrashNote>> DecodeCrashes(
+Result<std::vector<decide::CrashRecord>> DecodeCrashes(
     const json::object& object) {
   BOOST_LEAF_AUTO(list, ListField(object, "crashes"));
-  std::vector<decide::CrashNote> crashes;
+  std::vector<decide::CrashRecord> crashes;
   for (const json::value& value : *list) {
     if (!value.is_object())
       return model::BadField("crashes", "objects");
-    decide::CrashNote note;
+    decide::CrashRecord note;
     BOOST_LEAF_AUTO(request, model::TextField(value.as_object(), "request"));
     note.m_key = std::strtoull(request.c_str(), nullptr, 10);
     BOOST_LEAF_ASSIGN(note.m_target,
--- a/src/libverbenalead/links/summary_codec.h
+++ b/src/libverbenalead/links/summary_codec.h
@@ -15,8 +15,9 @@
 Result<DataCenterSummary> DecodeSummary(const boost::json::object& object);
 
 /// The crash notes that entries exchange, as a JSON array.
-boost::json::array EncodeCrashes(const std::vector<decide::CrashNote>& crashes);
-Result<std::vector<decide::CrashNote>> DecodeCrashes(
+boost::json::array EncodeCrashes(
+    const std::vector<decide::CrashRecord>& crashes);
+Result<std::vector<decide::CrashRecord>> DecodeCrashes(
     const boost::json::object& object);
 
 }  // namespace verbenalead::links
--- a/src/libverbenalead/links/table_follower.cc
+++ b/src/libverbenalead/links/table_follower.cc
@@ -14,7 +14,7 @@
 /// requests a second, of the 2,000 a second that the store can answer.
 constexpr Duration kMinRetryPause = 150ms;
 constexpr Duration kMaxRetryPause = 350ms;
-/// How often FollowPace::m_hold is checked again while it is set.
+/// How often PollSchedule::m_hold is checked again while it is set.
 constexpr Duration kHoldPollInterval = 50ms;
 
 }  // namespace
@@ -22,7 +22,7 @@
 TableFollower::TableFollower(const boost::asio::any_io_executor& executor,
                              platform::Store& store,
                              std::string table,
-                             std::function<FollowPace()> pace,
+                             std::function<PollSchedule()> pace,
                              OnRows on_rows)
     : m_store(store),
       m_table(std::move(table)),
@@ -34,18 +34,18 @@
 Awaitable<void> TableFollower::Run() {
   while (true) {
     const TimePoint requested_at = Now();
-    const FollowPace pace = m_pace();
+    const PollSchedule pace = m_pace();
     if (pace.m_hold) {
       co_await WaitUntil(requested_at + kHoldPollInterval);
       continue;
     }
-    m_poked = false;
+    m_poll_requested = false;
     const bool answered = co_await Ask(pace.m_wait);
-    if (m_poked)
+    if (m_poll_requested)
       continue;
     const TimePoint next =
         answered ? requested_at + pace.m_interval
-                 : Now() + std::max(pace.m_after_failure, RetryPause());
+                 : Now() + std::max(pace.m_retry_pause, RetryPause());
     if (next > Now())
       co_await WaitUntil(next);
   }
@@ -58,8 +58,8 @@
       boost::asio::redirect_error(boost::asio::use_awaitable, ignored));
 }
 
-void TableFollower::Poke() {
-  m_poked = true;
+void TableFollower::PollNow() {
+  m_poll_requested = true;
   m_timer.cancel();
 }
 
@@ -76,7 +76,7 @@
       m_revision = 0;
       co_return false;
     }
-    NoteFailure(rows.error());
+    RecordFailure(rows.error());
     co_return false;
   }
   NoteSuccess();
@@ -89,16 +89,16 @@
   if (m_connected)
     return;
   m_connected = true;
-  if (m_ever_connected)
+  if (m_was_connected)
     m_regained_at = Now();
-  m_ever_connected = true;
+  m_was_connected = true;
   LogLine("store_connected")
       .With("peer", ToString(m_store.endpoint()))
       .With("table", m_table)
       .Info();
 }
 
-void TableFollower::NoteFailure(const Failure& failure) {
+void TableFollower::RecordFailure(const Failure& failure) {
   if (!m_connected)
     return;
   m_connected = false;
--- a/src/libverbenalead/links/table_follower.h
+++ b/src/libverbenalead/links/table_follower.h
@@ -26,7 +26,7 @@
   TableFollower(const boost::asio::any_io_executor& executor,
                 platform::Store& store,
                 std::string table,
-                std::function<FollowPace()> pace,
+                std::function<PollSchedule()> pace,
                 OnRows on_rows);
 
   /// Follows the table; never returns.
@@ -35,7 +35,7 @@
   /// Ends the pause before the next request, because the table is expected to
   /// have changed or has to be read now. During a request, the next one follows
   /// at once.
-  void Poke();
+  void PollNow();
   /// Notes that all changes up to `revision` came from another process, so that
   /// they aren't read from the store.
   void SkipTo(uint64_t revision) {
@@ -45,30 +45,30 @@
   /// read.
   uint64_t revision() const { return m_revision; }
   /// Whether the last request failed after an earlier one had succeeded.
-  bool lost() const { return m_ever_connected && !m_connected; }
+  bool lost() const { return m_was_connected && !m_connected; }
   /// When the connection to the store was last restored after a failure; the
   /// epoch of the clock if it was never lost.
   TimePoint regained_at() const { return m_regained_at; }
 
  private:
   Awaitable<bool> Ask(Duration wait);
-  /// Waits until `time` or until Poke() is called.
+  /// Waits until `time` or until PollNow() is called.
   Awaitable<void> WaitUntil(TimePoint time);
   void NoteSuccess();
-  void NoteFailure(const Failure& failure);
+  void RecordFailure(const Failure& failure);
   Duration RetryPause();
 
   platform::Store& m_store;
   const std::string m_table;
-  const std::function<FollowPace()> m_pace;
+  const std::function<PollSchedule()> m_pace;
   const OnRows m_on_rows;
   boost::asio::steady_timer m_timer;
   std::mt19937_64 m_random;
-  bool m_poked = false;
+  bool m_poll_requested = false;
   /// 0: the whole table has to be read.
   uint64_t m_revision = 0;
   bool m_connected = false;
-  bool m_ever_connected = false;
+  bool m_was_connected = false;
   TimePoint m_regained_at{};
 };
 
--- a/src/libverbenalead/peer/client.cc
+++ b/src/libverbenalead/peer/client.cc
@@ -94,7 +94,7 @@
   if (!session) {
     auto socket = std::make_shared<tcp::socket>(executor);
     const auto connect_deadline =
-        std::min(deadline, Now() + m_limits.m_silent_after);
+        std::min(deadline, Now() + m_limits.m_silence_timeout);
     auto connected = co_await Connect(*socket, endpoint, connect_deadline);
     if (!connected)
       co_return connected.error();
--- a/src/libverbenalead/peer/header_names.h
+++ b/src/libverbenalead/peer/header_names.h
@@ -35,7 +35,7 @@
 constexpr char kAuthorization[] = "x-peer-authorization";
 
 /// The reason of a target that refuses an attempt because of kMaxRunning.
-constexpr char kBusier[] = "target_busier";
+constexpr char kAboveMaxRunning[] = "target_busier";
 /// The reason of a target that refuses an attempt because all its slots are
 /// used.
 constexpr char kFull[] = "target_full";
--- a/src/libverbenalead/peer/session.cc
+++ b/src/libverbenalead/peer/session.cc
@@ -148,7 +148,7 @@
 }
 
 bool Session::fresh() const {
-  return Now() - m_state->m_last_received < m_state->m_limits.m_ping_after;
+  return Now() - m_state->m_last_received_at < m_state->m_limits.m_ping_after;
 }
 
 Awaitable<bool> Session::Probe() {
@@ -157,14 +157,14 @@
   const TimePoint deadline = sent_at + m_state->m_limits.m_probe_timeout;
   SendPing();
   while (!m_state->m_closed && Now() < deadline) {
-    if (m_state->m_last_received >= sent_at)
+    if (m_state->m_last_received_at >= sent_at)
       co_return true;
     auto event =
         std::make_shared<asio::steady_timer>(m_state->m_socket.get_executor());
-    m_state->m_probes.push_back(event);
+    m_state->m_probe_timers.push_back(event);
     co_await WaitForEvent(*event, deadline);
   }
-  co_return !m_state->m_closed && m_state->m_last_received >= sent_at;
+  co_return !m_state->m_closed && m_state->m_last_received_at >= sent_at;
 }
 
 void Session::Retire() {
@@ -180,13 +180,13 @@
   Flush();
 }
 
-Duration Session::SilenceAllowed() const {
+Duration Session::SilenceTimeout() const {
   const SessionLimits& limits = m_state->m_limits;
   if (!m_state->m_handler)
-    return limits.m_silent_after;
+    return limits.m_silence_timeout;
   return m_state->m_streams.empty()
-             ? limits.m_idle_ping + limits.m_accepted_silent_after
-             : limits.m_accepted_silent_after;
+             ? limits.m_idle_ping_interval + limits.m_accepted_silence_timeout
+             : limits.m_accepted_silence_timeout;
 }
 
 void Session::Drain() {
@@ -211,7 +211,7 @@
   boost::system::error_code ignored;
   m_state->m_socket.close(ignored);
   m_state->m_watch_timer.cancel();
-  for (const auto& probe : std::exchange(m_state->m_probes, {}))
+  for (const auto& probe : std::exchange(m_state->m_probe_timers, {}))
     probe->cancel();
   auto streams = std::move(m_state->m_streams);
   m_state->m_streams.clear();
@@ -230,9 +230,9 @@
       Close("connection lost: " + error.message());
       co_return;
     }
-    m_state->m_last_received = Now();
+    m_state->m_last_received_at = Now();
     m_state->m_ping_sent = false;
-    for (const auto& probe : std::exchange(m_state->m_probes, {}))
+    for (const auto& probe : std::exchange(m_state->m_probe_timers, {}))
       probe->cancel();
     const ssize_t consumed =
         nghttp2_session_mem_recv(m_state->m_session, buffer.data(), size);
@@ -290,14 +290,15 @@
     // use.
     if (m_state->m_closed || (idle && !m_state->m_handler))
       continue;
-    const Duration silence = Now() - m_state->m_last_received;
-    if (silence >= SilenceAllowed()) {
+    const Duration silence = Now() - m_state->m_last_received_at;
+    if (silence >= SilenceTimeout()) {
       LogLine("connection_silent")
           .With("peer", m_state->m_peer)
           .With("silent_ms", ToMilliseconds(silence))
           .Warn();
       Close("nothing received although pinged");
-    } else if (silence >= (idle ? limits.m_idle_ping : limits.m_ping_after)) {
+    } else if (silence >=
+               (idle ? limits.m_idle_ping_interval : limits.m_ping_after)) {
       SendPing();
     }
   }
--- a/src/libverbenalead/peer/session.h
+++ b/src/libverbenalead/peer/session.h
@@ -29,20 +29,20 @@
   /// The connection is closed if nothing was received for this long, not even
   /// the answer to the PING. A device between two hosts may drop a connection
   /// without notifying either of them, and then no error is ever reported.
-  Duration m_silent_after = 2s;
-  /// Used instead of m_silent_after on the accepting side. It is longer: if
+  Duration m_silence_timeout = 2s;
+  /// Used instead of m_silence_timeout on the accepting side. It is longer: if
   /// that side ended an attempt because the attempt's entry was suspended for a
   /// moment, the outcome would be unknown without need.
-  Duration m_accepted_silent_after = 10s;
+  Duration m_accepted_silence_timeout = 10s;
   /// Before a request is sent on an idle connection, the connection is checked
   /// with a PING, and replaced if nothing is received within this time, which
   /// is many round trips between regions. Without the check, the first request
-  /// after the connection was dropped would wait for m_silent_after, and its
+  /// after the connection was dropped would wait for m_silence_timeout, and its
   /// outcome would be unknown.
   Duration m_probe_timeout = 250ms;
   /// Interval at which the accepting side pings an idle connection, so that it
   /// closes the sockets of peers that no longer exist.
-  Duration m_idle_ping = 60s;
+  Duration m_idle_ping_interval = 60s;
 };
 
 /// One HTTP/2 connection based on nghttp2, for either side. It belongs to one
@@ -90,7 +90,7 @@
   void SendPing();
   /// How long the other side may currently send nothing before the connection
   /// is closed.
-  Duration SilenceAllowed() const;
+  Duration SilenceTimeout() const;
   // Each loop keeps the session alive through `self`, which the coroutine owns
   // before it first runs.
   Awaitable<void> ReadLoop(std::shared_ptr<Session> self);
--- a/src/libverbenalead/peer/session_state.h
+++ b/src/libverbenalead/peer/session_state.h
@@ -23,7 +23,7 @@
   State(boost::asio::ip::tcp::socket socket, SessionLimits limits)
       : m_socket(std::move(socket)),
         m_limits(limits),
-        m_last_received(Now()),
+        m_last_received_at(Now()),
         m_watch_timer(m_socket.get_executor()) {}
   ~State();
 
@@ -47,12 +47,12 @@
   std::map<int32_t, StreamPtr> m_streams;
   bool m_writing = false;
   bool m_closed = false;
-  TimePoint m_last_received;
+  TimePoint m_last_received_at;
   bool m_ping_sent = false;
   bool m_retired = false;
   /// Timers of the calls of Probe() in progress; cancelled when data is
   /// received.
-  std::vector<std::shared_ptr<boost::asio::steady_timer>> m_probes;
+  std::vector<std::shared_ptr<boost::asio::steady_timer>> m_probe_timers;
   boost::asio::steady_timer m_watch_timer;
   /// Streams whose request has been received completely. They are answered
   /// after nghttp2_session_mem_recv() has returned.
--- a/src/libverbenalead/peer/session_writer.cc
+++ b/src/libverbenalead/peer/session_writer.cc
@@ -72,11 +72,11 @@
   return m_stream->m_closed || m_session->closed();
 }
 
-void Session::Writer::OnGone(std::function<void()> function) {
+void Session::Writer::OnDisconnect(std::function<void()> function) {
   if (function && gone())
     function();
   else
-    m_stream->m_on_gone = std::move(function);
+    m_stream->m_on_disconnect = std::move(function);
 }
 
 void Session::Writer::Abandon() {
--- a/src/libverbenalead/peer/session_writer.h
+++ b/src/libverbenalead/peer/session_writer.h
@@ -25,7 +25,7 @@
 
   bool gone() const override;
 
-  void OnGone(std::function<void()> function) override;
+  void OnDisconnect(std::function<void()> function) override;
 
   /// Resets the stream if the handler left the response unfinished.
   void Abandon();
--- a/src/libverbenalead/peer/stream.cc
+++ b/src/libverbenalead/peer/stream.cc
@@ -14,7 +14,7 @@
   m_inbound_event.cancel();
   m_outbound_event.cancel();
   const bool sent = whole && m_outbound_finished;
-  const auto on_gone = std::exchange(m_on_gone, nullptr);
+  const auto on_gone = std::exchange(m_on_disconnect, nullptr);
   if (on_gone && !sent)
     on_gone();
 }
--- a/src/libverbenalead/peer/stream.h
+++ b/src/libverbenalead/peer/stream.h
@@ -43,7 +43,7 @@
   /// The last byte has been passed to the socket.
   bool m_flushed = false;
   /// Called if the stream is closed before the end of the response was sent.
-  std::function<void()> m_on_gone;
+  std::function<void()> m_on_disconnect;
 
   /// Marks the stream closed, and wakes the coroutines that wait for it.
   /// `whole` is false if data may be missing.
--- a/src/libverbenalead/platform/answer_metadata.h
+++ b/src/libverbenalead/platform/answer_metadata.h
@@ -10,7 +10,7 @@
 /// What the header fields of a replica's answer state, beside its status: which
 /// request it answers, whether that request ran, and with which weights. An
 /// entry uses it to discard answers to other requests and to decide on retries.
-struct AnswerFacts {
+struct AnswerMetadata {
   /// Id of the request that the answer belongs to; empty if not stated.
   std::string m_request_id;
   /// The replica states that it did not run the request and never will.
@@ -20,7 +20,8 @@
   /// Version of the weights that the replica used; absent if not stated.
   std::optional<uint64_t> m_weights;
 
-  friend bool operator==(const AnswerFacts&, const AnswerFacts&) = default;
+  friend bool operator==(const AnswerMetadata&,
+                         const AnswerMetadata&) = default;
 };
 
 }  // namespace verbenalead::platform
--- a/src/libverbenalead/platform/call_headers.cc
+++ b/src/libverbenalead/platform/call_headers.cc
@@ -88,8 +88,8 @@
   return out;
 }
 
-AnswerFacts DecodeAnswer(const wire::ResponseHead& head) {
-  AnswerFacts facts;
+AnswerMetadata DecodeAnswer(const wire::ResponseHead& head) {
+  AnswerMetadata facts;
   facts.m_request_id = wire::Get(head.m_headers, kRequestId);
   facts.m_not_run =
       head.m_headers.contains(kNotExecuted) || head.m_status == kMisdirected;
--- a/src/libverbenalead/platform/call_headers.h
+++ b/src/libverbenalead/platform/call_headers.h
@@ -19,7 +19,7 @@
 wire::Request EncodeForReplica(const wire::Request& request,
                                const ForwardedCall& call);
 
-AnswerFacts DecodeAnswer(const wire::ResponseHead& head);
+AnswerMetadata DecodeAnswer(const wire::ResponseHead& head);
 
 /// Returns `head` without the header fields of the replica's connection, to be
 /// sent to the caller.
--- a/src/libverbenalead/platform/directory_calls.h
+++ b/src/libverbenalead/platform/directory_calls.h
@@ -14,7 +14,7 @@
 inline constexpr char kReadinessPath[] = "/readyz";
 inline constexpr char kDirectoryPath[] = "/resolve";
 /// Most addresses in one answer.
-inline constexpr size_t kMostAddresses = 64;
+inline constexpr size_t kMaxAddresses = 64;
 
 /// Returns the data centre named in a caller's request for addresses; empty if
 /// it names none.
--- a/src/libverbenalead/target/chunk_cache.cc
+++ b/src/libverbenalead/target/chunk_cache.cc
@@ -26,8 +26,8 @@
   return numbers;
 }
 
-bool IsHere(const Chunk& chunk) {
-  return chunk.IsHere();
+bool IsPresent(const Chunk& chunk) {
+  return chunk.IsPresent();
 }
 
 bool IsStaged(const Chunk& chunk) {
@@ -59,14 +59,14 @@
 }
 
 bool ChunkCache::Complete(uint64_t version) const {
-  return AreAll(Find(version), IsHere);
+  return AreAll(Find(version), IsPresent);
 }
 
 bool ChunkCache::Staged(uint64_t version) const {
   return AreAll(Find(version), IsStaged);
 }
 
-double ChunkCache::ShareHeld(uint64_t version) const {
+double ChunkCache::HeldShare(uint64_t version) const {
   const CachedVersion* cached = Find(version);
   if (!cached || cached->m_chunks.empty())
     return 0;
@@ -75,10 +75,10 @@
 }
 
 std::vector<uint32_t> ChunkCache::Held(uint64_t version) const {
-  return FindChunkNumbers(Find(version), IsHere);
+  return FindChunkNumbers(Find(version), IsPresent);
 }
 
-std::vector<uint32_t> ChunkCache::Unstaged(uint64_t version) const {
+std::vector<uint32_t> ChunkCache::UnstagedChunks(uint64_t version) const {
   return FindChunkNumbers(Find(version), [](const Chunk& chunk) {
     return chunk.m_bytes && !chunk.m_staged;
   });
@@ -88,12 +88,12 @@
   Chunk* found = FindChunk(version, chunk);
   if (!found || Sha256(bytes) != found->m_digest)
     return false;
-  if (!found->IsHere())
+  if (!found->IsPresent())
     found->m_bytes = std::make_shared<const std::string>(std::move(bytes));
   return true;
 }
 
-void ChunkCache::NoteStaged(uint64_t version, uint32_t chunk) {
+void ChunkCache::RecordStaged(uint64_t version, uint32_t chunk) {
   // The staging area holds one chunk per chunk number, so staging a chunk
   // overwrites that of the other version.
   for (auto& [other, cached] : m_versions) {
@@ -107,9 +107,9 @@
   found->m_bytes.reset();
 }
 
-bool ChunkCache::CheckStaged(uint64_t version,
-                             uint32_t chunk,
-                             const std::string& bytes) {
+bool ChunkCache::VerifyStaged(uint64_t version,
+                              uint32_t chunk,
+                              const std::string& bytes) {
   Chunk* found = FindChunk(version, chunk);
   if (!found)
     return false;
@@ -117,16 +117,16 @@
     found->m_staged = false;
     return false;
   }
-  NoteStaged(version, chunk);
+  RecordStaged(version, chunk);
   return true;
 }
 
-void ChunkCache::ForgetStaged(uint64_t version, uint32_t chunk) {
+void ChunkCache::RecordUnstaged(uint64_t version, uint32_t chunk) {
   if (Chunk* found = FindChunk(version, chunk))
     found->m_staged = false;
 }
 
-void ChunkCache::ForgetAllStaged() {
+void ChunkCache::RecordAllUnstaged() {
   for (auto& [version, cached] : m_versions) {
     for (Chunk& chunk : cached.m_chunks)
       chunk.m_staged = false;
--- a/src/libverbenalead/target/chunk_cache.h
+++ b/src/libverbenalead/target/chunk_cache.h
@@ -21,7 +21,7 @@
 
     /// Whether this host holds the chunk, in memory or staged.
 
-    bool IsHere() const { return m_staged || m_bytes; }
+    bool IsPresent() const { return m_staged || m_bytes; }
   };
 
   std::vector<Chunk> m_chunks;
@@ -50,25 +50,25 @@
   /// Whether all chunks are staged.
   bool Staged(uint64_t version) const;
   /// Share of the chunks that are held, 0 to 1.
-  double ShareHeld(uint64_t version) const;
+  double HeldShare(uint64_t version) const;
   /// Numbers of the chunks that are held.
   std::vector<uint32_t> Held(uint64_t version) const;
   /// Numbers of the chunks that are in memory and not staged.
-  std::vector<uint32_t> Unstaged(uint64_t version) const;
+  std::vector<uint32_t> UnstagedChunks(uint64_t version) const;
   /// Stores `bytes` if their digest is that of the chunk; returns false
   /// otherwise.
   bool Put(uint64_t version, uint32_t chunk, std::string bytes);
   /// Records that the chunk has been staged. It overwrites the chunk of the
   /// same number of any other version; the copy in memory is released.
-  void NoteStaged(uint64_t version, uint32_t chunk);
+  void RecordStaged(uint64_t version, uint32_t chunk);
   /// Returns whether `bytes`, read from the staging area, match the digest of
   /// the chunk, and records the chunk as staged or not staged accordingly.
-  bool CheckStaged(uint64_t version, uint32_t chunk, const std::string& bytes);
+  bool VerifyStaged(uint64_t version, uint32_t chunk, const std::string& bytes);
   /// Records that the staging area no longer holds the chunk.
-  void ForgetStaged(uint64_t version, uint32_t chunk);
+  void RecordUnstaged(uint64_t version, uint32_t chunk);
   /// Records that no chunk is known to be staged, as after a restart of the
   /// engine.
-  void ForgetAllStaged();
+  void RecordAllUnstaged();
   /// Removes a version whose digests are found to be wrong.
   void Drop(uint64_t version) { m_versions.erase(version); }
 
--- a/src/libverbenalead/target/chunk_cache_test.cc
+++ b/src/libverbenalead/target/chunk_cache_test.cc
@@ -23,7 +23,7 @@
     CPPUNIT_ASSERT(cache.Put(1, 0, "a"));
     CPPUNIT_ASSERT(cache.Put(1, 0, "a"));
     CPPUNIT_ASSERT(!cache.Complete(1));
-    CPPUNIT_ASSERT_EQUAL(0.5, cache.ShareHeld(1));
+    CPPUNIT_ASSERT_EQUAL(0.5, cache.HeldShare(1));
     CPPUNIT_ASSERT(cache.Put(1, 1, "b"));
     CPPUNIT_ASSERT(cache.Complete(1));
   }
@@ -56,11 +56,11 @@
     cache.Begin(2, {Sha256("new")});
     CPPUNIT_ASSERT(cache.Put(1, 0, "old"));
     CPPUNIT_ASSERT(!cache.Staged(1));
-    cache.NoteStaged(1, 0);
-    CPPUNIT_ASSERT(cache.Staged(1) && cache.Unstaged(1).empty());
+    cache.RecordStaged(1, 0);
+    CPPUNIT_ASSERT(cache.Staged(1) && cache.UnstagedChunks(1).empty());
     CPPUNIT_ASSERT(!cache.Find(1)->m_chunks[0].m_bytes);
     CPPUNIT_ASSERT(cache.Put(2, 0, "new"));
-    cache.NoteStaged(2, 0);
+    cache.RecordStaged(2, 0);
     CPPUNIT_ASSERT(cache.Staged(2) && !cache.Complete(1));
   }
 
@@ -70,12 +70,12 @@
   void CorruptStagedChunkIsMissing() {
     ChunkCache cache;
     cache.Begin(1, {Sha256("right")});
-    CPPUNIT_ASSERT(cache.CheckStaged(1, 0, "right"));
+    CPPUNIT_ASSERT(cache.VerifyStaged(1, 0, "right"));
     CPPUNIT_ASSERT(cache.Complete(1));
-    CPPUNIT_ASSERT(!cache.CheckStaged(1, 0, "wrong"));
+    CPPUNIT_ASSERT(!cache.VerifyStaged(1, 0, "wrong"));
     CPPUNIT_ASSERT(!cache.Complete(1) && cache.Held(1).empty());
-    cache.NoteStaged(1, 0);
-    cache.ForgetAllStaged();
+    cache.RecordStaged(1, 0);
+    cache.RecordAllUnstaged();
     CPPUNIT_ASSERT(!cache.Complete(1));
   }
 };
