--- a/src/libverbenalead/target/chunk_fetcher.cc
+++ b/src/libverbenalead/target/chunk_fetcher.cc
@@ -50,7 +50,7 @@
 /// Most bytes that all hosts together fetch from the origin, in percent of the
 /// size of a version. The origin charges by the byte.
 constexpr uint32_t kOriginBudgetPercent = 103;
-constexpr Duration kAskTimeout = 1s;
+constexpr Duration kPeerRequestTimeout = 1s;
 /// Time to wait for the response header, as requests are queued at the sending
 /// host. The transfer cancels the fetch sooner if other hosts respond faster.
 constexpr Duration kResponseHeaderTimeout = 4s;
@@ -83,12 +83,12 @@
   limits.m_max_fetches = kMaxFetches;
   const double chunk_seconds = static_cast<double>(links.m_chunk_bytes) /
                                static_cast<double>(links.m_host);
-  limits.m_slow_wait =
+  limits.m_slow_fetch_threshold =
       std::chrono::duration_cast<Duration>(std::chrono::duration<double>(
           chunk_seconds * kMaxFetches * kSlowLinkFactor));
   limits.m_patience = kPatience;
-  limits.m_draws_at_once = kMaxOriginFetches;
-  limits.m_max_origin_back_off = kMaxOriginBackoff;
+  limits.m_max_origin_fetches = kMaxOriginFetches;
+  limits.m_max_origin_backoff = kMaxOriginBackoff;
   return limits;
 }
 
@@ -110,7 +110,7 @@
 
   /// Cancels a fetch. Closing the connection makes the sending host stop, so
   /// that its link is free for other hosts.
-  static void Cancel(Arrival& arrival) {
+  static void Cancel(PendingFetch& arrival) {
     arrival.m_cancelled = true;
     if (arrival.m_reader)
       arrival.m_reader->Cancel();
@@ -125,27 +125,27 @@
   asio::steady_timer m_wake;
   TimePoint m_next_members{};
   TimePoint m_next_announcement{};
-  std::map<uint32_t, std::shared_ptr<Arrival>> m_fetches;
-  std::vector<std::string> m_followed;
+  std::map<uint32_t, std::shared_ptr<PendingFetch>> m_fetches;
+  std::vector<std::string> m_followed_hosts;
   uint32_t m_origin_mismatches = 0;
   /// Chunks added to the cache, by source.
   uint64_t m_from_origin = 0;
-  uint64_t m_from_near = 0;
-  uint64_t m_from_far = 0;
+  uint64_t m_from_local = 0;
+  uint64_t m_from_remote = 0;
   bool m_stopped = false;
   TimePoint m_last_chunk_at{};
 };
 
-ChunkFetcher::ChunkFetcher(
-    TargetState& state,
-    wire::Client& peers,
-    platform::OriginClient& origin,
-    std::function<void(const links::DrawNews&)> tell_draws)
+ChunkFetcher::ChunkFetcher(TargetState& state,
+                           wire::Client& peers,
+                           platform::OriginClient& origin,
+                           std::function<void(const links::OriginFetchUpdate&)>
+                               announce_origin_fetches)
     : m_state(state),
       m_peers(peers),
       m_origin(origin),
       m_digests(state, peers, origin),
-      m_tell_draws(std::move(tell_draws)) {}
+      m_announce_origin_fetches(std::move(announce_origin_fetches)) {}
 
 ChunkFetcher::~ChunkFetcher() = default;
 
@@ -153,11 +153,11 @@
   return m_transfer ? m_transfer->m_version : 0;
 }
 
-bool ChunkFetcher::progressing() const {
+bool ChunkFetcher::is_progressing() const {
   return m_transfer && Now() - m_transfer->m_last_chunk_at < kStallTimeout;
 }
 
-bool ChunkFetcher::IsDrawn() const {
+bool ChunkFetcher::OriginNoLongerNeeded() const {
   return m_transfer && m_transfer->m_core.m_draws.empty() &&
          m_transfer->m_core.m_origin_fetching == 0;
 }
@@ -170,30 +170,32 @@
   transfer.reset();
 }
 
-std::vector<std::string> ChunkFetcher::Followed() const {
+std::vector<std::string> ChunkFetcher::FollowedHosts() const {
   std::set<std::string> hosts;
   for (const auto& transfer : {m_transfer, m_ahead}) {
     if (transfer)
-      hosts.insert(transfer->m_followed.begin(), transfer->m_followed.end());
+      hosts.insert(transfer->m_followed_hosts.begin(),
+                   transfer->m_followed_hosts.end());
   }
   return {hosts.begin(), hosts.end()};
 }
 
-void ChunkFetcher::TakeNews(const links::ChunkNews& news) {
+void ChunkFetcher::TakeNews(const links::ChunkUpdate& news) {
   if (!m_state.m_engine || news.m_model != m_state.m_engine->m_model)
     return;
   for (const auto& transfer : {m_transfer, m_ahead}) {
     if (!transfer || transfer->m_version != news.m_version)
       continue;
-    decide::NeighbourHas(transfer->m_core, news.m_host, news.m_chunks, Now());
+    decide::RecordNeighbourChunks(transfer->m_core, news.m_host, news.m_chunks,
+                                  Now());
     transfer->m_wake.cancel();
   }
 }
 
-void ChunkFetcher::TakeDraws(const links::DrawNews& news) {
+void ChunkFetcher::HandleOriginFetches(const links::OriginFetchUpdate& news) {
   if (!m_state.m_engine || news.m_model != m_state.m_engine->m_model)
     return;
-  if (!decide::IsWithin(news.m_report, m_state.m_engine->m_chunks)) {
+  if (!decide::HasOnlyKnownChunks(news.m_report, m_state.m_engine->m_chunks)) {
     LogLine("bad_draw_news")
         .With("peer", news.m_report.m_host)
         .With("version", news.m_version)
@@ -204,26 +206,26 @@
   for (const auto& transfer : {m_transfer, m_ahead}) {
     if (!transfer || transfer->m_version != news.m_version)
       continue;
-    decide::HostDraws(transfer->m_core, news.m_report, Now());
+    decide::RecordOriginFetches(transfer->m_core, news.m_report, Now());
     // A fetch has ended, so the next one may start on the origin's link.
-    if (!news.m_report.m_drawn.empty())
+    if (!news.m_report.m_origin_fetched.empty())
       transfer->m_wake.cancel();
   }
 }
 
-void ChunkFetcher::NoteSpoilt(uint64_t version, uint32_t chunk) {
+void ChunkFetcher::RecordCorruptChunk(uint64_t version, uint32_t chunk) {
   for (const auto& transfer : {m_transfer, m_ahead}) {
     if (!transfer || transfer->m_version != version)
       continue;
-    decide::ChunkLost(transfer->m_core, chunk, Now());
+    decide::RecordChunkLoss(transfer->m_core, chunk, Now());
     transfer->m_wake.cancel();
   }
 }
 
-void ChunkFetcher::NoteOrigin(bool answers, const std::string& reason) {
-  if (m_origin_answers == answers)
+void ChunkFetcher::RecordOriginState(bool answers, const std::string& reason) {
+  if (m_origin_reachable == answers)
     return;
-  m_origin_answers = answers;
+  m_origin_reachable = answers;
   LogLine line(answers ? "origin_regained" : "origin_lost");
   line.With("origin", ToString(m_state.m_origin));
   if (!answers)
@@ -231,8 +233,9 @@
   line.Info();
 }
 
-void ChunkFetcher::TellDraws(Transfer& transfer, std::vector<uint32_t> drawn) {
-  links::DrawNews news;
+void ChunkFetcher::AnnounceOriginFetches(Transfer& transfer,
+                                         std::vector<uint32_t> drawn) {
+  links::OriginFetchUpdate news;
   news.m_model = m_state.m_engine->m_model;
   news.m_version = transfer.m_version;
   news.m_report.m_host = m_state.m_options.m_peers.address();
@@ -242,8 +245,8 @@
   }
   if (news.m_report.m_under_way.empty() && drawn.empty())
     return;
-  news.m_report.m_drawn = std::move(drawn);
-  m_tell_draws(news);
+  news.m_report.m_origin_fetched = std::move(drawn);
+  m_announce_origin_fetches(news);
   transfer.m_next_announcement = Now() + kAnnouncementInterval;
 }
 
@@ -259,7 +262,7 @@
       m_state.m_engine->m_chunks, limits, Now(),
       FirstOriginFetchTime(m_state, version, Now()));
   for (uint32_t chunk : m_state.m_cache.Held(version))
-    decide::ChunkArrived(transfer->m_core, chunk, Now());
+    decide::RecordChunkArrival(transfer->m_core, chunk, Now());
   LogLine("transfer_begun")
       .With("version", version)
       .With("ahead", limits.m_max_fetches == kMaxFetchesAhead)
@@ -288,8 +291,8 @@
       .With("version", transfer->m_version)
       .With("whole", m_state.m_cache.Complete(transfer->m_version))
       .With("from_origin", transfer->m_from_origin)
-      .With("from_near", transfer->m_from_near)
-      .With("from_far", transfer->m_from_far)
+      .With("from_near", transfer->m_from_local)
+      .With("from_far", transfer->m_from_remote)
       .With("ms", ToMilliseconds(Now() - begun))
       .Info();
 }
@@ -320,17 +323,17 @@
     m_transfer.reset();
 }
 
-Awaitable<void> ChunkFetcher::FetchAhead(uint64_t version) {
-  if (m_ahead_version == version)
+Awaitable<void> ChunkFetcher::Prefetch(uint64_t version) {
+  if (m_prefetch_version == version)
     co_return;
-  m_ahead_version = version;
+  m_prefetch_version = version;
   const auto executor = co_await asio::this_coro::executor;
   const uint64_t previous = this->version();
   const bool has_digests = co_await m_digests.Learn(version);
   const auto is_current = [&] {
-    return m_ahead_version == version && this->version() == previous;
+    return m_prefetch_version == version && this->version() == previous;
   };
-  while (has_digests && is_current() && !IsDrawn())
+  while (has_digests && is_current() && !OriginNoLongerNeeded())
     co_await Sleep(decide::kTransferTick);
   if (has_digests && is_current() && !m_ahead) {
     decide::TransferLimits limits = LimitsOf(m_state);
@@ -340,8 +343,8 @@
     co_await Run(transfer, executor);
     End(transfer);
   }
-  if (m_ahead_version == version)
-    m_ahead_version = 0;
+  if (m_prefetch_version == version)
+    m_prefetch_version = 0;
 }
 
 bool ChunkFetcher::IsNear(const std::string& host) const {
@@ -378,36 +381,36 @@
     Transfer::Cancel(*transfer->m_fetches[cancel.m_chunk]);
   }
   for (const std::string& name : actions.m_unfollows)
-    std::erase(transfer->m_followed, name);
+    std::erase(transfer->m_followed_hosts, name);
   for (const std::string& name : actions.m_follows)
-    transfer->m_followed.push_back(name);
+    transfer->m_followed_hosts.push_back(name);
   bool starts_origin_fetch = false;
   for (const decide::FetchChunk& fetch : actions.m_fetches) {
     starts_origin_fetch |= fetch.m_source.IsOrigin();
-    auto arrival = std::make_shared<Arrival>();
+    auto arrival = std::make_shared<PendingFetch>();
     transfer->m_fetches[fetch.m_chunk] = arrival;
     Spawn(executor,
           FetchChunk(transfer, fetch.m_chunk, fetch.m_source.m_host, arrival),
           "fetch_chunk");
   }
   if (starts_origin_fetch || Now() >= transfer->m_next_announcement)
-    TellDraws(*transfer, {});
+    AnnounceOriginFetches(*transfer, {});
 }
 
 Awaitable<AsyncResult<std::string>> ChunkFetcher::ReadFromHost(
     std::shared_ptr<Transfer> transfer,
     uint32_t chunk,
     std::string host,
-    std::shared_ptr<Arrival> arrival) {
+    std::shared_ptr<PendingFetch> arrival) {
   wire::Request request;
   request.m_path =
       ChunkPath(m_state.m_engine->m_model, transfer->m_version, chunk) + "?" +
       kHeldField + "=" + std::to_string(transfer->m_core.m_have_count);
   if (!IsNear(host))
-    request.m_path += std::string("&") + kFarField + "=1";
+    request.m_path += std::string("&") + kRemoteField + "=1";
   const Endpoint endpoint(host, m_state.m_options.m_peers.port());
-  auto opened =
-      co_await m_peers.Open(endpoint, std::move(request), Now() + kAskTimeout);
+  auto opened = co_await m_peers.Open(endpoint, std::move(request),
+                                      Now() + kPeerRequestTimeout);
   if (!opened)
     co_return opened.error();
   wire::ResponseReader& reader = **opened;
@@ -433,7 +436,7 @@
   }
   std::string bytes;
   while (true) {
-    auto piece = co_await reader.ReadBody(Now() + kAskTimeout);
+    auto piece = co_await reader.ReadBody(Now() + kPeerRequestTimeout);
     if (!piece)
       co_return piece.error();
     if (!piece->has_value())
@@ -443,14 +446,15 @@
       co_return Failure{FailureCode::kCorrupt, "fetch chunk", host,
                         "longer than declared"};
     }
-    decide::ChunkProgress(transfer->m_core, chunk, Now());
+    decide::RecordChunkProgress(transfer->m_core, chunk, Now());
   }
 }
 
-Awaitable<void> ChunkFetcher::FetchChunk(std::shared_ptr<Transfer> transfer,
-                                         uint32_t chunk,
-                                         std::string host,
-                                         std::shared_ptr<Arrival> arrival) {
+Awaitable<void> ChunkFetcher::FetchChunk(
+    std::shared_ptr<Transfer> transfer,
+    uint32_t chunk,
+    std::string host,
+    std::shared_ptr<PendingFetch> arrival) {
   const bool from_origin = host.empty();
   AsyncResult<std::string> bytes = std::string();
   if (from_origin) {
@@ -473,26 +477,26 @@
   if (arrival->m_cancelled) {
     // Another transfer of this version may have started since.
     if (kept && m_transfer && m_transfer->m_version == transfer->m_version)
-      decide::ChunkArrived(m_transfer->m_core, chunk, Now());
+      decide::RecordChunkArrival(m_transfer->m_core, chunk, Now());
     co_return;
   }
   if (kept) {
     if (from_origin) {
-      NoteOrigin(true, "");
+      RecordOriginState(true, "");
       ++transfer->m_from_origin;
       LogLine("chunk_drawn")
           .With("chunk", uint64_t{chunk})
           .With("version", transfer->m_version)
           .Info();
     } else if (IsNear(host)) {
-      ++transfer->m_from_near;
+      ++transfer->m_from_local;
     } else {
-      ++transfer->m_from_far;
+      ++transfer->m_from_remote;
     }
     transfer->m_last_chunk_at = Now();
-    decide::ChunkArrived(transfer->m_core, chunk, Now());
+    decide::RecordChunkArrival(transfer->m_core, chunk, Now());
     if (from_origin)
-      TellDraws(*transfer, std::vector<uint32_t>(1, chunk));
+      AnnounceOriginFetches(*transfer, std::vector<uint32_t>(1, chunk));
     co_return;
   }
   const bool corrupt =
@@ -500,7 +504,7 @@
   if (corrupt && from_origin)
     ++transfer->m_origin_mismatches;
   if (from_origin && !corrupt)
-    NoteOrigin(false, ToString(bytes.error()));
+    RecordOriginState(false, ToString(bytes.error()));
   LogLine("chunk_failed")
       .With("chunk", uint64_t{chunk})
       .With("version", transfer->m_version)
@@ -509,8 +513,8 @@
             corrupt ? "the bytes do not have the declared digest or length"
                     : ToString(bytes.error()))
       .Info();
-  decide::ChunkFailed(transfer->m_core, chunk, corrupt, Now(),
-                      m_state.m_random);
+  decide::RecordChunkFailure(transfer->m_core, chunk, corrupt, Now(),
+                             m_state.m_random);
 }
 
 }  // namespace verbenalead::target
--- a/src/libverbenalead/target/chunk_fetcher.h
+++ b/src/libverbenalead/target/chunk_fetcher.h
@@ -21,15 +21,17 @@
 /// does the input and output.
 class ChunkFetcher {
  public:
-  /// `tell_draws` sends the announcement to all other hosts of the service.
+  /// `announce_origin_fetches` sends the announcement to all other hosts of the
+  /// service.
   ChunkFetcher(TargetState& state,
                wire::Client& peers,
                platform::OriginClient& origin,
-               std::function<void(const links::DrawNews&)> tell_draws);
+               std::function<void(const links::OriginFetchUpdate&)>
+                   announce_origin_fetches);
   ~ChunkFetcher();
 
   /// Fetches `version` until it is complete, and stops the transfer of any
-  /// other version. If `FetchAhead` is fetching `version`, that transfer is
+  /// other version. If `Prefetch` is fetching `version`, that transfer is
   /// continued.
   Awaitable<void> Fetch(uint64_t version);
   /// Obtains the digests of `version` while another version is fetched, and
@@ -37,33 +39,33 @@
   /// origin. Otherwise the links of the origin and of this host would be idle
   /// in the meantime, and the origin may be unreachable later. Does nothing if
   /// `version` is already fetched ahead.
-  Awaitable<void> FetchAhead(uint64_t version);
+  Awaitable<void> Prefetch(uint64_t version);
   /// Whether each chunk of the version that is fetched is held by some host, so
   /// that the origin is no longer needed for it.
-  bool IsDrawn() const;
+  bool OriginNoLongerNeeded() const;
   /// The version that is fetched now; 0: none.
   uint64_t version() const;
   /// Whether the last chunk arrived recently, so that the transfer has not
   /// stalled.
-  bool progressing() const;
+  bool is_progressing() const;
   /// Handles an update from another host about the chunks that it holds.
-  void TakeNews(const links::ChunkNews& news);
+  void TakeNews(const links::ChunkUpdate& news);
   /// Handles an announcement of another host's origin fetches.
-  void TakeDraws(const links::DrawNews& news);
+  void HandleOriginFetches(const links::OriginFetchUpdate& news);
   /// A staged chunk of `version` was found to be corrupt and has to be fetched
   /// again.
-  void NoteSpoilt(uint64_t version, uint32_t chunk);
+  void RecordCorruptChunk(uint64_t version, uint32_t chunk);
   /// Hosts whose chunk updates the transfers need.
-  std::vector<std::string> Followed() const;
-  /// See `DigestLearner::Learn`.
-  Awaitable<bool> LearnDigests(uint64_t version) {
+  std::vector<std::string> FollowedHosts() const;
+  /// See `DigestReader::Learn`.
+  Awaitable<bool> ObtainDigests(uint64_t version) {
     return m_digests.Learn(version);
   }
 
  private:
   struct Transfer;
   /// A chunk that is being fetched.
-  struct Arrival {
+  struct PendingFetch {
     bool m_cancelled = false;
     /// Null until the connection is open, and after the response ended.
     wire::ResponseReader* m_reader = nullptr;
@@ -82,9 +84,9 @@
   static void StopTransfer(std::shared_ptr<Transfer>& transfer);
   /// Announces to the other hosts which chunks this host is fetching from the
   /// origin, and that `drawn` have been fetched.
-  void TellDraws(Transfer& transfer, std::vector<uint32_t> drawn);
+  void AnnounceOriginFetches(Transfer& transfer, std::vector<uint32_t> drawn);
   /// Records and logs whether the origin answers. `reason`: the failure if not.
-  void NoteOrigin(bool answers, const std::string& reason);
+  void RecordOriginState(bool answers, const std::string& reason);
   bool IsNear(const std::string& host) const;
   void UpdateMembers(Transfer& transfer);
   void DoStep(const std::shared_ptr<Transfer>& transfer,
@@ -92,12 +94,12 @@
   Awaitable<void> FetchChunk(std::shared_ptr<Transfer> transfer,
                              uint32_t chunk,
                              std::string host,
-                             std::shared_ptr<Arrival> arrival);
+                             std::shared_ptr<PendingFetch> arrival);
   Awaitable<AsyncResult<std::string>> ReadFromHost(
       std::shared_ptr<Transfer> transfer,
       uint32_t chunk,
       std::string host,
-      std::shared_ptr<Arrival> arrival);
+      std::shared_ptr<PendingFetch> arrival);
   Awaitable<AsyncResult<std::string>> ReadChunkFrom(
       std::shared_ptr<Transfer> transfer,
       uint32_t chunk,
@@ -107,14 +109,15 @@
   TargetState& m_state;
   wire::Client& m_peers;
   platform::OriginClient& m_origin;
-  DigestLearner m_digests;
-  const std::function<void(const links::DrawNews&)> m_tell_draws;
+  DigestReader m_digests;
+  const std::function<void(const links::OriginFetchUpdate&)>
+      m_announce_origin_fetches;
   std::shared_ptr<Transfer> m_transfer;
   /// The transfer of a newer version, fetched ahead.
   std::shared_ptr<Transfer> m_ahead;
-  bool m_origin_answers = true;
-  /// The version that `FetchAhead` prepares or fetches; 0: none.
-  uint64_t m_ahead_version = 0;
+  bool m_origin_reachable = true;
+  /// The version that `Prefetch` prepares or fetches; 0: none.
+  uint64_t m_prefetch_version = 0;
 };
 
 }  // namespace verbenalead::target
--- a/src/libverbenalead/target/chunk_paths.h
+++ b/src/libverbenalead/target/chunk_paths.h
@@ -17,7 +17,7 @@
 /// Query fields of a request for a chunk: `far` is 1 if the requesting host is
 /// in another data centre, `held` is the number of chunks of the version that
 /// the requesting host has.
-inline constexpr char kFarField[] = "far";
+inline constexpr char kRemoteField[] = "far";
 inline constexpr char kHeldField[] = "held";
 
 /// Path at which a target serves a chunk.
--- a/src/libverbenalead/target/chunk_server.cc
+++ b/src/libverbenalead/target/chunk_server.cc
@@ -21,7 +21,7 @@
                                          uint32_t chunk) {
   decide::UploadRequest upload;
   upload.m_chunk = chunk;
-  upload.m_far = wire::QueryValue(request, kFarField) == "1";
+  upload.m_far = wire::QueryValue(request, kRemoteField) == "1";
   upload.m_held = static_cast<uint32_t>(
       std::strtoul(wire::QueryValue(request, kHeldField).c_str(), nullptr, 10));
   return upload;
@@ -37,11 +37,11 @@
 ChunkServer::ChunkServer(TargetState& state,
                          platform::EngineClient& engine,
                          std::function<bool()> has_calls,
-                         OnSpoilt on_spoilt)
+                         OnCorruptChunk on_corrupt_chunk)
     : m_state(state),
       m_engine(engine),
       m_has_calls(std::move(has_calls)),
-      m_on_spoilt(std::move(on_spoilt)),
+      m_on_corrupt_chunk(std::move(on_corrupt_chunk)),
       m_upload(UploadRate(state.m_options), kUploadCredit) {}
 
 Awaitable<void> ChunkServer::Tell(const wire::Request& request,
@@ -63,7 +63,7 @@
   m_gate.End(id);
 }
 
-Awaitable<void> ChunkServer::Upload(ChunkName name,
+Awaitable<void> ChunkServer::Upload(ChunkId name,
                                     wire::ResponseWriter& caller) {
   const std::shared_ptr<const std::string> bytes = co_await ReadChunk(name);
   if (!bytes) {
@@ -93,7 +93,7 @@
   return nullptr;
 }
 
-std::optional<ChunkServer::ChunkName> ChunkServer::FindChunk(
+std::optional<ChunkServer::ChunkId> ChunkServer::FindChunk(
     const std::string& path) const {
   for (const auto& [version, cached] : m_state.m_cache.versions()) {
     const std::string prefix = ChunkPrefix(version);
@@ -101,14 +101,14 @@
       continue;
     const uint64_t number =
         std::strtoull(path.c_str() + prefix.size(), nullptr, 10);
-    if (number < cached.m_chunks.size() && cached.m_chunks[number].IsHere())
-      return ChunkName{version, static_cast<uint32_t>(number)};
+    if (number < cached.m_chunks.size() && cached.m_chunks[number].IsPresent())
+      return ChunkId{version, static_cast<uint32_t>(number)};
   }
   return std::nullopt;
 }
 
 Awaitable<std::shared_ptr<const std::string>> ChunkServer::ReadChunk(
-    ChunkName name) {
+    ChunkId name) {
   // The version may have been removed while the upload waited.
   const CachedVersion* cached = m_state.m_cache.Find(name.m_version);
   if (!cached)
@@ -125,12 +125,12 @@
   auto bytes = co_await m_engine.ReadStaged(m_state.m_engine->m_model, chunk);
   if (!bytes)
     co_return nullptr;
-  if (!m_state.m_cache.CheckStaged(version, chunk, *bytes)) {
+  if (!m_state.m_cache.VerifyStaged(version, chunk, *bytes)) {
     LogLine("staged_chunk_spoilt")
         .With("version", version)
         .With("chunk", uint64_t{chunk})
         .Info();
-    m_on_spoilt(version, chunk);
+    m_on_corrupt_chunk(version, chunk);
     co_return nullptr;
   }
   co_return std::make_shared<const std::string>(std::move(*bytes));
--- a/src/libverbenalead/target/chunk_server.h
+++ b/src/libverbenalead/target/chunk_server.h
@@ -19,14 +19,14 @@
  public:
   /// Called with the version and the number of a staged chunk that was found to
   /// be corrupt.
-  using OnSpoilt = std::function<void(uint64_t, uint32_t)>;
+  using OnCorruptChunk = std::function<void(uint64_t, uint32_t)>;
 
   /// Staged chunks are read back from `engine`. `has_calls` returns whether
   /// live calls use the link now; uploads are paced only then.
   ChunkServer(TargetState& state,
               platform::EngineClient& engine,
               std::function<bool()> has_calls,
-              OnSpoilt on_spoilt);
+              OnCorruptChunk on_corrupt_chunk);
 
   /// Answers one request for digests or a chunk; status 404 if this host does
   /// not have them.
@@ -35,19 +35,19 @@
 
  private:
   /// Identifies a chunk.
-  struct ChunkName {
+  struct ChunkId {
     uint64_t m_version = 0;
     uint32_t m_chunk = 0;
   };
 
   const CachedVersion* FindDigests(const std::string& path) const;
   /// The chunk that `path` names; nothing if this host does not hold it.
-  std::optional<ChunkName> FindChunk(const std::string& path) const;
+  std::optional<ChunkId> FindChunk(const std::string& path) const;
   /// Returns the bytes of the chunk; null if the version was removed or the
   /// bytes could not be read or are corrupt.
-  Awaitable<std::shared_ptr<const std::string>> ReadChunk(ChunkName name);
+  Awaitable<std::shared_ptr<const std::string>> ReadChunk(ChunkId name);
   /// Sends a chunk; called once `m_gate` has admitted the upload.
-  Awaitable<void> Upload(ChunkName name, wire::ResponseWriter& caller);
+  Awaitable<void> Upload(ChunkId name, wire::ResponseWriter& caller);
   /// Reads a staged chunk from the engine. If it is corrupt, records it as not
   /// staged and returns null.
   Awaitable<std::shared_ptr<const std::string>> ReadStaged(uint64_t version,
@@ -58,9 +58,9 @@
   TargetState& m_state;
   platform::EngineClient& m_engine;
   const std::function<bool()> m_has_calls;
-  const OnSpoilt m_on_spoilt;
+  const OnCorruptChunk m_on_corrupt_chunk;
   Pacer m_upload;
-  UploadGate m_gate;
+  UploadAdmission m_gate;
 };
 
 }  // namespace verbenalead::target
--- a/src/libverbenalead/target/chunk_stager.cc
+++ b/src/libverbenalead/target/chunk_stager.cc
@@ -12,19 +12,19 @@
 
 }  // namespace
 
-Awaitable<void> ChunkStager::Adopt(uint64_t version) {
+Awaitable<void> ChunkStager::FindStaged(uint64_t version) {
   const TimePoint begun = Now();
   const std::string model = m_state.m_engine->m_model;
   for (uint32_t chunk = 0; chunk < m_state.m_engine->m_chunks; ++chunk) {
     auto bytes = co_await m_engine.ReadStaged(model, chunk);
     if (!bytes && bytes.error().m_code != FailureCode::kNotFound)
       break;
-    if (bytes && m_state.m_cache.CheckStaged(version, chunk, *bytes))
+    if (bytes && m_state.m_cache.VerifyStaged(version, chunk, *bytes))
       m_version = version;
   }
   if (m_state.m_cache.Staged(version)) {
-    m_found_version = version;
-    m_found_at = begun;
+    m_verified_version = version;
+    m_verified_at = begun;
   }
   LogLine("staged_adopted")
       .With("version", version)
@@ -34,9 +34,9 @@
 }
 
 Awaitable<void> ChunkStager::Stage(uint64_t version, uint64_t loaded) {
-  const std::vector<uint32_t> chunks = m_state.m_cache.Unstaged(version);
+  const std::vector<uint32_t> chunks = m_state.m_cache.UnstagedChunks(version);
   if (chunks.empty() ||
-      !decide::MayStage(Held(m_version), Held(version), loaded))
+      !decide::MayOverwriteStaged(Held(m_version), Held(version), loaded))
     co_return;
   if (m_version != version) {
     LogLine("staging")
@@ -67,19 +67,20 @@
         .Warn();
     co_return false;
   }
-  m_state.m_cache.NoteStaged(version, chunk);
+  m_state.m_cache.RecordStaged(version, chunk);
   co_return true;
 }
 
 Awaitable<bool> ChunkStager::Verify(uint64_t version) {
-  if (m_found_version == version && Now() - m_found_at < kMaxVerificationAge &&
+  if (m_verified_version == version &&
+      Now() - m_verified_at < kMaxVerificationAge &&
       m_state.m_cache.Staged(version))
     co_return true;
   const std::string model = m_state.m_engine->m_model;
   uint64_t spoilt = 0;
   for (uint32_t chunk = 0; chunk < m_state.m_engine->m_chunks; ++chunk) {
     auto bytes = co_await m_engine.ReadStaged(model, chunk);
-    if (bytes && m_state.m_cache.CheckStaged(version, chunk, *bytes))
+    if (bytes && m_state.m_cache.VerifyStaged(version, chunk, *bytes))
       continue;
     if (!bytes && bytes.error().m_code != FailureCode::kNotFound) {
       LogLine("not_verified")
@@ -88,7 +89,7 @@
           .Warn();
       co_return false;
     }
-    m_state.m_cache.ForgetStaged(version, chunk);
+    m_state.m_cache.RecordUnstaged(version, chunk);
     ++spoilt;
   }
   LogLine("staged").With("version", version).With("spoilt", spoilt).Info();
@@ -96,13 +97,13 @@
 }
 
 void ChunkStager::ForgetAll() {
-  m_state.m_cache.ForgetAllStaged();
+  m_state.m_cache.RecordAllUnstaged();
   m_version = 0;
-  m_found_version = 0;
+  m_verified_version = 0;
 }
 
 decide::StagedVersion ChunkStager::Held(uint64_t version) const {
-  return {version, m_state.m_cache.ShareHeld(version)};
+  return {version, m_state.m_cache.HeldShare(version)};
 }
 
 }  // namespace verbenalead::target
--- a/src/libverbenalead/target/chunk_stager.h
+++ b/src/libverbenalead/target/chunk_stager.h
@@ -20,10 +20,10 @@
 
   /// Records which chunks of `version` an earlier process on this host has
   /// already staged, so that they need not be fetched again.
-  Awaitable<void> Adopt(uint64_t version);
+  Awaitable<void> FindStaged(uint64_t version);
   /// Stages the chunks of `version` that are in memory, unless the staging area
-  /// is needed for another version (`decide::MayStage`). `loaded`: the version
-  /// that the engine runs.
+  /// is needed for another version (`decide::MayOverwriteStaged`). `loaded`:
+  /// the version that the engine runs.
   Awaitable<void> Stage(uint64_t version, uint64_t loaded);
   /// Reads all staged chunks of `version` back and returns whether each of them
   /// matches its digest. Staged chunks can become corrupt without any write;
@@ -44,8 +44,8 @@
   uint64_t m_version = 0;
   /// The version that `Adopt` found completely staged, and when that check
   /// began; 0: none.
-  uint64_t m_found_version = 0;
-  TimePoint m_found_at{};
+  uint64_t m_verified_version = 0;
+  TimePoint m_verified_at{};
 };
 
 }  // namespace verbenalead::target
--- a/src/libverbenalead/target/chunk_stager_test.cc
+++ b/src/libverbenalead/target/chunk_stager_test.cc
@@ -46,9 +46,9 @@
     Run(m_stager->Stage(2, 1));
     CPPUNIT_ASSERT_EQUAL(3, m_http->m_puts);
     Restart();
-    Run(m_stager->Adopt(2));
+    Run(m_stager->FindStaged(2));
     CPPUNIT_ASSERT_EQUAL(size_t{3}, m_state->m_cache.Held(2).size());
-    CPPUNIT_ASSERT(m_state->m_cache.Unstaged(2).empty());
+    CPPUNIT_ASSERT(m_state->m_cache.UnstagedChunks(2).empty());
   }
 
   // Guards against tokens generated from corrupt weights: a chunk becomes
@@ -75,15 +75,15 @@
     Take(3, kNew, 3);
     Run(m_stager->Stage(3, 1));
     CPPUNIT_ASSERT(m_state->m_cache.Staged(2));
-    CPPUNIT_ASSERT_EQUAL(size_t{3}, m_state->m_cache.Unstaged(3).size());
+    CPPUNIT_ASSERT_EQUAL(size_t{3}, m_state->m_cache.UnstagedChunks(3).size());
     Run(m_stager->Stage(3, 2));
-    CPPUNIT_ASSERT(m_state->m_cache.Unstaged(3).empty());
+    CPPUNIT_ASSERT(m_state->m_cache.UnstagedChunks(3).empty());
     CPPUNIT_ASSERT(!m_state->m_cache.Complete(2));
   }
 
   void KeepsChunksWhileEngineIsDown() {
     Take(2, kNew, 4);
-    m_http->m_down = true;
+    m_http->m_unreachable = true;
     Run(m_stager->Stage(2, 1));
     CPPUNIT_ASSERT(!Verify(2));
     CPPUNIT_ASSERT(m_state->m_cache.Complete(2));
@@ -97,7 +97,7 @@
     Take(2, kNew, 4);
     Run(m_stager->Stage(2, 1));
     Restart();
-    Run(m_stager->Adopt(2));
+    Run(m_stager->FindStaged(2));
     m_http->m_reads = 0;
     CPPUNIT_ASSERT(Verify(2));
     CPPUNIT_ASSERT_EQUAL(0, m_http->m_reads);
@@ -105,7 +105,7 @@
     CPPUNIT_ASSERT(!Verify(2) || m_http->m_reads > 0);
     Restart();
     m_http->m_chunks.erase("3");
-    Run(m_stager->Adopt(2));
+    Run(m_stager->FindStaged(2));
     m_http->m_reads = 0;
     CPPUNIT_ASSERT(!Verify(2));
     CPPUNIT_ASSERT_EQUAL(3, m_http->m_reads);
--- a/src/libverbenalead/target/digest_reader.cc
+++ b/src/libverbenalead/target/digest_reader.cc
@@ -34,7 +34,7 @@
 
 }  // namespace
 
-Awaitable<bool> DigestLearner::Learn(uint64_t version) {
+Awaitable<bool> DigestReader::Learn(uint64_t version) {
   if (m_state.m_cache.Find(version))
     co_return true;
   const TimePoint since = m_wanted.try_emplace(version, Now()).first->second;
@@ -46,7 +46,7 @@
   std::vector<std::vector<Digest>> answers =
       co_await ReadFromHosts(version, order);
   auto agreed = FindAgreed(answers);
-  if (!agreed && Now() - since >= decide::DigestPatience(rank))
+  if (!agreed && Now() - since >= decide::DigestReadDelay(rank))
     agreed = co_await ReadFromOrigin(version, std::move(answers));
   if (agreed) {
     m_state.m_cache.Begin(version, *agreed);
@@ -59,18 +59,18 @@
   co_return false;
 }
 
-std::string DigestLearner::Self() const {
+std::string DigestReader::Self() const {
   return m_state.m_options.m_peers.address();
 }
 
-std::vector<std::string> DigestLearner::Order(uint64_t version) const {
+std::vector<std::string> DigestReader::Order(uint64_t version) const {
   std::vector<std::string> hosts = {Self()};
   for (const decide::TransferMember& member : OtherMembers(m_state))
     hosts.push_back(member.m_name);
-  return decide::DigestOrder(std::move(hosts), version);
+  return decide::DigestReadOrder(std::move(hosts), version);
 }
 
-Awaitable<std::optional<std::vector<Digest>>> DigestLearner::ReadFromOrigin(
+Awaitable<std::optional<std::vector<Digest>>> DigestReader::ReadFromOrigin(
     uint64_t version,
     std::vector<std::vector<Digest>> answers) {
   for (int attempts = 0; attempts < kMaxOriginAttempts; ++attempts) {
@@ -92,7 +92,7 @@
   co_return std::nullopt;
 }
 
-Awaitable<std::vector<std::vector<Digest>>> DigestLearner::ReadFromHosts(
+Awaitable<std::vector<std::vector<Digest>>> DigestReader::ReadFromHosts(
     uint64_t version,
     std::vector<std::string> order) {
   std::vector<std::vector<Digest>> answers;
--- a/src/libverbenalead/target/digest_reader.h
+++ b/src/libverbenalead/target/digest_reader.h
@@ -14,11 +14,11 @@
 
 /// Obtains the digests of versions from other hosts and from the origin. Not
 /// safe for concurrent use.
-class DigestLearner {
+class DigestReader {
  public:
-  DigestLearner(TargetState& state,
-                wire::Client& peers,
-                platform::OriginClient& origin)
+  DigestReader(TargetState& state,
+               wire::Client& peers,
+               platform::OriginClient& origin)
       : m_state(state), m_peers(peers), m_origin(origin) {}
 
   /// Adds `version` with its digests to the cache; returns false if they can't
--- a/src/libverbenalead/target/engine_controller.cc
+++ b/src/libverbenalead/target/engine_controller.cc
@@ -69,23 +69,23 @@
 
 }  // namespace
 
-EngineKeeper::EngineKeeper(TargetState& state,
-                           platform::EngineClient& engine,
-                           ChunkFetcher& fetcher,
-                           std::function<void()> tell,
-                           std::function<double()> fullness)
+EngineController::EngineController(TargetState& state,
+                                   platform::EngineClient& engine,
+                                   ChunkFetcher& fetcher,
+                                   std::function<void()> tell,
+                                   std::function<double()> fullness)
     : m_state(state),
       m_engine(engine),
       m_fetcher(fetcher),
       m_tell(std::move(tell)),
-      m_fullness(std::move(fullness)),
+      m_get_utilisation(std::move(fullness)),
       m_stager(state, engine) {}
 
-Awaitable<void> EngineKeeper::Run() {
+Awaitable<void> EngineController::Run() {
   while (true) {
     if (m_state.m_engine && !m_state.m_engine->m_model.empty())
       co_await Look();
-    const links::ReplicaNews news = News();
+    const links::ReplicaUpdate news = News();
     if (news != m_told || news.m_loading) {
       m_told = news;
       m_tell();
@@ -94,25 +94,26 @@
   }
 }
 
-uint64_t EngineKeeper::Loaded() const {
+uint64_t EngineController::Loaded() const {
   if (!m_report)
     return 0;
   const auto found = m_report->m_weights.find(m_state.m_engine->m_model);
   return found == m_report->m_weights.end() ? 0 : found->second;
 }
 
-links::ReplicaNews EngineKeeper::News() const {
-  links::ReplicaNews news;
+links::ReplicaUpdate EngineController::News() const {
+  links::ReplicaUpdate news;
   const model::Replica* replica = OwnReplica(m_state);
   news.m_replica = replica ? replica->m_id : "";
   news.m_service = m_state.m_options.m_service;
   news.m_version = m_state.m_engine ? Loaded() : 0;
   news.m_closing = m_closing;
-  news.m_loading = m_stopped_calls || (m_report && m_report->m_loading);
+  news.m_loading = m_calls_stopped || (m_report && m_report->m_loading);
   return news;
 }
 
-void EngineKeeper::NoteReport(AsyncResult<model::EngineReport> report) {
+void EngineController::RecordEngineReport(
+    AsyncResult<model::EngineReport> report) {
   if (!report) {
     if (m_report)
       LogLine("engine_lost").With(report.error()).Warn();
@@ -131,33 +132,34 @@
   }
   if (restarted) {
     m_stager.ForgetAll();
-    m_adopted = 0;
+    m_staging_searched_for = 0;
   }
   m_report = *report;
 }
 
-void EngineKeeper::NoteWhole() {
+void EngineController::RecordCompleteVersions() {
   for (const auto& [version, cached] : m_state.m_cache.versions()) {
     if (m_state.m_cache.Complete(version))
-      m_whole_at.emplace(version, Now());
+      m_version_complete_at.emplace(version, Now());
     else
-      m_whole_at.erase(version);
+      m_version_complete_at.erase(version);
   }
 }
 
-std::optional<decide::LoadPlan> EngineKeeper::Plan() const {
+std::optional<decide::LoadPlan> EngineController::Plan() const {
   const decide::LoadTimes times = LoadTimesOf(m_state);
   std::map<uint64_t, decide::DeclaredVersion> declared;
   for (const auto& [version, when] : m_state.m_declared) {
     // Even a few missing chunks have to be fetched from the origin and spread
     // to all hosts, so the estimate has a lower bound.
-    const double left = 1 - m_state.m_cache.ShareHeld(version);
+    const double left = 1 - m_state.m_cache.HeldShare(version);
     const Duration needed =
         std::max(SpreadTime(m_state),
                  std::chrono::duration_cast<Duration>(times.m_transfer * left));
-    const auto whole = m_whole_at.find(version);
-    declared[version] = {
-        when, whole == m_whole_at.end() ? Now() + needed : whole->second};
+    const auto whole = m_version_complete_at.find(version);
+    declared[version] = {when, whole == m_version_complete_at.end()
+                                   ? Now() + needed
+                                   : whole->second};
   }
   if (auto plan = decide::PlanLoad(times, declared, Loaded()))
     return plan;
@@ -168,16 +170,16 @@
   return std::nullopt;
 }
 
-bool EngineKeeper::LetFetchEnd() const {
+bool EngineController::ShouldFinishFetch() const {
   // The missing chunks of a version that is held in large part come from other
   // hosts even if the origin fails. The newer version may be unavailable for a
   // long time.
   const uint64_t version = m_fetcher.version();
-  return version > Loaded() && m_fetcher.progressing() &&
-         m_state.m_cache.ShareHeld(version) >= decide::kShareToEnd;
+  return version > Loaded() && m_fetcher.is_progressing() &&
+         m_state.m_cache.HeldShare(version) >= decide::kMinShareToFinish;
 }
 
-bool EngineKeeper::OthersHave(uint64_t version) const {
+bool EngineController::IsLoadedElsewhere(uint64_t version) const {
   for (const auto& [id, replica] : m_state.m_replicas) {
     const auto loaded = replica.m_weights.find(m_state.m_engine->m_model);
     if (replica.m_service == m_state.m_options.m_service &&
@@ -188,12 +190,12 @@
   return false;
 }
 
-Awaitable<void> EngineKeeper::Look() {
-  NoteReport(co_await m_engine.Report());
+Awaitable<void> EngineController::Look() {
+  RecordEngineReport(co_await m_engine.Report());
   if (m_report && m_report->m_loading)
     co_return;
-  m_stopped_calls = false;
-  NoteWhole();
+  m_calls_stopped = false;
+  RecordCompleteVersions();
   const auto plan = Plan();
   const uint64_t version = plan ? plan->m_version : Loaded();
   m_closing = plan && Loaded() > 0 && m_state.m_cache.Staged(version) &&
@@ -201,7 +203,7 @@
   if (!m_report) {
     // A new host is up one second before its engine. Fetching from then on puts
     // its replica into service one second earlier.
-    if (OthersHave(version))
+    if (IsLoadedElsewhere(version))
       co_await Obtain(version);
     co_return;
   }
@@ -222,21 +224,22 @@
     co_await Load(version);
 }
 
-Awaitable<void> EngineKeeper::Obtain(uint64_t version) {
+Awaitable<void> EngineController::Obtain(uint64_t version) {
   const auto executor = co_await boost::asio::this_coro::executor;
   if (m_state.m_cache.Complete(version) || m_fetcher.version() == version ||
-      LetFetchEnd())
+      ShouldFinishFetch())
     co_return;
-  if (!co_await m_fetcher.LearnDigests(version))
+  if (!co_await m_fetcher.ObtainDigests(version))
     co_return;
   // Chunks that the engine still has staged need not be fetched. If the staging
   // area holds all chunks of the loaded version, it holds none of a newer one,
   // and reading it would only delay the transfer.
-  const bool loaded_is_staged = m_adopted > 0 && m_adopted == Loaded() &&
+  const bool loaded_is_staged = m_staging_searched_for > 0 &&
+                                m_staging_searched_for == Loaded() &&
                                 m_state.m_cache.Complete(Loaded());
-  if (m_report && m_adopted < version && !loaded_is_staged) {
-    m_adopted = version;
-    co_await m_stager.Adopt(version);
+  if (m_report && m_staging_searched_for < version && !loaded_is_staged) {
+    m_staging_searched_for = version;
+    co_await m_stager.FindStaged(version);
     m_tell();
   }
   if (m_state.m_cache.Complete(version))
@@ -244,43 +247,44 @@
   Spawn(executor, m_fetcher.Fetch(version), "fetch");
 }
 
-Awaitable<void> EngineKeeper::FetchNewestAhead() {
+Awaitable<void> EngineController::FetchNewestAhead() {
   const uint64_t newest = NewestVersion(m_state);
   if (m_fetcher.version() == 0 || newest <= m_fetcher.version())
     co_return;
-  Spawn(co_await boost::asio::this_coro::executor, m_fetcher.FetchAhead(newest),
+  Spawn(co_await boost::asio::this_coro::executor, m_fetcher.Prefetch(newest),
         "fetch_ahead");
 }
 
-TimePoint EngineKeeper::Turn(const decide::LoadPlan& plan) const {
+TimePoint EngineController::Turn(const decide::LoadPlan& plan) const {
   const model::Replica* own = OwnReplica(m_state);
   std::vector<std::string> replicas;
   for (const auto& [id, replica] : m_state.m_replicas) {
     if (replica.m_service == m_state.m_options.m_service && !replica.m_leaving)
       replicas.push_back(id);
   }
-  return decide::LoadTurn(plan, own ? own->m_id : "", std::move(replicas));
+  return decide::ScheduledLoadTime(plan, own ? own->m_id : "",
+                                   std::move(replicas));
 }
 
-Awaitable<void> EngineKeeper::LetCallsEnd(TimePoint end) {
+Awaitable<void> EngineController::WaitForDrain(TimePoint end) {
   while (m_report && m_report->m_active + m_report->m_queued > 0 &&
          Now() < end) {
     co_await Sleep(kLoadPollInterval);
-    NoteReport(co_await m_engine.Report());
+    RecordEngineReport(co_await m_engine.Report());
   }
 }
 
-Awaitable<void> EngineKeeper::Load(uint64_t version) {
+Awaitable<void> EngineController::Load(uint64_t version) {
   // Reads the staged chunks back as late as possible before the load; only the
   // drain comes between. The engine loads staged chunks without checking them,
   // and they can become corrupt without any write.
   if (!co_await m_stager.Verify(version) || !m_report)
     co_return;
-  m_stopped_calls = true;
+  m_calls_stopped = true;
   m_tell();
-  const double fullness = m_fullness();
+  const double fullness = m_get_utilisation();
   if (Loaded() > 0)
-    co_await LetCallsEnd(Now() + decide::DrainTime(fullness));
+    co_await WaitForDrain(Now() + decide::DrainTime(fullness));
   if (!m_report)
     co_return;
   auto loading = co_await m_engine.Load(m_state.m_engine->m_model, version,
@@ -293,13 +297,13 @@
       .With("accepted", loading.has_value());
   if (!loading) {
     line.With(loading.error());
-    m_stopped_calls = false;
+    m_calls_stopped = false;
   }
   line.Info();
   const TimePoint until = Now() + m_state.m_engine->m_load + kOutage;
   do {
     co_await Sleep(kLoadPollInterval);
-    NoteReport(co_await m_engine.Report());
+    RecordEngineReport(co_await m_engine.Report());
   } while (m_report && m_report->m_loading && Now() < until);
 }
 
--- a/src/libverbenalead/target/engine_controller.h
+++ b/src/libverbenalead/target/engine_controller.h
@@ -18,21 +18,21 @@
 /// time, lets running calls finish and orders the load. Without it the replica
 /// would keep serving an old version and be unusable after the deadline for new
 /// weights.
-class EngineKeeper {
+class EngineController {
  public:
   /// `tell` is called when the result of `News` has changed, and repeatedly
   /// while the engine loads. `fullness` returns the share of the slots of the
   /// service that are in use, 0 to 1.
-  EngineKeeper(TargetState& state,
-               platform::EngineClient& engine,
-               ChunkFetcher& fetcher,
-               std::function<void()> tell,
-               std::function<double()> fullness);
+  EngineController(TargetState& state,
+                   platform::EngineClient& engine,
+                   ChunkFetcher& fetcher,
+                   std::function<void()> tell,
+                   std::function<double()> fullness);
 
   /// Doesn't return.
   Awaitable<void> Run();
   /// The state of the replica to be sent to entries, without its calls.
-  links::ReplicaNews News() const;
+  links::ReplicaUpdate News() const;
 
  private:
   /// Queries the engine once and takes the next step towards the planned
@@ -40,15 +40,15 @@
   Awaitable<void> Look();
   /// Records the status of the engine, or that the query failed. After a
   /// restart of the engine, its staged chunks are no longer relied on.
-  void NoteReport(AsyncResult<model::EngineReport> report);
+  void RecordEngineReport(AsyncResult<model::EngineReport> report);
   /// Whether a replica on another host has loaded `version` or a newer one, so
   /// that `version` can be fetched before the engine on this host answers.
-  bool OthersHave(uint64_t version) const;
+  bool IsLoadedElsewhere(uint64_t version) const;
   /// Verifies the staged chunks of `version`, drains the engine and orders the
   /// load.
   Awaitable<void> Load(uint64_t version);
   /// Waits until the engine has no calls left, at most until `end`.
-  Awaitable<void> LetCallsEnd(TimePoint end);
+  Awaitable<void> WaitForDrain(TimePoint end);
   /// Starts the transfer of `version` into the cache, unless it is complete,
   /// already being fetched, or another transfer should finish first.
   Awaitable<void> Obtain(uint64_t version);
@@ -57,9 +57,9 @@
   /// newer one once the older one no longer needs the origin.
   Awaitable<void> FetchNewestAhead();
   /// Whether the current transfer should finish before another one starts.
-  bool LetFetchEnd() const;
+  bool ShouldFinishFetch() const;
   /// Records when each version in the cache became complete.
-  void NoteWhole();
+  void RecordCompleteVersions();
   /// What to load next; nothing if the engine runs the version that it should.
   std::optional<decide::LoadPlan> Plan() const;
   /// When this replica starts its load under `plan`.
@@ -71,21 +71,21 @@
   platform::EngineClient& m_engine;
   ChunkFetcher& m_fetcher;
   const std::function<void()> m_tell;
-  const std::function<double()> m_fullness;
+  const std::function<double()> m_get_utilisation;
   /// The last status of the engine; empty if the last query failed.
   std::optional<model::EngineReport> m_report;
   ChunkStager m_stager;
   /// The newest version for which the staging area was searched; 0: none since
   /// the engine started.
-  uint64_t m_adopted = 0;
+  uint64_t m_staging_searched_for = 0;
   /// The scheduled load starts soon.
   bool m_closing = false;
   /// The replica takes no calls, as it drains before a load or loads.
-  bool m_stopped_calls = false;
+  bool m_calls_stopped = false;
   /// When each version became complete; incomplete versions are absent.
-  std::map<uint64_t, TimePoint> m_whole_at;
+  std::map<uint64_t, TimePoint> m_version_complete_at;
   /// The state at the last call of `m_tell` from `Run`.
-  links::ReplicaNews m_told;
+  links::ReplicaUpdate m_told;
 };
 
 }  // namespace verbenalead::target
--- a/src/libverbenalead/target/entry_subscription.h
+++ b/src/libverbenalead/target/entry_subscription.h
@@ -7,17 +7,17 @@
 namespace verbenalead::target {
 
 /// An entry that uses the replica or subscribed to its state.
-struct EntryFollower {
+struct EntrySubscription {
   /// End of the subscription; each request of the entry extends it.
   TimePoint m_until{};
   /// Calls of the entry at the replica, and when the entry reported them.
   links::ReplicaCalls m_calls;
-  TimePoint m_calls_at{};
+  TimePoint m_calls_reported_at{};
   /// The entry was denied a slot after the last update to it, so calls may be
   /// waiting at the entry for a free slot.
-  bool m_denied = false;
+  bool m_slot_denied = false;
   /// The last update sent to the entry.
-  links::ReplicaNews m_told;
+  links::ReplicaUpdate m_told;
 };
 
 }  // namespace verbenalead::target
--- a/src/libverbenalead/target/platform_target.cc
+++ b/src/libverbenalead/target/platform_target.cc
@@ -31,10 +31,10 @@
 constexpr Duration kOriginConnectTimeout = 1s;
 constexpr double kPercent = 100;
 /// Interval of the rounds in which subscribers are sent changes.
-constexpr Duration kNewsInterval = 50ms;
+constexpr Duration kUpdateSendInterval = 50ms;
 /// In one of this many rounds, subscribers are sent the whole state even if it
 /// has not changed, as datagrams can be lost.
-constexpr uint64_t kRoundsToTellAll = 20;
+constexpr uint64_t kRoundsPerFullUpdate = 20;
 /// In one of this many rounds, entries of this data centre are sent changes.
 constexpr uint64_t kRoundsPerChangeUpdate = 2;
 /// Interval at which subscriptions to the chunk updates of hosts are renewed.
@@ -53,7 +53,7 @@
 /// connected later.
 http::ClientOptions OriginConnections() {
   http::ClientOptions options = Connections();
-  options.m_keep = false;
+  options.m_reuse_connections = false;
   options.m_connect_timeout = kOriginConnectTimeout;
   return options;
 }
@@ -72,22 +72,26 @@
         m_fetcher(m_state,
                   m_http,
                   m_origin,
-                  [this](const links::DrawNews& news) { TellDraws(news); }),
+                  [this](const links::OriginFetchUpdate& news) {
+                    AnnounceOriginFetches(news);
+                  }),
         m_datagrams(m_threads.main(), m_state.m_options.m_peers),
-        m_places(m_state, m_datagrams, [this] { return m_keeper.News(); }),
+        m_places(m_state,
+                 m_datagrams,
+                 [this] { return m_engine_controller.News(); }),
         m_chunks(
             m_state,
             m_engine,
             [this] { return m_places.Calls().m_calls > 0; },
             [this](uint64_t version, uint32_t chunk) {
-              m_fetcher.NoteSpoilt(version, chunk);
+              m_fetcher.RecordCorruptChunk(version, chunk);
             }),
-        m_keeper(
+        m_engine_controller(
             m_state,
             m_engine,
             m_fetcher,
-            [this] { m_places.TellAll(); },
-            [this] { return m_pool_fullness; }),
+            [this] { m_places.SendToAll(); },
+            [this] { return m_pool_utilisation; }),
         m_rows(m_threads.main(), m_state, m_store, m_http),
         m_chunk_server(
             m_threads,
@@ -99,21 +103,24 @@
         m_signals(m_threads.main(), SIGTERM, SIGINT, SIGHUP) {}
 
   void TakeMessage(const Endpoint& sender, const links::Message& message) {
-    if (const auto* follow = std::get_if<links::FollowRequest>(&message)) {
+    if (const auto* follow =
+            std::get_if<links::SubscriptionRequest>(&message)) {
       HandleFollowRequest(sender, *follow);
-    } else if (const auto* calls = std::get_if<links::CallNews>(&message)) {
-      if (IsOwn(sender, calls->m_replica))
-        m_places.TakeCalls(sender, *calls);
-    } else if (const auto* ask = std::get_if<links::PlaceRequest>(&message)) {
-      if (IsOwn(sender, ask->m_replica))
+    } else if (const auto* calls = std::get_if<links::CallUpdate>(&message)) {
+      if (IsOwnReplica(sender, calls->m_replica))
+        m_places.HandleCallReport(sender, *calls);
+    } else if (const auto* ask =
+                   std::get_if<links::SlotRequestMessage>(&message)) {
+      if (IsOwnReplica(sender, ask->m_replica))
         m_places.Grant(sender, *ask);
     } else if (const auto* withdrawal =
-                   std::get_if<links::PlaceWithdrawal>(&message)) {
+                   std::get_if<links::SlotWithdrawal>(&message)) {
       m_places.Withdraw(sender, withdrawal->m_ticket);
-    } else if (const auto* news = std::get_if<links::ChunkNews>(&message)) {
+    } else if (const auto* news = std::get_if<links::ChunkUpdate>(&message)) {
       m_fetcher.TakeNews(*news);
-    } else if (const auto* draws = std::get_if<links::DrawNews>(&message)) {
-      m_fetcher.TakeDraws(*draws);
+    } else if (const auto* draws =
+                   std::get_if<links::OriginFetchUpdate>(&message)) {
+      m_fetcher.HandleOriginFetches(*draws);
     }
   }
 
@@ -122,16 +129,16 @@
   /// have restarted under a new id, which entries learn before this process.
   /// Until this process knows the new id, it grants no slots at the replica,
   /// and entries have no information about it.
-  bool IsOwn(const Endpoint& entry, const std::string& replica) {
+  bool IsOwnReplica(const Endpoint& entry, const std::string& replica) {
     const model::Replica* own = OwnReplica(m_state);
     if (own && own->m_id == replica)
       return true;
-    m_rows.FetchReplicas(entry);
+    m_rows.RequestReplicaRows(entry);
     return false;
   }
 
   void HandleFollowRequest(const Endpoint& sender,
-                           const links::FollowRequest& request) {
+                           const links::SubscriptionRequest& request) {
     const TimePoint until = Now() + kSubscriptionLifetime;
     if (request.m_chunks) {
       const bool known = m_chunk_subscribers.contains(sender);
@@ -140,12 +147,12 @@
         SendChunkUpdate(sender);
       return;
     }
-    m_rows.TakeTold(sender, request);
+    m_rows.HandleAnnouncement(sender, request);
     // Entries elsewhere learn the state of this replica from the entries of
     // this data centre.
     if (request.m_near) {
       m_places.Follow(sender, until);
-      m_pool_fullness = request.m_fullness_percent / kPercent;
+      m_pool_utilisation = request.m_used_slots_percent / kPercent;
     }
   }
 
@@ -153,7 +160,7 @@
     if (!m_state.m_engine)
       return;
     for (const auto& [version, cached] : m_state.m_cache.versions()) {
-      links::ChunkNews news;
+      links::ChunkUpdate news;
       news.m_host = m_state.m_options.m_peers.address();
       news.m_model = m_state.m_engine->m_model;
       news.m_version = version;
@@ -162,14 +169,14 @@
     }
   }
 
-  void TellDraws(const links::DrawNews& news) {
+  void AnnounceOriginFetches(const links::OriginFetchUpdate& news) {
     for (const decide::TransferMember& member : OtherMembers(m_state))
       m_datagrams.Send(
           Endpoint(member.m_name, m_state.m_options.m_peers.port()), news);
   }
 
   /// A value that changes when chunks arrive or a newer version is added.
-  uint64_t HeldChunks() const {
+  uint64_t HeldChunkCount() const {
     uint64_t held = 0;
     for (const auto& [version, cached] : m_state.m_cache.versions())
       held += m_state.m_cache.Held(version).size() + version;
@@ -181,22 +188,22 @@
     uint64_t last_sent = 0;
     uint64_t round = 0;
     while (true) {
-      co_await Sleep(kNewsInterval);
+      co_await Sleep(kUpdateSendInterval);
       const TimePoint now = Now();
       std::erase_if(m_chunk_subscribers, [now](const auto& follower) {
         return follower.second <= now;
       });
-      m_places.ForgetSilent(now);
-      const bool all = ++round % kRoundsToTellAll == 0;
-      if (HeldChunks() != last_sent || all) {
-        last_sent = HeldChunks();
+      m_places.ExpireSilentEntries(now);
+      const bool all = ++round % kRoundsPerFullUpdate == 0;
+      if (HeldChunkCount() != last_sent || all) {
+        last_sent = HeldChunkCount();
         for (const auto& [host, until] : m_chunk_subscribers)
           SendChunkUpdate(host);
       }
       if (all)
-        m_places.TellAll();
+        m_places.SendToAll();
       else if (round % kRoundsPerChangeUpdate == 0)
-        m_places.TellChanges();
+        m_places.SendChanges();
     }
   }
 
@@ -210,17 +217,17 @@
       if (all)
         next_renewal = Now() + kFollowInterval;
       std::set<std::string> needed;
-      for (const std::string& host : m_fetcher.Followed()) {
+      for (const std::string& host : m_fetcher.FollowedHosts()) {
         needed.insert(host);
         if (!all && subscribed.contains(host))
           continue;
-        links::FollowRequest request;
+        links::SubscriptionRequest request;
         request.m_chunks = true;
         m_datagrams.Send(Endpoint(host, m_state.m_options.m_peers.port()),
                          request);
       }
       subscribed = std::move(needed);
-      co_await Sleep(kNewsInterval);
+      co_await Sleep(kUpdateSendInterval);
     }
   }
 
@@ -246,17 +253,17 @@
   http::Client m_origin_http;
   platform::OriginClient m_origin;
   ChunkFetcher m_fetcher;
-  links::Datagrams m_datagrams;
-  PlaceGranter m_places;
+  links::DatagramSocket m_datagrams;
+  SlotGranter m_places;
   ChunkServer m_chunks;
-  EngineKeeper m_keeper;
+  EngineController m_engine_controller;
   RowSource m_rows;
   http::Server m_chunk_server;
   http::Server m_metrics;
   asio::signal_set m_signals;
   /// Share of the slots of this service that are in use, 0 to 1, as last
   /// reported by an entry of this data centre.
-  double m_pool_fullness = 1;
+  double m_pool_utilisation = 1;
   /// Hosts that subscribed to chunk updates, and when the subscription ends.
   std::map<Endpoint, TimePoint> m_chunk_subscribers;
 };
@@ -280,7 +287,7 @@
     return 1;
   const auto main = parts.m_threads.main();
   parts.m_rows.Start();
-  SpawnLoop(main, parts.m_keeper.Run(), "keep_engine");
+  SpawnLoop(main, parts.m_engine_controller.Run(), "keep_engine");
   SpawnLoop(main, parts.SendNews(), "send_news");
   SpawnLoop(main, parts.FollowHosts(), "follow_hosts");
   SpawnLoop(main, parts.AwaitSignals(), "await_signals");
--- a/src/libverbenalead/target/row_source.cc
+++ b/src/libverbenalead/target/row_source.cc
@@ -46,7 +46,7 @@
           platform::kOperatorTable,
           [this] { return Pace(); },
           [this](const platform::Rows& rows, bool) {
-            TakeOperatorRows(rows, {});
+            ApplyOperatorRows(rows, {});
           }),
       m_replica_rows(
           executor,
@@ -54,22 +54,23 @@
           platform::kReplicaTable,
           [this] { return Pace(); },
           [this](const platform::Rows& rows, bool whole) {
-            TakeReplicaRows(m_state, rows, whole);
+            ApplyReplicaRows(m_state, rows, whole);
           }),
-      m_spread(std::uniform_real_distribution<double>(0, 1)(state.m_random)) {}
+      m_start_jitter(
+          std::uniform_real_distribution<double>(0, 1)(state.m_random)) {}
 
 void RowSource::Start() {
   m_changes.m_started = Now();
-  Spawn(m_executor, LearnFirst(), "learn_first");
+  Spawn(m_executor, ReadInitialRows(), "learn_first");
   SpawnLoop(m_executor, m_operator_rows.Run(), "operator_rows");
   SpawnLoop(m_executor, m_replica_rows.Run(), "replica_rows");
 }
 
-links::FollowPace RowSource::Pace() const {
-  links::FollowPace pace;
-  pace.m_interval = decide::kUntoldInterval;
+links::PollSchedule RowSource::Pace() const {
+  links::PollSchedule pace;
+  pace.m_interval = decide::kUnannouncedReadInterval;
   pace.m_hold =
-      IsIdle() || decide::LeavesStoreAlone(m_changes, m_spread, Now());
+      IsIdle() || decide::DefersStoreRead(m_changes, m_start_jitter, Now());
   return pace;
 }
 
@@ -77,14 +78,14 @@
   return m_state.m_config_version > 0 && !m_state.m_engine;
 }
 
-Awaitable<void> RowSource::LearnFirst() {
+Awaitable<void> RowSource::ReadInitialRows() {
   std::vector<Endpoint> local_entries;
   size_t attempts = 0;
   while (!m_changes.m_known) {
     // Each entry is asked twice, as it may have just started. After that the
     // list of entries is read again, as it may have changed.
     if (attempts >= kAttemptsPerEntry * local_entries.size()) {
-      local_entries = co_await NearEntries();
+      local_entries = co_await LocalEntries();
       attempts = 0;
     }
     bool received = false;
@@ -94,7 +95,7 @@
       ++attempts;
       std::rotate(local_entries.begin(), local_entries.begin() + 1,
                   local_entries.end());
-      received = co_await TakeOver(local_entries.back(), true);
+      received = co_await ReadRows(local_entries.back(), true);
     }
     if (received)
       attempts = 0;
@@ -102,7 +103,7 @@
   }
 }
 
-Awaitable<std::vector<Endpoint>> RowSource::NearEntries() {
+Awaitable<std::vector<Endpoint>> RowSource::LocalEntries() {
   std::vector<Endpoint> local_entries;
   const auto rows = co_await m_store.ReadTable(platform::kEntryTable,
                                                m_state.m_options.m_data_center);
@@ -114,7 +115,7 @@
     auto message =
         CatchFailure([&] { return links::DecodeMessage(row.m_value); });
     const auto* entry =
-        message ? std::get_if<links::EntryNews>(&*message) : nullptr;
+        message ? std::get_if<links::EntryUpdate>(&*message) : nullptr;
     if (entry)
       local_entries.push_back(entry->m_address.m_peers);
   }
@@ -122,34 +123,35 @@
   co_return local_entries;
 }
 
-Awaitable<bool> RowSource::TakeOver(Endpoint entry, bool with_replicas) {
+Awaitable<bool> RowSource::ReadRows(Endpoint entry, bool with_replicas) {
   const auto relayed =
       co_await links::FetchRows(m_entries, entry, links::kTargetRowsPath);
   if (!relayed) {
     LogLine("rows_not_relayed").With(relayed.error()).Info();
     if (relayed.error().m_code == FailureCode::kRefused)
-      decide::NoteAwaited(m_changes, Now());
+      decide::RecordMissingRows(m_changes, Now());
     co_return false;
   }
   // The schedules of loads and transfers depend on the list of replicas. It is
   // read only if it differs: when all hosts read the list again with each
   // declaration, they filled the link of the entry that announces it and
   // learned of new weights late.
-  if (with_replicas && RunsEngine(m_state, relayed->m_rows))
-    co_await TakeOverReplicas(entry);
-  TakeOperatorRows(relayed->m_rows, relayed->m_ages);
+  if (with_replicas && HasEngine(m_state, relayed->m_rows))
+    co_await ReadReplicaRows(entry);
+  ApplyOperatorRows(relayed->m_rows, relayed->m_max_ages);
   m_operator_rows.SkipTo(relayed->m_rows.m_revision);
   co_return true;
 }
 
-Awaitable<void> RowSource::TakeOverOnce(Endpoint entry, bool with_replicas) {
+Awaitable<void> RowSource::ReadRowsExclusively(Endpoint entry,
+                                               bool with_replicas) {
   m_fetching = true;
-  co_await TakeOver(entry, with_replicas);
+  co_await ReadRows(entry, with_replicas);
   m_fetching = false;
 }
 
-Awaitable<void> RowSource::TakeOverReplicas(Endpoint entry) {
-  m_next_replicas = Now() + kReplicaReadInterval;
+Awaitable<void> RowSource::ReadReplicaRows(Endpoint entry) {
+  m_next_replica_read = Now() + kReplicaReadInterval;
   const auto relayed =
       co_await links::FetchRows(m_entries, entry, links::kReplicaRowsPath);
   if (!relayed) {
@@ -160,38 +162,38 @@
   // older than the list known here.
   if (relayed->m_rows.m_revision < m_replica_rows.revision())
     co_return;
-  TakeReplicaRows(m_state, relayed->m_rows, true);
+  ApplyReplicaRows(m_state, relayed->m_rows, true);
   m_replica_rows.SkipTo(relayed->m_rows.m_revision);
 }
 
-void RowSource::TakeOperatorRows(const platform::Rows& rows,
-                                 const std::map<std::string, Duration>& ages) {
+void RowSource::ApplyOperatorRows(const platform::Rows& rows,
+                                  const std::map<std::string, Duration>& ages) {
   for (const platform::Row& row : rows.m_rows) {
     if (row.m_key.starts_with(platform::kWeightsKeyPrefix))
       m_changes.m_weights_revision =
           std::max(m_changes.m_weights_revision, row.m_revision);
   }
-  target::TakeOperatorRows(m_state, rows, ages);
+  target::ApplyOperatorRows(m_state, rows, ages);
   m_changes.m_known = m_state.m_engine.has_value();
 }
 
-void RowSource::TakeTold(const Endpoint& entry,
-                         const links::FollowRequest& request) {
-  const bool news = decide::TakeTold(m_changes, request.m_near,
-                                     request.m_weights_revision, Now());
+void RowSource::HandleAnnouncement(const Endpoint& entry,
+                                   const links::SubscriptionRequest& request) {
+  const bool news = decide::HandleAnnouncement(
+      m_changes, request.m_near, request.m_weights_revision, Now());
   const bool other_replicas =
       request.m_replicas_hash != decide::HashOf(m_state.m_replicas);
   if (news && !m_fetching)
-    Spawn(m_executor, TakeOverOnce(entry, other_replicas), "take_over");
+    Spawn(m_executor, ReadRowsExclusively(entry, other_replicas), "take_over");
   else if (request.m_near && m_changes.m_known && other_replicas)
-    FetchReplicas(entry);
+    RequestReplicaRows(entry);
 }
 
-void RowSource::FetchReplicas(const Endpoint& entry) {
-  if (Now() < m_next_replicas)
+void RowSource::RequestReplicaRows(const Endpoint& entry) {
+  if (Now() < m_next_replica_read)
     return;
-  m_next_replicas = Now() + kReplicaReadInterval;
-  Spawn(m_executor, TakeOverReplicas(entry), "take_over_replicas");
+  m_next_replica_read = Now() + kReplicaReadInterval;
+  Spawn(m_executor, ReadReplicaRows(entry), "take_over_replicas");
 }
 
 }  // namespace verbenalead::target
--- a/src/libverbenalead/target/row_source.h
+++ b/src/libverbenalead/target/row_source.h
@@ -29,28 +29,29 @@
 
   /// Handles an announcement of the revisions that `entry` knows; reads its
   /// rows if they are newer.
-  void TakeTold(const Endpoint& entry, const links::FollowRequest& request);
+  void HandleAnnouncement(const Endpoint& entry,
+                          const links::SubscriptionRequest& request);
   /// Reads the list of replicas from `entry`, whose list differs from the one
   /// known here. Calls in quick succession are dropped.
-  void FetchReplicas(const Endpoint& entry);
+  void RequestReplicaRows(const Endpoint& entry);
 
  private:
   /// Runs after the start until the rows are known: finds entries by their rows
   /// in the store, and reads the operator's rows and the list of replicas from
   /// one of them.
-  Awaitable<void> LearnFirst();
+  Awaitable<void> ReadInitialRows();
   /// The entries of this data centre, in random order.
-  Awaitable<std::vector<Endpoint>> NearEntries();
+  Awaitable<std::vector<Endpoint>> LocalEntries();
   /// Reads the operator's rows from `entry`; returns false if that failed.
   /// `with_replicas`: reads the list of replicas as well.
-  Awaitable<bool> TakeOver(Endpoint entry, bool with_replicas);
-  /// As `TakeOver`, with `m_fetching` set meanwhile so that announcements do
+  Awaitable<bool> ReadRows(Endpoint entry, bool with_replicas);
+  /// As `ReadRows`, with `m_fetching` set meanwhile so that announcements do
   /// not start a second read.
-  Awaitable<void> TakeOverOnce(Endpoint entry, bool with_replicas);
-  Awaitable<void> TakeOverReplicas(Endpoint entry);
-  void TakeOperatorRows(const platform::Rows& rows,
-                        const std::map<std::string, Duration>& ages);
-  links::FollowPace Pace() const;
+  Awaitable<void> ReadRowsExclusively(Endpoint entry, bool with_replicas);
+  Awaitable<void> ReadReplicaRows(Endpoint entry);
+  void ApplyOperatorRows(const platform::Rows& rows,
+                         const std::map<std::string, Duration>& ages);
+  links::PollSchedule Pace() const;
   /// Whether the replica on this host has no engine. This process then has
   /// nothing to do and needs neither weights nor the list of replicas.
   ///
@@ -65,14 +66,14 @@
   const boost::asio::any_io_executor m_executor;
   links::TableFollower m_operator_rows;
   links::TableFollower m_replica_rows;
-  decide::ChangeWatch m_changes;
+  decide::AnnouncementTracker m_changes;
   /// Random value from 0 to 1 that spreads the reads from the store of hosts
   /// that start at the same time.
-  const double m_spread;
+  const double m_start_jitter;
   /// A read that an announcement started is in progress.
   bool m_fetching = false;
   /// Earliest time of the next read of the list of replicas on request.
-  TimePoint m_next_replicas{};
+  TimePoint m_next_replica_read{};
 };
 
 }  // namespace verbenalead::target
--- a/src/libverbenalead/target/row_source_test.cc
+++ b/src/libverbenalead/target/row_source_test.cc
@@ -100,11 +100,11 @@
     m_rows->Start();
     m_io->run_for(400ms);
     m_http->m_asked.clear();
-    links::FollowRequest request;
+    links::SubscriptionRequest request;
     request.m_near = true;
     request.m_weights_revision = 5;
     request.m_replicas_hash = 0;
-    m_rows->TakeTold(Endpoint("10.0.0.1", 2), request);
+    m_rows->HandleAnnouncement(Endpoint("10.0.0.1", 2), request);
     m_io->restart();
     m_io->run_for(20ms);
     // Only the list of replicas differs from the one known here.
@@ -112,7 +112,7 @@
                    std::vector<std::string>({"10.0.0.1/v1/replica-rows"}));
     m_http->m_asked.clear();
     request.m_weights_revision = 6;
-    m_rows->TakeTold(Endpoint("10.0.0.1", 2), request);
+    m_rows->HandleAnnouncement(Endpoint("10.0.0.1", 2), request);
     m_io->restart();
     m_io->run_for(20ms);
     CPPUNIT_ASSERT_EQUAL(std::string("10.0.0.1/v1/target-rows"),
@@ -127,11 +127,11 @@
     m_rows->Start();
     m_io->run_for(400ms);
     m_http->m_asked.clear();
-    links::FollowRequest request;
+    links::SubscriptionRequest request;
     request.m_near = true;
     request.m_weights_revision = 6;
     request.m_replicas_hash = decide::HashOf(m_state->m_replicas);
-    m_rows->TakeTold(Endpoint("10.0.0.1", 2), request);
+    m_rows->HandleAnnouncement(Endpoint("10.0.0.1", 2), request);
     m_io->restart();
     m_io->run_for(20ms);
     CPPUNIT_ASSERT(m_http->m_asked ==
@@ -143,7 +143,7 @@
   static wire::Response EntryRows(const std::vector<std::string>& hosts) {
     std::string rows;
     for (const std::string& host : hosts) {
-      links::EntryNews news;
+      links::EntryUpdate news;
       news.m_address = {host, "a", Endpoint(host, 1), Endpoint(host, 2)};
       rows += std::string(rows.empty() ? "" : ",") + R"({"key":")" + host +
               R"(","ver":1,"value":")" +
@@ -162,13 +162,13 @@
     const std::map<std::string, platform::Row> operator_rows = {
         {"config", {"config", config, 1, false}},
         {"version/m", {"version/m", kDeclaration, revision, false}}};
-    const links::RelayFacts facts = {100s, 100s + age, std::nullopt};
+    const links::RelayMetadata facts = {100s, 100s + age, std::nullopt};
     m_http->m_answers[host + links::kTargetRowsPath] =
-        wire::Response(200, links::EncodeFacts(facts),
+        wire::Response(200, links::EncodeRelayMetadata(facts),
                        Deflate(links::EncodeRows(operator_rows, revision,
                                                  {{"version/m", 100s}})));
     m_http->m_answers[host + links::kReplicaRowsPath] =
-        wire::Response(200, links::EncodeFacts(facts),
+        wire::Response(200, links::EncodeRelayMetadata(facts),
                        Deflate(links::EncodeRows(
                            {{"i-1", {"i-1", kReplica, 3, false}}}, 3, {})));
   }
--- a/src/libverbenalead/target/slot_granter.cc
+++ b/src/libverbenalead/target/slot_granter.cc
@@ -8,92 +8,95 @@
 
 }  // namespace
 
-void PlaceGranter::Grant(const Endpoint& entry,
-                         const links::PlaceRequest& request) {
+void SlotGranter::Grant(const Endpoint& entry,
+                        const links::SlotRequestMessage& request) {
   if (!m_state.m_engine)
     return;
-  EntryFollower& follower = m_entries[entry];
+  EntrySubscription& follower = m_entries[entry];
   follower.m_calls = request.m_calls;
-  follower.m_calls_at = Now();
+  follower.m_calls_reported_at = Now();
   m_queue.m_slots = m_state.m_engine->m_slots;
   m_queue.m_prefill_rate = m_state.m_engine->m_prefill_rate;
   const TimePoint now = Now();
-  decide::PlaceWish wish;
+  decide::SlotRequest wish;
   wish.m_entry = entry;
   wish.m_ticket = request.m_ticket;
   wish.m_prompt_tokens = request.m_prompt_tokens;
-  wish.m_fresh = request.m_fresh;
-  wish.m_read_by = now + request.m_read_within;
+  wish.m_can_be_on_time = request.m_can_be_on_time;
+  wish.m_read_deadline = now + request.m_read_within;
   wish.m_until = now + request.m_wait;
-  links::PlaceAnswer answer;
+  links::SlotAnswer answer;
   answer.m_ticket = request.m_ticket;
-  answer.m_news = NewsFor(follower);
+  answer.m_news = UpdateFor(follower);
   if (!answer.m_news.m_loading) {
     const auto verdict = decide::Ask(m_queue, wish, Load(), now);
-    answer.m_granted = verdict == decide::PlaceVerdict::kGranted;
-    answer.m_queued = verdict == decide::PlaceVerdict::kQueued;
+    answer.m_granted = verdict == decide::SlotVerdict::kGranted;
+    answer.m_queued = verdict == decide::SlotVerdict::kQueued;
   }
-  follower.m_denied = !answer.m_granted && !answer.m_queued;
+  follower.m_slot_denied = !answer.m_granted && !answer.m_queued;
   if (answer.m_granted)
     CountGranted(follower, request.m_prompt_tokens);
   m_datagrams.Send(entry, answer);
 }
 
-void PlaceGranter::Withdraw(const Endpoint& entry, uint64_t ticket) {
+void SlotGranter::Withdraw(const Endpoint& entry, uint64_t ticket) {
   decide::Withdraw(m_queue, entry, ticket);
 }
 
-void PlaceGranter::CountGranted(EntryFollower& follower,
-                                uint32_t prompt_tokens) {
+void SlotGranter::CountGranted(EntrySubscription& follower,
+                               uint32_t prompt_tokens) {
   ++follower.m_calls.m_calls;
-  follower.m_calls.m_unread += prompt_tokens;
+  follower.m_calls.m_unread_tokens += prompt_tokens;
 }
 
-void PlaceGranter::GrantWaiting() {
-  if (m_queue.m_wishes.empty() || m_engine_news().m_loading)
+void SlotGranter::GrantWaiting() {
+  if (m_queue.m_slot_requests.empty() || m_engine_news().m_loading)
     return;
-  for (const decide::PlaceWish& wish : decide::Grant(m_queue, Load(), Now())) {
-    EntryFollower& follower = m_entries[wish.m_entry];
-    links::PlaceAnswer answer;
+  for (const decide::SlotRequest& wish :
+       decide::Grant(m_queue, Load(), Now())) {
+    EntrySubscription& follower = m_entries[wish.m_entry];
+    links::SlotAnswer answer;
     answer.m_ticket = wish.m_ticket;
     answer.m_granted = true;
-    answer.m_news = NewsFor(follower);
+    answer.m_news = UpdateFor(follower);
     CountGranted(follower, wish.m_prompt_tokens);
     m_datagrams.Send(wish.m_entry, answer);
   }
 }
 
-void PlaceGranter::TakeCalls(const Endpoint& entry,
-                             const links::CallNews& news) {
-  EntryFollower& follower = m_entries[entry];
+void SlotGranter::HandleCallReport(const Endpoint& entry,
+                                   const links::CallUpdate& news) {
+  EntrySubscription& follower = m_entries[entry];
   follower.m_calls = news.m_calls;
-  follower.m_calls_at = Now();
+  follower.m_calls_reported_at = Now();
   GrantWaiting();
   // Entries that were denied a slot may have calls waiting, so they are
   // notified of the change at once.
-  Tell([](const EntryFollower& other, const links::ReplicaNews&) {
-    return other.m_denied;
+  Tell([](const EntrySubscription& other, const links::ReplicaUpdate&) {
+    return other.m_slot_denied;
   });
 }
 
-void PlaceGranter::Follow(const Endpoint& entry, TimePoint until) {
+void SlotGranter::Follow(const Endpoint& entry, TimePoint until) {
   m_entries[entry].m_until = until;
 }
 
-void PlaceGranter::TellAll() {
-  Tell([](const EntryFollower&, const links::ReplicaNews&) { return true; });
+void SlotGranter::SendToAll() {
+  Tell([](const EntrySubscription&, const links::ReplicaUpdate&) {
+    return true;
+  });
 }
 
-void PlaceGranter::TellChanges() {
-  Tell([](const EntryFollower& follower, const links::ReplicaNews& news) {
+void SlotGranter::SendChanges() {
+  Tell([](const EntrySubscription& follower, const links::ReplicaUpdate& news) {
     return news != follower.m_told;
   });
 }
 
-void PlaceGranter::ForgetSilent(TimePoint now) {
+void SlotGranter::ExpireSilentEntries(TimePoint now) {
   // An entry that died does not report the end of its calls.
   for (auto& [entry, follower] : m_entries) {
-    if (follower.m_calls_at + kCallReportLifetime <= now)
+    if (follower.m_calls_reported_at + kCallReportLifetime <= now)
       follower.m_calls = {};
   }
   GrantWaiting();
@@ -102,39 +105,41 @@
   });
 }
 
-links::ReplicaCalls PlaceGranter::Calls() const {
+links::ReplicaCalls SlotGranter::Calls() const {
   links::ReplicaCalls sum;
   for (const auto& [entry, follower] : m_entries) {
     sum.m_calls += follower.m_calls.m_calls;
-    sum.m_unread += follower.m_calls.m_unread;
+    sum.m_unread_tokens += follower.m_calls.m_unread_tokens;
   }
   return sum;
 }
 
-decide::ReplicaLoad PlaceGranter::Load() const {
+decide::ReplicaLoad SlotGranter::Load() const {
   const links::ReplicaCalls all = Calls();
-  return {all.m_calls, all.m_unread};
+  return {all.m_calls, all.m_unread_tokens};
 }
 
-links::ReplicaNews PlaceGranter::NewsFor(const EntryFollower& follower) const {
-  links::ReplicaNews news = m_engine_news();
+links::ReplicaUpdate SlotGranter::UpdateFor(
+    const EntrySubscription& follower) const {
+  links::ReplicaUpdate news = m_engine_news();
   const links::ReplicaCalls all = Calls();
-  news.m_elsewhere.m_calls = all.m_calls - follower.m_calls.m_calls;
-  news.m_elsewhere.m_unread = all.m_unread - follower.m_calls.m_unread;
-  news.m_waiting = static_cast<uint32_t>(m_queue.m_wishes.size());
+  news.m_other_entries_calls.m_calls = all.m_calls - follower.m_calls.m_calls;
+  news.m_other_entries_calls.m_unread_tokens =
+      all.m_unread_tokens - follower.m_calls.m_unread_tokens;
+  news.m_waiting = static_cast<uint32_t>(m_queue.m_slot_requests.size());
   return news;
 }
 
 template <typename Which>
-void PlaceGranter::Tell(Which which) {
+void SlotGranter::Tell(Which which) {
   if (!OwnReplica(m_state))
     return;
   for (auto& [entry, follower] : m_entries) {
-    const links::ReplicaNews news = NewsFor(follower);
+    const links::ReplicaUpdate news = UpdateFor(follower);
     if (follower.m_until <= Now() || !which(follower, news))
       continue;
     follower.m_told = news;
-    follower.m_denied = false;
+    follower.m_slot_denied = false;
     m_datagrams.Send(entry, news);
   }
 }
--- a/src/libverbenalead/target/slot_granter.h
+++ b/src/libverbenalead/target/slot_granter.h
@@ -15,44 +15,44 @@
 /// state of the replica and the calls of the other entries there. Each entry
 /// only knows its own calls; without a single granter, several entries would
 /// use the same slot. Not safe for concurrent use.
-class PlaceGranter {
+class SlotGranter {
  public:
   /// `engine_news` returns the state of the replica, without its calls.
-  PlaceGranter(TargetState& state,
-               links::Datagrams& datagrams,
-               std::function<links::ReplicaNews()> engine_news)
+  SlotGranter(TargetState& state,
+              links::DatagramSocket& datagrams,
+              std::function<links::ReplicaUpdate()> engine_news)
       : m_state(state),
         m_datagrams(datagrams),
         m_engine_news(std::move(engine_news)) {}
 
   /// Answers a request for a slot: granted if the replica can take one more
   /// call, else queued or denied.
-  void Grant(const Endpoint& entry, const links::PlaceRequest& request);
+  void Grant(const Endpoint& entry, const links::SlotRequestMessage& request);
   /// Cancels a queued request for a slot.
   void Withdraw(const Endpoint& entry, uint64_t ticket);
   /// Records the current calls of an entry at the replica.
-  void TakeCalls(const Endpoint& entry, const links::CallNews& news);
+  void HandleCallReport(const Endpoint& entry, const links::CallUpdate& news);
   /// Subscribes `entry` to updates until `until`.
   void Follow(const Endpoint& entry, TimePoint until);
 
   /// Sends an update to all subscribed entries, as after a change of the
   /// engine's state.
-  void TellAll();
+  void SendToAll();
   /// Sends an update to the subscribed entries for which the state differs from
   /// the last update sent.
-  void TellChanges();
+  void SendChanges();
   /// Drops the calls of entries that have stopped reporting, grants the slots
   /// that become free, and removes entries without calls and subscription.
-  void ForgetSilent(TimePoint now);
+  void ExpireSilentEntries(TimePoint now);
 
   /// The calls of all entries at the replica.
   links::ReplicaCalls Calls() const;
 
  private:
-  links::ReplicaNews NewsFor(const EntryFollower& follower) const;
+  links::ReplicaUpdate UpdateFor(const EntrySubscription& follower) const;
   decide::ReplicaLoad Load() const;
   /// Adds a granted call to the calls of `follower`.
-  static void CountGranted(EntryFollower& follower, uint32_t prompt_tokens);
+  static void CountGranted(EntrySubscription& follower, uint32_t prompt_tokens);
   /// Grants free slots to queued requests.
   void GrantWaiting();
   /// Sends an update to the subscribed entries that `which` selects.
@@ -60,10 +60,10 @@
   void Tell(Which which);
 
   TargetState& m_state;
-  links::Datagrams& m_datagrams;
-  const std::function<links::ReplicaNews()> m_engine_news;
-  std::map<Endpoint, EntryFollower> m_entries;
-  decide::PlaceQueue m_queue;
+  links::DatagramSocket& m_datagrams;
+  const std::function<links::ReplicaUpdate()> m_engine_news;
+  std::map<Endpoint, EntrySubscription> m_entries;
+  decide::SlotQueue m_queue;
 };
 
 }  // namespace verbenalead::target
--- a/src/libverbenalead/target/slot_granter_test.cc
+++ b/src/libverbenalead/target/slot_granter_test.cc
@@ -11,8 +11,8 @@
 const Endpoint kEntry("127.0.0.1", 9);
 const Endpoint kOther("127.0.0.2", 9);
 
-class PlaceGranterTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(PlaceGranterTest);
+class SlotGranterTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(SlotGranterTest);
   CPPUNIT_TEST(GrantsNoMoreThanAvailableSlots);
   CPPUNIT_TEST(LearnsCallsOfEntriesAfterRestart);
   CPPUNIT_TEST(DropsCallsOfDeadEntry);
@@ -25,14 +25,14 @@
     m_state->m_engine = model::EngineProfile();
     m_state->m_engine->m_slots = kSlots;
     m_news = {};
-    m_granter = std::make_unique<PlaceGranter>(*m_state, m_datagrams,
-                                               [this] { return m_news; });
+    m_slot_granter = std::make_unique<SlotGranter>(*m_state, m_datagrams,
+                                                   [this] { return m_news; });
   }
 
   void GrantsNoMoreThanAvailableSlots() {
     for (uint32_t call = 0; call < kSlots + 2; ++call)
       Ask(kEntry, std::min(call, kSlots));
-    CPPUNIT_ASSERT_EQUAL(kSlots, m_granter->Calls().m_calls);
+    CPPUNIT_ASSERT_EQUAL(kSlots, m_slot_granter->Calls().m_calls);
   }
 
   // Guards against a first event that is 0.7 s late after a target process was
@@ -43,7 +43,7 @@
     Ask(kEntry, 2);
     Ask(kOther, 1);
     Ask(kOther, 1);
-    CPPUNIT_ASSERT_EQUAL(kSlots, m_granter->Calls().m_calls);
+    CPPUNIT_ASSERT_EQUAL(kSlots, m_slot_granter->Calls().m_calls);
   }
 
   // Guards against slots that stay unused because an entry died and does not
@@ -51,34 +51,35 @@
   // report.
   void DropsCallsOfDeadEntry() {
     Ask(kEntry, 3);
-    m_granter->ForgetSilent(Now() + 1s);
-    CPPUNIT_ASSERT_EQUAL(kSlots, m_granter->Calls().m_calls);
-    m_granter->ForgetSilent(Now() + 3s);
-    CPPUNIT_ASSERT_EQUAL(0U, m_granter->Calls().m_calls);
+    m_slot_granter->ExpireSilentEntries(Now() + 1s);
+    CPPUNIT_ASSERT_EQUAL(kSlots, m_slot_granter->Calls().m_calls);
+    m_slot_granter->ExpireSilentEntries(Now() + 3s);
+    CPPUNIT_ASSERT_EQUAL(0U, m_slot_granter->Calls().m_calls);
   }
 
   void GrantsNothingWhileLoading() {
     m_news.m_loading = true;
     Ask(kEntry, 0);
-    CPPUNIT_ASSERT_EQUAL(0U, m_granter->Calls().m_calls);
+    CPPUNIT_ASSERT_EQUAL(0U, m_slot_granter->Calls().m_calls);
   }
 
  private:
   /// `entry`, which has `calls` at the replica, requests one more slot.
   void Ask(const Endpoint& entry, uint32_t calls) {
-    links::PlaceRequest request;
+    links::SlotRequestMessage request;
     request.m_calls.m_calls = calls;
-    m_granter->Grant(entry, request);
+    m_slot_granter->Grant(entry, request);
   }
 
   boost::asio::io_context m_io;
-  links::Datagrams m_datagrams{m_io.get_executor(), Endpoint("127.0.0.1", 0)};
+  links::DatagramSocket m_datagrams{m_io.get_executor(),
+                                    Endpoint("127.0.0.1", 0)};
   std::unique_ptr<TargetState> m_state;
-  links::ReplicaNews m_news;
-  std::unique_ptr<PlaceGranter> m_granter;
+  links::ReplicaUpdate m_news;
+  std::unique_ptr<SlotGranter> m_slot_granter;
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(PlaceGranterTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(SlotGranterTest);
 
 }  // namespace
 }  // namespace verbenalead::target
--- a/src/libverbenalead/target/staging_engine.h
+++ b/src/libverbenalead/target/staging_engine.h
@@ -15,7 +15,7 @@
  public:
   Awaitable<AsyncResult<std::unique_ptr<wire::ResponseReader>>>
   Open(Endpoint, wire::Request request, TimePoint) override {
-    if (m_down)
+    if (m_unreachable)
       co_return Failure{FailureCode::kUnreachable, "connect", "engine", "down"};
     const std::string chunk =
         request.m_path.substr(request.m_path.find("num=") + 4);
@@ -38,7 +38,7 @@
   int m_puts = 0;
   int m_reads = 0;
   /// Connections fail.
-  bool m_down = false;
+  bool m_unreachable = false;
 };
 
 }  // namespace verbenalead::target
--- a/src/libverbenalead/target/target_rows.cc
+++ b/src/libverbenalead/target/target_rows.cc
@@ -39,7 +39,7 @@
 }
 
 /// Records the declaration of a version of this host's model, made `age` ago.
-void TakeWeights(TargetState& state, const std::string& text, Duration age) {
+void ApplyWeights(TargetState& state, const std::string& text, Duration age) {
   const auto declared = platform::DecodeWeights(text);
   if (!declared) {
     LogLine("bad_weights_row").Error();
@@ -67,9 +67,9 @@
   return nullptr;
 }
 
-void TakeOperatorRows(TargetState& state,
-                      const platform::Rows& rows,
-                      const std::map<std::string, Duration>& ages) {
+void ApplyOperatorRows(TargetState& state,
+                       const platform::Rows& rows,
+                       const std::map<std::string, Duration>& ages) {
   // The configuration comes first, as it defines which model this host runs.
   for (const platform::Row& row : rows.m_rows) {
     if (!row.m_deleted && row.m_key == platform::kConfigKey)
@@ -79,18 +79,18 @@
     if (row.m_deleted || !row.m_key.starts_with(platform::kWeightsKeyPrefix))
       continue;
     const auto age = ages.find(row.m_key);
-    TakeWeights(state, row.m_value,
-                age == ages.end() ? Duration() : age->second);
+    ApplyWeights(state, row.m_value,
+                 age == ages.end() ? Duration() : age->second);
   }
 }
 
-bool RunsEngine(const TargetState& state, const platform::Rows& rows) {
+bool HasEngine(const TargetState& state, const platform::Rows& rows) {
   for (const platform::Row& row : rows.m_rows) {
     if (row.m_deleted || row.m_key != platform::kConfigKey)
       continue;
     auto config =
         CatchFailure([&] { return platform::DecodeConfig(row.m_value); });
-    // TakeOperatorRows logs why the configuration is malformed.
+    // ApplyOperatorRows logs why the configuration is malformed.
     if (!config)
       return false;
     return std::any_of(config->m_services.begin(), config->m_services.end(),
@@ -102,9 +102,9 @@
   return false;
 }
 
-void TakeReplicaRows(TargetState& state,
-                     const platform::Rows& rows,
-                     bool whole) {
+void ApplyReplicaRows(TargetState& state,
+                      const platform::Rows& rows,
+                      bool whole) {
   if (whole)
     state.m_listed.clear();
   for (const platform::Row& row : rows.m_rows) {
--- a/src/libverbenalead/target/target_rows.h
+++ b/src/libverbenalead/target/target_rows.h
@@ -11,19 +11,19 @@
 
 /// Applies the operator's rows to `state`. `ages`: by key, the least time since
 /// a declaration of weights was made.
-void TakeOperatorRows(TargetState& state,
-                      const platform::Rows& rows,
-                      const std::map<std::string, Duration>& ages);
+void ApplyOperatorRows(TargetState& state,
+                       const platform::Rows& rows,
+                       const std::map<std::string, Duration>& ages);
 
 /// Whether the replica on this host has an engine according to the operator's
 /// `rows`.
-bool RunsEngine(const TargetState& state, const platform::Rows& rows);
+bool HasEngine(const TargetState& state, const platform::Rows& rows);
 
 /// Applies rows of replicas to `state`. `whole`: `rows` is the complete table
 /// and replaces all that is known; else it holds changes only.
-void TakeReplicaRows(TargetState& state,
-                     const platform::Rows& rows,
-                     bool whole);
+void ApplyReplicaRows(TargetState& state,
+                      const platform::Rows& rows,
+                      bool whole);
 
 }  // namespace verbenalead::target
 
--- a/src/libverbenalead/target/upload_admission.cc
+++ b/src/libverbenalead/target/upload_admission.cc
@@ -8,15 +8,15 @@
 namespace {
 
 /// Interval at which a waiting upload checks whether the current uploads are
-/// slowed down by their receivers (`decide::kHeldUpUpload`), so that it may
+/// slowed down by their receivers (`decide::kSlowUpload`), so that it may
 /// begin.
 constexpr Duration kLook = 100ms;
 
 }  // namespace
 
-Awaitable<void> UploadGate::Wait(uint64_t id,
-                                 uint64_t version,
-                                 decide::UploadRequest request) {
+Awaitable<void> UploadAdmission::Wait(uint64_t id,
+                                      uint64_t version,
+                                      decide::UploadRequest request) {
   request.m_id = id;
   decide::Ask(m_turns, version, request);
   auto timer = std::make_shared<boost::asio::steady_timer>(
@@ -32,13 +32,13 @@
   }
 }
 
-void UploadGate::End(uint64_t id) {
+void UploadAdmission::End(uint64_t id) {
   decide::End(m_turns, id);
   m_waiting.erase(id);
   Admit();
 }
 
-void UploadGate::Admit() {
+void UploadAdmission::Admit() {
   while (const auto id = decide::Next(m_turns, Now())) {
     const auto found = m_waiting.find(*id);
     if (found == m_waiting.end()) {
--- a/src/libverbenalead/target/upload_admission.h
+++ b/src/libverbenalead/target/upload_admission.h
@@ -10,14 +10,14 @@
 
 namespace verbenalead::target {
 
-/// Suspends uploads until `decide::UploadTurns` admits them. Not safe for
+/// Suspends uploads until `decide::UploadSlots` admits them. Not safe for
 /// concurrent use.
 ///
 ///     const uint64_t id = gate.NewId();
 ///     co_await gate.Wait(id, version, request);
 ///     ...
 ///     gate.End(id);
-class UploadGate {
+class UploadAdmission {
  public:
   uint64_t NewId() { return ++m_last_id; }
   /// Returns when the upload may begin. Sets `request.m_id` to `id`.
@@ -32,7 +32,7 @@
   /// Resumes the waiting uploads that may begin now.
   void Admit();
 
-  decide::UploadTurns m_turns;
+  decide::UploadSlots m_turns;
   uint64_t m_last_id = 0;
   /// Waiting uploads by id; cancelling the timer resumes the upload.
   std::map<uint64_t, std::shared_ptr<boost::asio::steady_timer>> m_waiting;
--- a/src/libverbenalead/wire/cancel_on_disconnect.h
+++ b/src/libverbenalead/wire/cancel_on_disconnect.h
@@ -9,16 +9,16 @@
 /// For the lifetime of this object, cancels `reader` when the receiver of
 /// `writer` disconnects. Without it, a target would continue work whose result
 /// is no longer wanted, and delay the calls queued behind it.
-class CancelWhenGone {
+class CancelOnDisconnect {
  public:
-  CancelWhenGone(ResponseWriter& writer, ResponseReader& reader)
+  CancelOnDisconnect(ResponseWriter& writer, ResponseReader& reader)
       : m_writer(writer) {
-    m_writer.OnGone([&reader] { reader.Cancel(); });
+    m_writer.OnDisconnect([&reader] { reader.Cancel(); });
   }
-  ~CancelWhenGone() { m_writer.OnGone(nullptr); }
+  ~CancelOnDisconnect() { m_writer.OnDisconnect(nullptr); }
 
-  CancelWhenGone(const CancelWhenGone&) = delete;
-  CancelWhenGone& operator=(const CancelWhenGone&) = delete;
+  CancelOnDisconnect(const CancelOnDisconnect&) = delete;
+  CancelOnDisconnect& operator=(const CancelOnDisconnect&) = delete;
 
  private:
   ResponseWriter& m_writer;
--- a/src/libverbenalead/wire/recording_writer.h
+++ b/src/libverbenalead/wire/recording_writer.h
@@ -13,7 +13,7 @@
 class RecordingWriter : public ResponseWriter {
  public:
   Awaitable<bool> Send(Response response) override {
-    m_heads += m_whole ? 2 : 1;
+    m_head_count += m_whole ? 2 : 1;
     m_status = response.m_status;
     m_headers = std::move(response.m_headers);
     m_body += response.m_body;
@@ -21,7 +21,7 @@
     co_return true;
   }
   Awaitable<bool> Start(ResponseHead head) override {
-    ++m_heads;
+    ++m_head_count;
     m_status = head.m_status;
     m_headers = std::move(head.m_headers);
     co_return true;
@@ -34,21 +34,21 @@
     m_whole = true;
     co_return true;
   }
-  bool gone() const override { return m_gone; }
-  void OnGone(std::function<void()> function) override {
-    m_on_gone = std::move(function);
+  bool gone() const override { return m_disconnected; }
+  void OnDisconnect(std::function<void()> function) override {
+    m_on_disconnect = std::move(function);
   }
 
   /// Simulates that the caller closes its connection.
   void Leave() {
-    m_gone = true;
-    if (const auto on_gone = std::exchange(m_on_gone, nullptr))
+    m_disconnected = true;
+    if (const auto on_gone = std::exchange(m_on_disconnect, nullptr))
       on_gone();
   }
 
   /// Number of heads sent. A correct response has exactly one; a Send() after a
   /// complete response counts as 2.
-  int m_heads = 0;
+  int m_head_count = 0;
   int m_status = 0;
   Headers m_headers;
   std::string m_body;
@@ -56,8 +56,8 @@
   bool m_whole = false;
 
  private:
-  std::function<void()> m_on_gone;
-  bool m_gone = false;
+  std::function<void()> m_on_disconnect;
+  bool m_disconnected = false;
 };
 
 }  // namespace verbenalead::wire
--- a/src/libverbenalead/wire/response_writer.h
+++ b/src/libverbenalead/wire/response_writer.h
@@ -30,7 +30,9 @@
   /// Registers `function`, which is called when the client is known to have
   /// disconnected; immediately if that is already the case. An empty function
   /// removes the registration.
-  virtual void OnGone(std::function<void()> function) { function = nullptr; }
+  virtual void OnDisconnect(std::function<void()> function) {
+    function = nullptr;
+  }
 };
 
 /// Handles one request and sends its response.
--- a/src/libverbenalead/wire/scripted_client.h
+++ b/src/libverbenalead/wire/scripted_client.h
@@ -25,11 +25,11 @@
   ResponseHead m_head;
   std::vector<std::string> m_pieces;
   /// Whether the connection breaks after the last piece.
-  bool m_breaks = false;
+  bool m_breaks_at_end = false;
   /// Delay before the head.
-  Duration m_head_silence{};
+  Duration m_head_delay{};
   /// Delay before a piece of the body, by the index of the piece (from 0).
-  std::map<size_t, Duration> m_silences;
+  std::map<size_t, Duration> m_piece_delays;
 };
 
 /// A Client for tests that simulates replicas: returns scripted responses in
@@ -68,8 +68,8 @@
 
     Awaitable<AsyncResult<ResponseHead>> ReadHead(TimePoint deadline) override {
       m_client.m_head_deadlines.push_back(deadline);
-      const auto silence = m_answer.m_head_silence;
-      if (const auto failure_code = co_await WaitInSilence(silence, deadline))
+      const auto silence = m_answer.m_head_delay;
+      if (const auto failure_code = co_await AwaitDelay(silence, deadline))
         co_return Failure{*failure_code, "read head", "replica", "silent"};
       if (m_answer.m_failure)
         co_return Failure{*m_answer.m_failure, "read head", "replica", "no"};
@@ -78,17 +78,17 @@
     Awaitable<AsyncResult<std::optional<std::string>>> ReadBody(
         TimePoint deadline) override {
       m_client.m_body_deadlines.push_back(deadline);
-      const auto found = m_answer.m_silences.find(m_next);
-      if (found != m_answer.m_silences.end()) {
+      const auto found = m_answer.m_piece_delays.find(m_next);
+      if (found != m_answer.m_piece_delays.end()) {
         const Duration silence = std::exchange(found->second, Duration());
-        if (const auto failure_code = co_await WaitInSilence(silence, deadline))
+        if (const auto failure_code = co_await AwaitDelay(silence, deadline))
           co_return Failure{*failure_code, "read body", "replica", "silent"};
       }
       if (m_cancelled)
         co_return Failure{FailureCode::kCancelled, "read body", "replica", ""};
       if (m_next < m_answer.m_pieces.size())
         co_return std::optional<std::string>(m_answer.m_pieces[m_next++]);
-      if (m_answer.m_breaks)
+      if (m_answer.m_breaks_at_end)
         co_return Failure{FailureCode::kBroken, "read body", "replica", "cut"};
       co_return std::optional<std::string>();
     }
@@ -104,8 +104,8 @@
    private:
     /// Waits for `silence`. Returns why the wait ended early (cancelled or past
     /// `deadline`), or nullopt after the full time.
-    Awaitable<std::optional<FailureCode>> WaitInSilence(Duration silence,
-                                                        TimePoint deadline) {
+    Awaitable<std::optional<FailureCode>> AwaitDelay(Duration silence,
+                                                     TimePoint deadline) {
       const TimePoint silence_end = Now() + silence;
       if (silence > Duration() && !m_cancelled) {
         m_timer.emplace(co_await boost::asio::this_coro::executor,
--- a/src/vlctl/answer.cc
+++ b/src/vlctl/answer.cc
@@ -17,7 +17,7 @@
     case 202:
       return kOk;
     case 400:
-      return kBadUse;
+      return kUsageError;
     case 404:
       return kNotFound;
     case 409:
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-ExitCode Complain(ExitCode code, const std::string& sentence) {
+ExitCode PrintError(ExitCode code, const std::string& sentence) {
   std::cerr << "vlctl: " << sentence << "\n";
   return code;
 }
@@ -39,18 +39,18 @@
 ExitCode ReadObject(const AsyncResult<wire::Response>& response,
                     json::object& out) {
   if (!response)
-    return Complain(kFailed, ToString(response.error()));
+    return PrintError(kFailed, ToString(response.error()));
   auto object = CatchFailure(
       [&] { return model::ParseObject(response->m_body, "answer"); });
   if (!object)
-    return Complain(kFailed, ToString(object.error()));
+    return PrintError(kFailed, ToString(object.error()));
   out = std::move(*object);
   if (ExitCodeFor(response->m_status) == kOk)
     return kOk;
-  return Complain(ExitCodeFor(response->m_status),
-                  out.contains("error")
-                      ? json::value_to<std::string>(out.at("error"))
-                      : "status " + std::to_string(response->m_status));
+  return PrintError(ExitCodeFor(response->m_status),
+                    out.contains("error")
+                        ? json::value_to<std::string>(out.at("error"))
+                        : "status " + std::to_string(response->m_status));
 }
 
 std::string Show(const json::value& value) {
--- a/src/vlctl/answer.h
+++ b/src/vlctl/answer.h
@@ -12,7 +12,7 @@
 
 /// Prints `sentence` to standard error, prefixed by the program's name.
 /// Returns `code`, so that a command can report an error and return at once.
-ExitCode Complain(ExitCode code, const std::string& sentence);
+ExitCode PrintError(ExitCode code, const std::string& sentence);
 
 /// Parses the JSON object in the body of `response` into `out`. Returns kOk for
 /// a successful response. Otherwise prints the error to standard error and
--- a/src/vlctl/apply.cc
+++ b/src/vlctl/apply.cc
@@ -30,7 +30,7 @@
                   const std::string& operation) {
   if (!resource.contains("kind") || !resource.contains("name") ||
       !resource.contains("spec"))
-    return Complain(kBadUse, "a resource needs kind, name and spec");
+    return PrintError(kUsageError, "a resource needs kind, name and spec");
   wire::Headers headers{{"x-operation-id", operation},
                         {"x-operator", context.m_operator},
                         {"content-type", "application/json"}};
@@ -74,18 +74,18 @@
                const std::string& operation) {
   auto text = ReadFile(path);
   if (!text)
-    return Complain(kBadUse, ToString(text.error()));
+    return PrintError(kUsageError, ToString(text.error()));
   boost::system::error_code error;
   const json::value document = json::parse(*text, error);
   if (error)
-    return Complain(kBadUse, path + " is not JSON: " + error.message());
+    return PrintError(kUsageError, path + " is not JSON: " + error.message());
   const json::array list =
       document.is_array() ? document.get_array() : json::array{document};
   const std::string base = operation.empty() ? NewId() : operation;
   std::vector<json::object> resources;
   for (const json::value& item : list) {
     if (!item.is_object())
-      return Complain(kBadUse, "a resource must be a JSON object");
+      return PrintError(kUsageError, "a resource must be a JSON object");
     resources.push_back(item.get_object());
   }
   // Declares a resource before those that refer to it, so that the order of the
--- a/src/vlctl/local_commands.cc
+++ b/src/vlctl/local_commands.cc
@@ -34,14 +34,14 @@
 ExitCode CheckSettings(const std::string& program, const std::string& path) {
   if (program != "vlentry" && program != "vltarget") {
     std::cerr << "vlctl: the program is vlentry or vltarget\n";
-    return kBadUse;
+    return kUsageError;
   }
   const SettingsSchema schema =
       program == "vlentry" ? daemon::EntrySettings() : daemon::TargetSettings();
   auto settings = CatchFailure([&] { return schema.Load(path); });
   if (!settings) {
     std::cerr << "vlctl: " << ToString(settings.error()) << "\n";
-    return kBadUse;
+    return kUsageError;
   }
   std::cout << path << ": fine\n";
   return kOk;
@@ -56,7 +56,7 @@
   if (!manifest) {
     std::cerr << "vlctl: " << path << ": " << ToString(manifest.error())
               << "\n";
-    return kBadUse;
+    return kUsageError;
   }
   const std::string text = ToJson(*manifest);
   const std::string base = std::filesystem::path(path).filename().string();
--- a/src/vlctl/main.cc
+++ b/src/vlctl/main.cc
@@ -70,8 +70,7 @@
   auto* drain =
       app.add_subcommand("drain", "make a target refuse new requests");
   drain->add_option("target", options.m_name)->required();
-  auto* trace = app.add_subcommand(
-      "trace", "what became of a request");
+  auto* trace = app.add_subcommand("trace", "what became of a request");
   trace->add_option("request", options.m_name, "request id")->required();
   app.add_subcommand("status", "show state and version of each target");
 }
@@ -125,12 +124,12 @@
   auto entry = CatchFailure([&] { return ParseEndpoint(options.m_entry); });
   if (!entry) {
     std::cerr << "vlctl: " << ToString(entry.error()) << "\n";
-    return vlctl::kBadUse;
+    return vlctl::kUsageError;
   }
   vlctl::OperatorClient client(*entry,
                                std::chrono::milliseconds(options.m_timeout_ms));
   if (!LoadCredentials(client, options))
-    return vlctl::kBadUse;
+    return vlctl::kUsageError;
   const vlctl::Context context{client, options.m_output == "json",
                                options.m_operator};
   if (command == "apply")
@@ -188,7 +187,7 @@
   try {
     app.parse(argc, argv);
   } catch (const CLI::ParseError& error) {
-    return app.exit(error) == 0 ? vlctl::kOk : vlctl::kBadUse;
+    return app.exit(error) == 0 ? vlctl::kOk : vlctl::kUsageError;
   }
   return RunCommand(app, options);
 }
--- a/src/vlctl/operator_client.cc
+++ b/src/vlctl/operator_client.cc
@@ -68,7 +68,7 @@
   return m_client->UseTls(path);
 }
 
-void OperatorClient::AddToken(wire::Request& request) const {
+void OperatorClient::AddAuthorization(wire::Request& request) const {
   if (!m_token.empty())
     request.m_headers["authorization"] = "Bearer " + m_token;
 }
@@ -83,7 +83,7 @@
   request.m_path = path;
   request.m_headers = headers;
   request.m_body = body;
-  AddToken(request);
+  AddAuthorization(request);
   return RunBlocking(
       wire::Fetch(*m_client, m_entry, std::move(request), Now() + m_timeout));
 }
@@ -93,7 +93,7 @@
     const std::function<bool(const std::string&)>& on_line) const {
   wire::Request request;
   request.m_path = path;
-  AddToken(request);
+  AddAuthorization(request);
   return RunBlocking(
       ReadLines(*m_client, m_entry, std::move(request), on_line));
 }
--- a/src/vlctl/operator_client.h
+++ b/src/vlctl/operator_client.h
@@ -40,7 +40,7 @@
       const std::function<bool(const std::string&)>& on_line) const;
 
  private:
-  void AddToken(wire::Request& request) const;
+  void AddAuthorization(wire::Request& request) const;
 
   Endpoint m_entry;
   Duration m_timeout;
--- a/src/vlctl/rollout_commands.cc
+++ b/src/vlctl/rollout_commands.cc
@@ -67,7 +67,7 @@
   if (code != kOk)
     return code;
   if (!answer.contains("spec") || !answer.at("spec").is_object())
-    return Complain(kFailed, "the entry's answer has no spec");
+    return PrintError(kFailed, "the entry's answer has no spec");
   out.m_spec = answer.at("spec").get_object();
   out.m_revision = Show(answer.at("revision"));
   return kOk;
@@ -126,8 +126,8 @@
         return Show(change.at("revision")) != std::to_string(last);
       });
   if (!followed || out.empty()) {
-    return Complain(kNotFound, "no earlier version of pool " + pool +
-                                   " is remembered; name it with --to");
+    return PrintError(kNotFound, "no earlier version of pool " + pool +
+                                     " is remembered; name it with --to");
   }
   return kOk;
 }
@@ -141,7 +141,7 @@
   if (code != kOk)
     return code;
   if (targets.empty())
-    return Complain(kNotFound, "no target of pool " + pool + " is known");
+    return PrintError(kNotFound, "no target of pool " + pool + " is known");
   uint64_t origin = 0;
   uint64_t peers = 0;
   json::array hosts;
--- a/src/vlctl/watch.cc
+++ b/src/vlctl/watch.cc
@@ -16,7 +16,7 @@
     std::cout << line << std::endl;
     return count == 0 || ++seen < count;
   });
-  return done ? kOk : Complain(kFailed, ToString(done.error()));
+  return done ? kOk : PrintError(kFailed, ToString(done.error()));
 }
 
 }  // namespace verbenalead::vlctl
--- a/testsuite/load/generator.cc
+++ b/testsuite/load/generator.cc
@@ -24,7 +24,7 @@
 
 Awaitable<void> Generator::Run() {
   const auto executor = co_await asio::this_coro::executor;
-  m_start = Now() + Seconds(m_options.m_warm_seconds);
+  m_start = Now() + Seconds(m_options.m_warmup_seconds);
   m_end = m_start + Seconds(m_options.m_seconds);
   if (m_options.m_rate > 0) {
     co_await RunOpenLoop();
@@ -51,8 +51,8 @@
   for (TimePoint due = Now(); due < m_end; due += Seconds(gap(m_random))) {
     if (due > Now())
       co_await Sleep(due - Now());
-    if (m_open >= m_options.m_most_open)
-      m_tally.NotSent();
+    if (m_open >= m_options.m_max_open)
+      m_tally.CountUnsent();
     else
       asio::co_spawn(executor, SendOne(due), asio::detached);
   }
--- a/testsuite/load/load_options.h
+++ b/testsuite/load/load_options.h
@@ -34,9 +34,9 @@
   double m_rate = 0;
   /// Open loop: maximum number of concurrent requests. A request that exceeds
   /// it is counted as not sent.
-  int m_most_open = 10000;
+  int m_max_open = 10000;
   double m_seconds = 5;
-  double m_warm_seconds = 0.5;
+  double m_warmup_seconds = 0.5;
   uint64_t m_seed = 1;
 };
 
--- a/testsuite/load/main.cc
+++ b/testsuite/load/main.cc
@@ -11,7 +11,7 @@
 
 using namespace verbenalead;
 
-constexpr int kBadUse = 2;
+constexpr int kUsageError = 2;
 
 void AddOptions(CLI::App& app,
                 load::LoadOptions& options,
@@ -33,7 +33,7 @@
   app.add_option("--callers", options.m_callers, "closed loop: callers");
   app.add_option("--rate", options.m_rate, "open loop: requests a second");
   app.add_option("--seconds", options.m_seconds, "time that is measured");
-  app.add_option("--warm", options.m_warm_seconds, "seconds before that");
+  app.add_option("--warm", options.m_warmup_seconds, "seconds before that");
   app.add_option("--seed", options.m_seed, "seed of the random source");
 }
 
@@ -50,13 +50,13 @@
   try {
     app.parse(argc, argv);
   } catch (const CLI::ParseError& error) {
-    return app.exit(error) == 0 ? 0 : kBadUse;
+    return app.exit(error) == 0 ? 0 : kUsageError;
   }
   for (const std::string& text : addresses) {
     auto address = CatchFailure([&] { return ParseEndpoint(text); });
     if (!address) {
       std::cerr << "load: " << ToString(address.error()) << "\n";
-      return kBadUse;
+      return kUsageError;
     }
     options.m_addresses.push_back(*address);
   }
--- a/testsuite/load/tally.cc
+++ b/testsuite/load/tally.cc
@@ -51,7 +51,7 @@
   const double seconds = std::chrono::duration<double>(elapsed).count();
   return fmt::format("requests={} per_second={:.1f} not_sent={}{}{}{}",
                      requests, static_cast<double>(requests) / seconds,
-                     m_not_sent, outcomes, Quantiles("first", m_first),
+                     m_unsent_count, outcomes, Quantiles("first", m_first),
                      Quantiles("whole", m_whole));
 }
 
--- a/testsuite/load/tally.h
+++ b/testsuite/load/tally.h
@@ -16,7 +16,7 @@
   /// Adds one response: its outcome, the time to its first byte and the time to
   /// its end. Latencies are kept of completed requests only.
   void Add(const std::string& outcome, Duration first, Duration whole);
-  void NotSent() { ++m_not_sent; }
+  void CountUnsent() { ++m_unsent_count; }
 
   /// Formats the results as one line of key=value pairs, with latencies in
   /// milliseconds.
@@ -26,7 +26,7 @@
   std::map<std::string, uint64_t> m_outcomes;
   std::vector<double> m_first;
   std::vector<double> m_whole;
-  uint64_t m_not_sent = 0;
+  uint64_t m_unsent_count = 0;
 };
 
 }  // namespace verbenalead::load
--- a/testsuite/standins/engine/engine_handler.cc
+++ b/testsuite/standins/engine/engine_handler.cc
@@ -149,7 +149,7 @@
   std::string m_version;
   Digest m_digest;
   std::string m_url;
-  uint64_t m_fence = 0;
+  uint64_t m_fencing_token = 0;
 };
 
 Result<Order> ReadOrder(const std::string& body) {
@@ -160,15 +160,17 @@
   BOOST_LEAF_AUTO(digest, model::TextField(object, "digest"));
   BOOST_LEAF_ASSIGN(order.m_digest, ParseDigest(digest));
   BOOST_LEAF_ASSIGN(order.m_url, model::TextField(object, "weights_url"));
-  BOOST_LEAF_ASSIGN(order.m_fence, model::NumberField(object, "fence"));
+  BOOST_LEAF_ASSIGN(order.m_fencing_token, model::NumberField(object, "fence"));
   return order;
 }
 
 bool AcceptFence(Engine& engine, uint64_t fence) {
   std::lock_guard lock(engine.m_state.m_mutex);
-  if (fence < engine.m_state.m_fence && !engine.m_faults->Flag("ignore_fence"))
+  if (fence < engine.m_state.m_fencing_token &&
+      !engine.m_faults->Flag("ignore_fence"))
     return false;
-  engine.m_state.m_fence = std::max(engine.m_state.m_fence, fence);
+  engine.m_state.m_fencing_token =
+      std::max(engine.m_state.m_fencing_token, fence);
   return true;
 }
 
@@ -176,7 +178,7 @@
   auto order = CatchFailure([&] { return ReadOrder(body); });
   if (!order)
     co_return wire::Response{400, {}, order.error().m_reason};
-  if (!AcceptFence(*engine, order->m_fence))
+  if (!AcceptFence(*engine, order->m_fencing_token))
     co_return wire::Response{409, {}, "stale fencing number"};
   if (engine->m_faults->Flag("fail_load"))
     co_return wire::Response{500, {}, "out of memory"};
--- a/testsuite/standins/engine/engine_state.h
+++ b/testsuite/standins/engine/engine_state.h
@@ -16,7 +16,7 @@
   std::string m_model;
   std::string m_version;
   Digest m_digest;
-  uint64_t m_fence = 0;
+  uint64_t m_fencing_token = 0;
   uint32_t m_running = 0;
   uint64_t m_tokens = 0;
   /// Runs by request id, which tests compare with the reported outcomes.
--- a/testsuite/standins/platform_store/row_store.cc
+++ b/testsuite/standins/platform_store/row_store.cc
@@ -99,7 +99,7 @@
 
 std::optional<json::object> RowStore::Changes(const std::string& table,
                                               uint64_t revision) const {
-  if (revision < m_forgotten)
+  if (revision < m_history_start)
     return std::nullopt;
   std::map<uint64_t, json::array> changes;
   for (const auto& [key, row] : m_rows) {
--- a/testsuite/standins/platform_store/row_store.h
+++ b/testsuite/standins/platform_store/row_store.h
@@ -28,7 +28,7 @@
                                              uint64_t revision) const;
   bool HasChanges(const std::string& table, uint64_t revision) const;
   /// Drops the history of changes up to now.
-  void Forget() { m_forgotten = m_revision; }
+  void Forget() { m_history_start = m_revision; }
 
  private:
   struct Row {
@@ -45,7 +45,7 @@
 
   std::map<Key, Row> m_rows;
   uint64_t m_revision = 1;
-  uint64_t m_forgotten = 0;
+  uint64_t m_history_start = 0;
 };
 
 }  // namespace verbenalead::standins
--- a/testsuite/standins/relay/connection.cc
+++ b/testsuite/standins/relay/connection.cc
@@ -28,7 +28,8 @@
         asio::buffer(piece), asio::redirect_error(asio::use_awaitable, error));
     if (connection->m_delay > Duration::zero())
       co_await Sleep(connection->m_delay);
-    if (error || connection->m_silent || (from_far && connection->m_far_silent))
+    if (error || connection->m_silent ||
+        (from_far && connection->m_far_side_silent))
       continue;
     co_await asio::async_write(
         to, asio::buffer(piece.data(), size),
--- a/testsuite/standins/relay/connection.h
+++ b/testsuite/standins/relay/connection.h
@@ -25,7 +25,7 @@
   /// closes.
   bool m_silent = false;
   /// Discards the bytes that arrive from the far side.
-  bool m_far_silent = false;
+  bool m_far_side_silent = false;
 };
 
 /// Connects to `forward` and relays bytes in both directions until either side
--- a/testsuite/standins/relay/main.cc
+++ b/testsuite/standins/relay/main.cc
@@ -31,7 +31,7 @@
   if (good && faults.Flag("silent"))
     relay.Silence();
   if (good && faults.Flag("far_silent"))
-    relay.SilenceFar();
+    relay.SilenceFarSide();
   if (good && faults.Flag("cut"))
     relay.Cut();
   if (good)
--- a/testsuite/standins/relay/relay.cc
+++ b/testsuite/standins/relay/relay.cc
@@ -22,10 +22,10 @@
   }
 }
 
-void Relay::SilenceFar() {
+void Relay::SilenceFarSide() {
   for (const auto& each : m_connections) {
     if (auto connection = each.lock())
-      connection->m_far_silent = true;
+      connection->m_far_side_silent = true;
   }
 }
 
--- a/testsuite/standins/relay/relay.h
+++ b/testsuite/standins/relay/relay.h
@@ -23,7 +23,7 @@
   /// Existing connections carry no more data; neither end sees an error.
   void Silence();
   /// Existing connections carry no more data from the far side.
-  void SilenceFar();
+  void SilenceFarSide();
   /// Closes existing connections.
   void Cut();
   /// Delays each piece of data of future connections.
