--- a/testsuite/cases/caller_gone/run.py
+++ b/testsuite/cases/caller_gone/run.py
@@ -2,8 +2,8 @@
 
 Some wait for a streamed response and some for a whole one. The entry sees the
 closed connection and resets its stream to the target, which closes its
-connection to the engine. The engine stops the work at once, so that its slots
-are free for other callers. A call that may run only once runs to its end, and a
+connection to the engine. The engine stops the work within moments, so that its
+slots are free for other callers. A call that may run only once runs to its end, and a
 repeated call gets its outcome.
 """
 
--- a/testsuite/cases/config_outage/run.py
+++ b/testsuite/cases/config_outage/run.py
@@ -1,4 +1,4 @@
-"""An accepted change survives the loss of its entry and of the table.
+"""An accepted change outlives its entry and the table, and is never reverted.
 
 While no other process can be reached, the operator gets 202: the change is
 committed, but would be hidden if this entry were lost. Otherwise the operator
