--- a/src/vlctl/main.cc
+++ b/src/vlctl/main.cc
@@ -70,8 +70,7 @@
   auto* drain =
       app.add_subcommand("drain", "make a target refuse new requests");
   drain->add_option("target", options.m_name)->required();
-  auto* trace = app.add_subcommand(
-      "trace", "what became of a request");
+  auto* trace = app.add_subcommand("trace", "what became of a request");
   trace->add_option("request", options.m_name, "request id")->required();
   app.add_subcommand("status", "show state and version of each target");
 }
