--- a/src/libverbenalead/decide/announcement_tracker.h
+++ b/src/libverbenalead/decide/announcement_tracker.h
@@ -7,9 +7,9 @@
 
 namespace verbenalead::decide {
 
-/// Tracks which of the operator's changes a target process knows and which
-/// entries have announced theirs, and decides whether the process fetches rows
-/// from an entry or reads the store.
+/// Tracks which of the operator's changes a target process has received and
+/// which entries have announced theirs, and decides whether the process fetches
+/// rows from an entry or reads the store.
 ///
 /// Load: 127 target processes, a configuration of 390 KB, and links of
 /// 32 Mbit/s to the store. Harm: when each process read the store at its start
@@ -32,8 +32,8 @@
   TimePoint m_local_announced_at{};
 };
 
-/// Records that an entry announced `revision` as the newest one it knows.
-/// Returns whether to fetch the rows from that entry.
+/// Records that an entry announced `revision` as the newest one it has. Returns
+/// whether to fetch the rows from that entry.
 ///
 /// Entries in the store's region receive a change first and announce it to all
 /// hosts at once. While entries of this data centre announce too, only their
@@ -52,7 +52,7 @@
 }
 
 /// Whether the store must not be read for now, because entries are expected to
-/// serve the rows. Each host draws `spread`, 0 to 1, at random, so that hosts
+/// serve the rows. Each host chooses `spread`, 0 to 1, at random, so that hosts
 /// that start together do not read the store at the same moment.
 bool DefersStoreRead(const AnnouncementTracker& watch,
                      double spread,
--- a/src/libverbenalead/decide/call_policy.cc
+++ b/src/libverbenalead/decide/call_policy.cc
@@ -24,7 +24,8 @@
 /// Wait limit of calls that can no longer be on time.
 constexpr Duration kLateWait = 250ms;
 
-/// Long enough for the owner of the request to be informed.
+/// Retry delay of a request that crashed replicas: long enough for the owner of
+/// the request to be informed.
 constexpr Duration kRetryAfterCrashes = 60s;
 
 Duration RandomDuration(Duration min, Duration max, std::mt19937_64& random) {
@@ -100,8 +101,8 @@
                          const model::InboundCall& call) {
   if (call.m_output_tokens == 0)
     return Duration();
-  // Prompts of other calls are read between the tokens of this one, which takes
-  // as long again.
+  // Prompts of other calls are read between the tokens of this call and take as
+  // long as the tokens themselves, hence the factor of two.
   return PrefillTime(engine, call.m_prompt_tokens) +
          2 * engine.m_step * call.m_output_tokens;
 }
--- a/src/libverbenalead/decide/call_policy.h
+++ b/src/libverbenalead/decide/call_policy.h
@@ -93,13 +93,14 @@
 }
 
 /// Adjusts `call`, whose last attempt was cut off or rejected, before it is
-/// placed again.
+/// retried.
 ///
 /// Failure: an attempt is cut off before its first event, for example by a
 /// replica that loads weights. Symptom: the deadline for reading the call's
 /// prompt has passed, so the call fits no replica, waits while slots are free,
-/// and fails. The call therefore goes on as a late one, without this deadline,
-/// and takes slots that on-time calls leave free.
+/// and fails. If its prompt can no longer be read by that deadline, the call is
+/// therefore retried as a late one, without the deadline, and takes slots that
+/// on-time calls leave free.
 void PrepareRetry(PoolCall& call, double prefill_rate, TimePoint now);
 
 }  // namespace verbenalead::decide
--- a/src/libverbenalead/decide/claim_batch_test.cc
+++ b/src/libverbenalead/decide/claim_batch_test.cc
@@ -265,7 +265,7 @@
 class ClaimBatchTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ClaimBatchTest);
   CPPUNIT_TEST(NeverRunsTwice);
-  CPPUNIT_TEST(RepeatedCallDoesNotFailItsGroup);
+  CPPUNIT_TEST(HeldKeyDoesNotFailItsGroup);
   CPPUNIT_TEST(LostAnswerIsReadBack);
   CPPUNIT_TEST(LateReleaseDoesNotFreeTheNextClaim);
   CPPUNIT_TEST(UnavailableTableRefusesAtOnce);
@@ -275,9 +275,8 @@
  public:
   // Guards against running a key's call twice, and against a key that stays
   // held although its call was refused: callers would pay twice or could never
-  // run the call. Three entries claim four keys and repeat each other's calls.
-  // Writes and answers are lost, delayed and refused; entries crash between
-  // claim, run and record.
+  // run the call. Three entries claim the same four keys. Writes and answers
+  // are lost, delayed and refused; entries crash between claim, run and record.
   void NeverRunsTwice() {
     uint64_t steps = 0;
     const bool passed = rc::check("at most one run per key", [&steps] {
@@ -298,7 +297,7 @@
   // transaction, which the table rejects as a whole because another entry holds
   // the fifth key. The first four have to succeed; the fifth has to be reported
   // as held.
-  void RepeatedCallDoesNotFailItsGroup() {
+  void HeldKeyDoesNotFailItsGroup() {
     ClaimBatchState batch;
     Table table;
     table["k4"] = {ClaimRevision(99, ClaimStage::kClaimed), "other"};
--- a/src/libverbenalead/decide/config_tree_test.cc
+++ b/src/libverbenalead/decide/config_tree_test.cc
@@ -24,8 +24,8 @@
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // A cycle of streams would keep circulating outdated changes without the
-  // table.
+  // Guards against a cycle of streams: its entries would keep sending each
+  // other outdated changes and receive none from the table.
   void EveryChainEndsAtAReader() {
     for (const size_t count : {1, 2, 3, 4, 8, 128, 630}) {
       const auto ranked = Names(count);
--- a/src/libverbenalead/decide/digest_read_order_test.cc
+++ b/src/libverbenalead/decide/digest_read_order_test.cc
@@ -17,7 +17,7 @@
 class DigestReadOrderTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(DigestReadOrderTest);
   CPPUNIT_TEST(AllHostsAgreeOnTheOrder);
-  CPPUNIT_TEST(FewHostsAskAReturnedOrigin);
+  CPPUNIT_TEST(FewHostsReadFromAReturnedOrigin);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -33,9 +33,10 @@
     CPPUNIT_ASSERT(first.size() > 10);
   }
 
-  // The first chunks of new weights arrive one second late: the origin was
-  // unreachable for 6 s, and all hosts request the digests when it returns.
-  void FewHostsAskAReturnedOrigin() {
+  // Guards against first chunks of new weights that arrive one second late: the
+  // origin was unreachable for 6 s, and all hosts request the digests when it
+  // returns.
+  void FewHostsReadFromAReturnedOrigin() {
     size_t readers = 0;
     for (size_t place = 0; place < 300; ++place)
       readers += DigestReadDelay(place) <= Duration(6s);
--- a/src/libverbenalead/decide/earliest_write.h
+++ b/src/libverbenalead/decide/earliest_write.h
@@ -8,9 +8,9 @@
 
 namespace verbenalead::decide {
 
-/// If a data centre gets no proof of freshness from the store for longer than
-/// this, the store counts as unavailable. An entry that takes over the store
-/// queries of another entry needs less time.
+/// If the store has not confirmed for longer than this that the rows of a data
+/// centre are up to date, the store counts as unavailable. When an entry takes
+/// over the store queries of another entry, the gap is shorter.
 constexpr Duration kOutage = 3s;
 
 /// Earliest time at which a row that is new in an answer of the store may have
--- a/src/libverbenalead/decide/earliest_write_test.cc
+++ b/src/libverbenalead/decide/earliest_write_test.cc
@@ -33,14 +33,15 @@
   void RowIsYoungerThanTheLastProof() {
     CPPUNIT_ASSERT(EarliestWriteTime(12s, 10500ms, Duration(10s)) ==
                    Duration(10s));
-    // Another entry got a proof of freshness while the query was open.
+    // The store confirmed to another entry, while the query was open, that
+    // there was nothing newer.
     CPPUNIT_ASSERT(EarliestWriteTime(10s, 12s, Duration(11s)) == Duration(12s));
   }
 
   // Guards against five seconds without a usable replica. The store was
   // unavailable for eight seconds. The weights that were declared meanwhile
-  // forbade the older ones as soon as entries read of them, when no host had
-  // them yet.
+  // forbade the older ones as soon as entries read the declaration, when no
+  // host had the new weights yet.
   void OutageDoesNotAddToTheRowsAge() {
     CPPUNIT_ASSERT(EarliestWriteTime(18s, 18005ms, Duration(10s)) ==
                    Duration(18005ms));
--- a/src/libverbenalead/decide/fake_fleet.h
+++ b/src/libverbenalead/decide/fake_fleet.h
@@ -209,8 +209,8 @@
     CallAt(number).m_waits = false;
     Schedule(m_now + kNetworkDelay, [this, number, replica] {
       Target& target = m_targets[replica];
-      const SlotRequest wish = WishOf(number, m_now);
-      const bool granted = Ask(target.m_queue, wish, target.m_load, m_now) ==
+      const SlotRequest request = WishOf(number, m_now);
+      const bool granted = Ask(target.m_queue, request, target.m_load, m_now) ==
                            SlotVerdict::kGranted;
       if (granted)
         CountGranted(number, replica);
@@ -222,16 +222,18 @@
 
   SlotRequest WishOf(uint64_t number, TimePoint until) const {
     const PoolCall call = PoolCallOf(number);
-    SlotRequest wish;
-    wish.m_entry = EntryAddress(m_calls[number].m_entry);
-    wish.m_ticket = number;
-    wish.m_prompt_tokens = call.m_prompt_tokens;
-    wish.m_can_be_on_time = call.m_can_be_on_time || !m_load.m_queue_at_targets;
-    wish.m_read_deadline = wish.m_can_be_on_time ? call.m_read_deadline : m_now;
-    if (wish.m_read_deadline == TimePoint::max())
-      wish.m_read_deadline = m_now + std::chrono::hours(1);
-    wish.m_until = until;
-    return wish;
+    SlotRequest request;
+    request.m_entry = EntryAddress(m_calls[number].m_entry);
+    request.m_ticket = number;
+    request.m_prompt_tokens = call.m_prompt_tokens;
+    request.m_can_be_on_time =
+        call.m_can_be_on_time || !m_load.m_queue_at_targets;
+    request.m_read_deadline =
+        request.m_can_be_on_time ? call.m_read_deadline : m_now;
+    if (request.m_read_deadline == TimePoint::max())
+      request.m_read_deadline = m_now + std::chrono::hours(1);
+    request.m_until = until;
+    return request;
   }
 
   void CountGranted(uint64_t number, size_t replica) {
@@ -316,8 +318,9 @@
 
   void GrantWaiting(size_t replica) {
     Target& target = m_targets[replica];
-    for (const SlotRequest& wish : Grant(target.m_queue, target.m_load, m_now))
-      SendGrant(wish.m_ticket, replica);
+    for (const SlotRequest& request :
+         Grant(target.m_queue, target.m_load, m_now))
+      SendGrant(request.m_ticket, replica);
   }
 
   void Start(uint64_t number, size_t replica) {
--- a/src/libverbenalead/decide/fake_pool.h
+++ b/src/libverbenalead/decide/fake_pool.h
@@ -486,7 +486,7 @@
   }
 
   /// Handles a call for which no target had a free slot: the call still counts
-  /// as running and is sent again after kFullTargetPause.
+  /// as running and is retried after kFullTargetPause.
   void RetryWhenFull(size_t call,
                      size_t e,
                      uint32_t number,
--- a/src/libverbenalead/decide/fetch_window_test.cc
+++ b/src/libverbenalead/decide/fetch_window_test.cc
@@ -19,10 +19,10 @@
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // Callers disconnect before their calls reach the replica: the bandwidth of
-  // the host's link drops during a transfer, and each call waits behind five
-  // queued chunks, 1.6 s long. The window shrinks until a call waits 0.7 s at
-  // most.
+  // Guards against callers that disconnect before their calls reach the
+  // replica: the bandwidth of the host's link drops during a transfer, and each
+  // call waits behind five queued chunks, 1.6 s long. The window shrinks until
+  // a call waits 0.7 s at most.
   void ShrinksOnANarrowLink() {
     FetchWindow window{kMaxSize, kSlow};
     CPPUNIT_ASSERT(QueueDelayAfter(window, 1.2, 3) < 700ms);
--- a/src/libverbenalead/decide/load_plan.cc
+++ b/src/libverbenalead/decide/load_plan.cc
@@ -20,7 +20,7 @@
 constexpr Duration kMaxDrainTime = 1500ms;
 constexpr Duration kMinDrainTime = 550ms;
 /// Share of occupied slots up to which the free ones can take the calls that
-/// draining replicas turn away.
+/// draining replicas no longer accept.
 constexpr double kMaxFullnessForFullDrain = 0.8;
 
 /// Whether the version at `candidate` would arrive too late to be loaded: a
--- a/src/libverbenalead/decide/load_plan_test.cc
+++ b/src/libverbenalead/decide/load_plan_test.cc
@@ -41,10 +41,11 @@
     CPPUNIT_ASSERT(plan->m_last == kStart + 7300ms);
   }
 
-  // 27 replicas load one after the other, each out of service for a second, at
-  // three quarters of the capacity of the pool. When the loads began within
-  // 2.8 s, ten replicas were out of service at once and half of the calls were
-  // late. No more than seven may be out at once.
+  // Guards against too many replicas being out of service at once: 27 replicas
+  // load one after the other, each out of service for a second, at three
+  // quarters of the capacity of the pool. When the loads began within 2.8 s,
+  // ten replicas were out of service at once and half of the calls were late.
+  // No more than seven may be out at once.
   void FewReplicasAreOutAtOnce() {
     constexpr size_t kReplicas = 27;
     constexpr size_t kMostOut = kReplicas / 4 + 1;
--- a/src/libverbenalead/decide/origin_fetches.cc
+++ b/src/libverbenalead/decide/origin_fetches.cc
@@ -73,12 +73,13 @@
 /// origin.
 ///
 /// Failure: the origin is unreachable for seconds. Symptom: chunks become
-/// overdue at many hosts, and all of these fetch them when it returns, each
-/// chunk by the first two hosts in rank or more, so that for a long time the
+/// overdue at many hosts, and all of these fetch them when it returns. At least
+/// the first two hosts in rank fetch each chunk, so that for a long time the
 /// origin's link completes no chunk. While no origin fetch succeeds, only
 /// StartOriginFetchesInOrder starts fetches, which follows ranks and
 /// announcements. A host that is held back by wrong announcements, or by those
-/// of fetches that fail, still tries once in kMaxWaitsWithoutFetch wait limits.
+/// of fetches that fail, still makes one attempt in kMaxWaitsWithoutFetch wait
+/// limits.
 bool MayFetchByTime(const TransferState& state, TimePoint now) {
   const TransferLimits& limits = state.m_limits;
   if (limits.m_max_origin_fetches == 0)
@@ -86,9 +87,10 @@
   const TimePoint last = std::max(state.m_last_origin_start, state.m_started);
   if (now - last >= kMaxWaitsWithoutFetch * limits.m_patience)
     return true;
-  const TimePoint drawn =
+  const TimePoint last_success =
       std::max(state.m_last_origin_success, state.m_started);
-  return now - drawn < limits.m_patience && OriginFetchRoom(state, now) > 0;
+  return now - last_success < limits.m_patience &&
+         OriginFetchRoom(state, now) > 0;
 }
 
 /// Whether the hosts that precede this one in rank have had time to announce an
--- a/src/libverbenalead/decide/origin_fetches.h
+++ b/src/libverbenalead/decide/origin_fetches.h
@@ -18,10 +18,10 @@
                            TransferActions& actions);
 
 /// Fetches the first chunks that no host has or is fetching, without waiting
-/// for their scheduled time, as many as the limit m_max_origin_fetches leaves
-/// room for. All hosts go through the chunks in the same order, so that each
-/// chunk is fetched by the host of rank 0, or by the next one if that host is
-/// dead or late.
+/// for their scheduled time, as many as the limit m_max_origin_fetches permits.
+/// All hosts go through the chunks in the same order, so that each chunk is
+/// fetched by the host of rank 0, or by the next one if that host is dead or
+/// late.
 void StartOriginFetchesInOrder(TransferState& state,
                                TimePoint now,
                                TransferActions& actions);
--- a/src/libverbenalead/decide/origin_fetches_test.cc
+++ b/src/libverbenalead/decide/origin_fetches_test.cc
@@ -9,7 +9,7 @@
 /// Which host fetches which chunk from the origin, and when.
 class OriginFetchesTest : public TransferFixture {
   CPPUNIT_TEST_SUITE(OriginFetchesTest);
-  CPPUNIT_TEST(ReturnedOriginIsNotAskedByAllAtOnce);
+  CPPUNIT_TEST(HostsDoNotAllFetchFromAReturnedOriginAtOnce);
   CPPUNIT_TEST(AnnouncedOriginFetchIsNotDuplicated);
   CPPUNIT_TEST(ReportWithUnknownChunksIsDetected);
   CPPUNIT_TEST(AbandonedOriginFetchIsTakenOver);
@@ -23,11 +23,11 @@
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // New weights arrive seconds after the origin has returned: during the outage
-  // the scheduled times of many hosts passed, and all of them then fetch the
-  // same chunks. They have to wait for the first ranks, which fetch each chunk
-  // soon.
-  void ReturnedOriginIsNotAskedByAllAtOnce() {
+  // Guards against new weights that arrive seconds after the origin has
+  // returned: during the outage the scheduled times of many hosts passed, and
+  // all of them then fetch the same chunks. They have to wait for the first
+  // ranks, which fetch each chunk soon.
+  void HostsDoNotAllFetchFromAReturnedOriginAtOnce() {
     m_limits.m_patience = 1s;
     m_limits.m_max_origin_backoff = 500ms;
     std::vector<TransferMember> members;
@@ -56,9 +56,9 @@
     CPPUNIT_ASSERT(fetched <= 6);
   }
 
-  // New weights arrive twice as late: the origin's link is saturated, an origin
-  // fetch takes longer than the wait limit, and the next host in rank fetches
-  // the same chunk too.
+  // Guards against new weights that arrive twice as late: the origin's link is
+  // saturated, an origin fetch takes longer than the wait limit, and the next
+  // host in rank fetches the same chunk too.
   void AnnouncedOriginFetchIsNotDuplicated() {
     TransferState next = SecondRankedHost();
     TimePoint now = kStart;
@@ -77,7 +77,8 @@
     CPPUNIT_ASSERT(!HasOnlyKnownChunks({"x", {}, {0, 3}}, 3));
   }
 
-  // A chunk never arrives: the host that announced its origin fetch has died.
+  // Guards against a chunk that never arrives: the host that announced its
+  // origin fetch has died.
   void AbandonedOriginFetchIsTakenOver() {
     TransferState next = SecondRankedHost();
     RecordOriginFetches(next, {"x", {0}, {}}, kStart + 900ms);
@@ -87,8 +88,9 @@
     CPPUNIT_ASSERT_EQUAL(size_t{1}, OriginFetches(next, timed_out).size());
   }
 
-  // A chunk never arrives: one host, which cannot reach the origin, announces
-  // one fetch after the other, and all other hosts wait for it.
+  // Guards against a chunk that never arrives: one host, which cannot reach the
+  // origin, announces one fetch after the other, and all other hosts wait for
+  // it.
   void RepeatedAnnouncementsDoNotBlockForEver() {
     TransferState next = SecondRankedHost();
     TimePoint now = kStart;
@@ -113,9 +115,9 @@
     CPPUNIT_ASSERT(now <= kStart + 5 * m_limits.m_patience);
   }
 
-  // New weights arrive seconds late: hosts that started late scheduled their
-  // origin fetches from their own start, and the origin's link was idle half of
-  // the time.
+  // Guards against new weights that arrive seconds late: hosts that started
+  // late scheduled their origin fetches from their own start, and the origin's
+  // link was idle half of the time.
   void ChunksAreFetchedInOrderUpToTheLimit() {
     m_limits.m_origin_interval = 100ms;
     m_limits.m_max_origin_fetches = 3;
@@ -135,9 +137,9 @@
                    std::vector<uint32_t>{5});
   }
 
-  // The last chunks of new weights arrive seconds after the others: the hosts
-  // of rank 0 for these chunks are dead but still listed, and the next ranks
-  // wait for their scheduled time.
+  // Guards against last chunks of new weights that arrive seconds after the
+  // others: the hosts of rank 0 for these chunks are dead but still listed, and
+  // the next ranks wait for their scheduled time.
   void NextHostSoonFetchesAChunkOfADeadHost() {
     m_limits.m_origin_interval = 10s;
     m_limits.m_max_origin_fetches = 2;
@@ -148,8 +150,9 @@
     CPPUNIT_ASSERT_EQUAL(size_t{1}, OriginFetches(next, soon).size());
   }
 
-  // New weights arrive half a second later than possible: the origin is
-  // available again, but hosts whose fetches failed are still in backoff.
+  // Guards against new weights that arrive half a second later than possible:
+  // the origin is available again, but hosts whose fetches failed are still in
+  // backoff.
   void AnyCompletedOriginFetchEndsTheBackoff() {
     m_limits.m_max_origin_fetches = 1;
     m_limits.m_origin_interval = 100ms;
@@ -162,9 +165,9 @@
                    std::vector<uint32_t>{0});
   }
 
-  // New weights are complete on no host before the origin becomes unreachable:
-  // the only copy of a chunk became corrupt, and its host still listed it as
-  // stored.
+  // Guards against new weights that are complete on no host before the origin
+  // becomes unreachable: the only copy of a chunk became corrupt, and its host
+  // still listed it as stored.
   void CorruptedFirstCopyIsFetchedAgain() {
     m_limits.m_max_origin_fetches = 8;
     const std::vector<TransferMember> members = {kSelf, kSameDataCenter,
@@ -186,9 +189,9 @@
     CPPUNIT_ASSERT_EQUAL(size_t{1}, fetcher.m_fetching.size());
   }
 
-  // One chunk is fetched many times when the origin returns: the chunk had been
-  // open for seconds while other hosts tried again and again to fetch it, so
-  // that the waiting time of all hosts had expired at once.
+  // Guards against fetching one chunk many times when the origin returns: the
+  // chunk had been open for seconds while the attempts of other hosts to fetch
+  // it failed, so that the waiting time of all hosts had expired at once.
   void ReleasedChunkIsNotFetchedByAllAtOnce() {
     m_limits.m_max_origin_fetches = 1;
     TransferState next = SecondRankedHost();
--- a/src/libverbenalead/decide/permit_tracker.h
+++ b/src/libverbenalead/decide/permit_tracker.h
@@ -44,7 +44,7 @@
   std::string m_reason;
 };
 
-/// Updates `watch` from `board`, which was read at `now`.
+/// Updates `watch` from the permits in `board`, which were read at `now`.
 void Observe(PermitTracker& watch, const LoadPermits& board, TimePoint now);
 /// Clears all observations. Called when the permits could not be read: holders
 /// could not renew during that time either, so the lease of each permit starts
--- a/src/libverbenalead/decide/quarantine.cc
+++ b/src/libverbenalead/decide/quarantine.cc
@@ -21,14 +21,14 @@
 }
 
 void StoreCrash(QuarantineState& state,
-                const CrashRecord& note,
+                const CrashRecord& record,
                 TimePoint now) {
   if (state.m_crashes.size() >= kMaxKeys)
     EvictExpired(state, now);
   if (state.m_crashes.size() >= kMaxKeys)
     return;
-  TimePoint& at = state.m_crashes[note.m_key][note.m_target];
-  at = std::max(at, note.m_at);
+  TimePoint& at = state.m_crashes[record.m_key][record.m_target];
+  at = std::max(at, record.m_at);
 }
 
 }  // namespace
@@ -37,10 +37,10 @@
                  uint64_t key,
                  const std::string& target,
                  TimePoint now) {
-  const CrashRecord note{key, target, now};
-  StoreCrash(state, note, now);
+  const CrashRecord record{key, target, now};
+  StoreCrash(state, record, now);
   if (state.m_news.size() < kMaxKeys)
-    state.m_news.push_back(note);
+    state.m_news.push_back(record);
 }
 
 uint64_t RequestKey(const std::string& organisation,
@@ -73,11 +73,11 @@
 void Merge(QuarantineState& state,
            const std::vector<CrashRecord>& notes,
            TimePoint now) {
-  for (const CrashRecord& note : notes) {
-    const auto cleared = state.m_cleared.find(note.m_key);
+  for (const CrashRecord& record : notes) {
+    const auto cleared = state.m_cleared.find(record.m_key);
     if (cleared == state.m_cleared.end() ||
         now - cleared->second > state.m_limits.m_hold)
-      StoreCrash(state, note, now);
+      StoreCrash(state, record, now);
   }
 }
 
--- a/src/libverbenalead/decide/quarantine.h
+++ b/src/libverbenalead/decide/quarantine.h
@@ -37,8 +37,8 @@
 /// Requests under which targets have crashed, for the refusal of those that
 /// caused the crashes.
 ///
-/// Load: a request that crashes each target that runs it, sent again and again
-/// by its caller.
+/// Load: a request that crashes each target that runs it, and that its caller
+/// retries again and again.
 /// Harm: retries of the request would take down the pool target by target. A
 /// target that crashes for another reason aborts many requests, but each of
 /// them only once; a request under which QuarantineLimits::m_crashes targets
@@ -68,8 +68,7 @@
                  uint64_t key,
                  const std::string& target,
                  TimePoint now);
-/// Key that identifies a request when it is sent again; the same in every
-/// process.
+/// Key that identifies a request when it is retried; the same in every process.
 uint64_t RequestKey(const std::string& organisation,
                     const std::string& method,
                     const std::string& path,
--- a/src/libverbenalead/decide/quarantine_test.cc
+++ b/src/libverbenalead/decide/quarantine_test.cc
@@ -69,15 +69,15 @@
     const bool passed = rc::check("entries agree", [] {
       const auto numbers = *rc::gen::container<std::vector<uint8_t>>(
           30, rc::gen::arbitrary<uint8_t>());
-      std::vector<CrashRecord> notes;
+      std::vector<CrashRecord> records;
       for (uint8_t number : numbers)
-        notes.push_back({number % 4u, "t" + std::to_string(number / 4 % 3),
-                         kStart + std::chrono::seconds(number)});
+        records.push_back({number % 4u, "t" + std::to_string(number / 4 % 3),
+                           kStart + std::chrono::seconds(number)});
       QuarantineState a, b;
-      Merge(a, notes, kStart);
-      std::reverse(notes.begin(), notes.end());
-      Merge(b, notes, kStart);
-      Merge(b, notes, kStart);
+      Merge(a, records, kStart);
+      std::reverse(records.begin(), records.end());
+      Merge(b, records, kStart);
+      Merge(b, records, kStart);
       RC_ASSERT(a.m_crashes == b.m_crashes);
     });
     CPPUNIT_ASSERT(passed);
--- a/src/libverbenalead/decide/reader_failover.h
+++ b/src/libverbenalead/decide/reader_failover.h
@@ -11,7 +11,7 @@
 enum class Reading {
   /// From another entry of its data centre that reads the store.
   kFromPeer,
-  /// From nowhere for now: an entry that ranks before this one may be taking
+  /// From no source for now: an entry that ranks before this one may be taking
   /// over.
   kWaiting,
   /// From the store.
--- a/src/libverbenalead/decide/replica_pool.cc
+++ b/src/libverbenalead/decide/replica_pool.cc
@@ -48,10 +48,10 @@
 constexpr uint32_t kMaxDoublings = 4;
 /// A replica that rejected a call is full of calls that have not been reported
 /// to this entry yet. Without this pause an entry with an outdated view would
-/// ask again after each round trip.
+/// send another slot request after each round trip.
 constexpr Duration kFullBackoff = 30ms;
-/// The address belongs to another replica, or the weights changed; an update
-/// about that arrives within this time.
+/// Backoff if the address belongs to another replica or the weights changed: an
+/// update about either arrives within this time.
 constexpr Duration kWrongHostBackoff = 500ms;
 
 bool Usable(const ReplicaPool& pool, const ReplicaState& state, TimePoint now) {
@@ -152,12 +152,12 @@
     const uint32_t in_flight = state.m_in_flight;
     const uint64_t unread = state.m_unread_tokens;
     const uint32_t asked = state.m_asked;
-    const uint64_t asked_unread = state.m_requested_unread_tokens;
+    const uint64_t requested_unread = state.m_requested_unread_tokens;
     state = ReplicaState();
     state.m_in_flight = in_flight;
     state.m_unread_tokens = unread;
     state.m_asked = asked;
-    state.m_requested_unread_tokens = asked_unread;
+    state.m_requested_unread_tokens = requested_unread;
     state.m_weights = NewestWeights(replica);
   }
   // Leaving is final for an incarnation: an older row that arrives late must
@@ -242,20 +242,20 @@
                                           TimePoint now,
                                           std::mt19937_64& random) {
   std::uniform_real_distribution<double> noise(0, kTieBreakNoise);
-  std::vector<std::pair<double, std::string>> places;
+  std::vector<std::pair<double, std::string>> ranked;
   for (const auto& [id, state] : pool.m_replicas) {
     if (Usable(pool, state, now) && !call.m_attempted_replicas.contains(id)) {
-      places.emplace_back(PlacementCost(pool, state, call, now) + noise(random),
+      ranked.emplace_back(PlacementCost(pool, state, call, now) + noise(random),
                           id);
     }
   }
-  count = std::min(count, places.size());
-  std::partial_sort(places.begin(),
-                    places.begin() + static_cast<std::ptrdiff_t>(count),
-                    places.end());
+  count = std::min(count, ranked.size());
+  std::partial_sort(ranked.begin(),
+                    ranked.begin() + static_cast<std::ptrdiff_t>(count),
+                    ranked.end());
   std::vector<std::string> best;
   for (size_t i = 0; i < count; ++i)
-    best.push_back(places[i].second);
+    best.push_back(ranked[i].second);
   return best;
 }
 
@@ -284,10 +284,10 @@
                                            TimePoint now,
                                            std::mt19937_64& random) {
   std::vector<StartedCall> starts;
-  for (const bool fresh : {true, false}) {
+  for (const bool on_time : {true, false}) {
     auto call = pool.m_waiting.begin();
     while (call != pool.m_waiting.end()) {
-      const auto replica = call->m_can_be_on_time == fresh
+      const auto replica = call->m_can_be_on_time == on_time
                                ? AcquireSlot(pool, *call, now, random)
                                : std::nullopt;
       if (!replica) {
--- a/src/libverbenalead/decide/replica_pool.h
+++ b/src/libverbenalead/decide/replica_pool.h
@@ -16,9 +16,9 @@
 
 /// How an attempt ended, as evidence about the health of its replica.
 enum class AttemptEnd {
-  kGood,          ///< It answered.
-  kFailed,        ///< It answered with an error.
-  kNotRun,        ///< It is healthy but full, and rejected the call.
+  kGood,          ///< The replica answered.
+  kFailed,        ///< The replica answered with an error.
+  kNotRun,        ///< The replica is full and rejected the call, but healthy.
   kWrongReplica,  ///< Another replica has the address, or the weights differ.
   kUnreachable,   ///< No connection was established.
   kBroken,        ///< The connection broke, or no answer came in time.
@@ -114,9 +114,9 @@
                     const std::string& replica,
                     uint32_t prompt_tokens);
 
-/// NoteSlotRequestSent() records that the target of `replica` was asked for a
-/// slot, NoteSlotRequestDone() that it answered or that its answer is no longer
-/// awaited.
+/// NoteSlotRequestSent() records that a slot request was sent to the target of
+/// `replica`, NoteSlotRequestDone() that the target answered it or that the
+/// answer is no longer awaited.
 void NoteSlotRequestSent(ReplicaPool& pool,
                          const std::string& replica,
                          uint32_t prompt_tokens);
--- a/src/libverbenalead/decide/replica_pool_test.cc
+++ b/src/libverbenalead/decide/replica_pool_test.cc
@@ -31,10 +31,10 @@
   return pool;
 }
 
-PoolCall MakeCall(uint64_t ticket, bool fresh = true) {
+PoolCall MakeCall(uint64_t ticket, bool on_time = true) {
   PoolCall call;
   call.m_ticket = ticket;
-  call.m_can_be_on_time = fresh;
+  call.m_can_be_on_time = on_time;
   return call;
 }
 
--- a/src/libverbenalead/decide/replica_state.h
+++ b/src/libverbenalead/decide/replica_state.h
@@ -14,8 +14,8 @@
   model::Replica m_replica;
   /// Calls of this entry that hold a slot at the replica.
   uint32_t m_in_flight = 0;
-  /// Of these, the calls for which the target has been asked for a slot and has
-  /// not answered yet, and their prompt tokens.
+  /// Of these, the calls whose slot request the target has not answered yet,
+  /// and their prompt tokens.
   uint32_t m_asked = 0;
   uint64_t m_requested_unread_tokens = 0;
   /// Calls of the other entries, as last reported.
--- a/src/libverbenalead/decide/rollout.cc
+++ b/src/libverbenalead/decide/rollout.cc
@@ -29,7 +29,7 @@
 
 /// If an engine reports an order as done but serves another version, it has
 /// executed a delayed order of this process or of an earlier one. The declared
-/// version isn't at fault, so the order is repeated instead of stopping the
+/// version isn't at fault, so the order is retried instead of stopping the
 /// rollout. Only few orders can be delayed at a time; an engine that exceeds
 /// this limit doesn't load the version that it is ordered to load, and the load
 /// counts as failed.
@@ -132,7 +132,7 @@
   }
   // A released permit must not be used from the moment at which the write is
   // sent: if the answer is lost, another host may already have acquired a
-  // permit in its place.
+  // permit instead.
   if (purpose != Purpose::kAcquire)
     state.m_permit = false;
   state.m_writing = next;
@@ -233,7 +233,7 @@
   RolloutAction order = Do(Kind::kOrder);
   order.m_digest = plan.m_digest;
   order.m_fencing_token = state.m_fencing_token;
-  // A fencing number is never reused, so that an order whose answer was lost
+  // A fencing token is never reused, so that an order whose answer was lost
   // can't be mistaken for the next order.
   state.m_fencing_token = 0;
   state.m_ordered_version = plan.m_digest;
--- a/src/libverbenalead/decide/rollout.h
+++ b/src/libverbenalead/decide/rollout.h
@@ -68,7 +68,7 @@
   Digest m_loading;
   /// The version in force before the gate was shut.
   Digest m_previous_version;
-  /// The fencing number for the next order; 0 if it has to be minted.
+  /// The fencing token for the next order; 0 if it has to be minted.
   uint64_t m_fencing_token = 0;
   /// The version of the last order, until the engine has reported which version
   /// it serves after it.
@@ -118,9 +118,9 @@
                     TimePoint sent,
                     TimePoint now);
 void FencingTokenMinted(RolloutState& state, uint64_t fence);
-/// Reports that another process has since minted a fencing number for this
-/// host. That process now controls the engine; this process must neither send
-/// orders nor serve again.
+/// Reports that another process has since minted a fencing token for this host.
+/// That process now controls the engine; this process must neither send orders
+/// nor serve again.
 void Superseded(RolloutState& state, GateState& gate);
 /// Reports the end of an order. `reason` is empty if the engine reported a
 /// successful load. In both cases the engine's status is queried before the
--- a/src/libverbenalead/decide/rollout_test.cc
+++ b/src/libverbenalead/decide/rollout_test.cc
@@ -28,7 +28,7 @@
   return Sha256("version " + std::to_string(number));
 }
 
-/// An engine that may ignore fencing numbers. Its memory is a list of bytes;
+/// An engine that may ignore fencing tokens. Its memory is a list of bytes;
 /// each element is the version from which the byte was loaded.
 struct FakeEngine {
   bool m_checks_fence = false;
@@ -145,7 +145,7 @@
 
 void Write(Simulation& simulation,
            Process& process,
-           const LoadPermits& board,
+           const LoadPermits& permits,
            bool lose_answer) {
   if (!simulation.m_table_up) {
     PermitsWritten(process.m_state, process.m_gate, WriteResult::kDoubt,
@@ -153,9 +153,9 @@
     return;
   }
   const bool committed =
-      board.m_revision == simulation.m_load_permits.m_revision + 1;
+      permits.m_revision == simulation.m_load_permits.m_revision + 1;
   if (committed)
-    simulation.m_load_permits = board;
+    simulation.m_load_permits = permits;
   WriteResult result =
       committed ? WriteResult::kCommitted : WriteResult::kConflict;
   if (lose_answer)
@@ -535,7 +535,7 @@
   // Guards against answers computed with mixed weights, and against too few
   // hosts that serve. Processes are suspended and resumed at any step,
   // duplicated or replaced. Orders reach engines late, in part, or after their
-  // sender has exited. Engines restart and ignore fencing numbers. Answers of
+  // sender has exited. Engines restart and ignore fencing tokens. Answers of
   // the table and the engines are lost.
   void ServesOnlyCompleteVersionsWithinLimit() {
     Totals totals;
--- a/src/libverbenalead/decide/row_transfer_limit.h
+++ b/src/libverbenalead/decide/row_transfer_limit.h
@@ -26,8 +26,8 @@
   TimePoint m_busy_until{};
 };
 
-/// Assumed rate of the transfers in bytes a second, a part of the narrowest
-/// links of entries.
+/// Assumed rate of the transfers in bytes a second, a part of the bandwidth of
+/// the narrowest links of entries.
 constexpr uint64_t kRowTransferRate = 2'000'000;
 /// Number of transfers that may be in progress when another one is admitted.
 constexpr int kMaxPendingTransfers = 3;
--- a/src/libverbenalead/decide/slot_queue.h
+++ b/src/libverbenalead/decide/slot_queue.h
@@ -43,11 +43,12 @@
 /// while calls that could still be on time waited at another entry; and calls
 /// were placed behind prompts that took all the time that these calls had left.
 /// So the replica's target grants each free slot to the most urgent waiting
-/// call. No other waiting call is granted a slot before it, even if it could
-/// start while the replica still has too many prompts to read for the most
-/// urgent one, because its own prompt would be read first and delay that call
-/// further. Only a newly arrived on-time call may start in such a case, see
-/// Ask(). A late call gets a slot only if no on-time call wants it.
+/// call. No other waiting call is granted a slot before the most urgent one.
+/// While the replica has too many prompts to read for the most urgent call, a
+/// less urgent one might be able to start, but its prompt would be read first
+/// and delay the most urgent call further. Only a newly arrived on-time call
+/// may start in such a case, see Ask(). A late call gets a slot only if no
+/// on-time call wants it.
 ///
 ///     if (Ask(queue, request, load, now) == SlotVerdict::kGranted) ...
 ///     for (const SlotRequest& granted : Grant(queue, load, now)) ...
--- a/src/libverbenalead/decide/slot_queue_test.cc
+++ b/src/libverbenalead/decide/slot_queue_test.cc
@@ -21,12 +21,12 @@
 
 SlotRequest MakeRequest(uint64_t ticket,
                         Duration read_within,
-                        bool fresh = true) {
+                        bool on_time = true) {
   SlotRequest request;
   request.m_entry = Endpoint("10.0.0.1", 1);
   request.m_ticket = ticket;
   request.m_prompt_tokens = 10;
-  request.m_can_be_on_time = fresh;
+  request.m_can_be_on_time = on_time;
   request.m_read_deadline = kStart + read_within;
   request.m_until = kStart + 10s;
   return request;
@@ -70,7 +70,7 @@
 
   // Guards against giving a slot to a late retry at the entry where it comes
   // free, while a call that could be on time waits at another entry and is
-  // refused. The on-time call gets the slot, whichever asks first.
+  // refused. The on-time call gets the slot, whichever request arrives first.
   void LateCallWaitsForOnTimeCalls() {
     SlotQueue queue = MakeQueue();
     Ask(queue, MakeRequest(1, 0ms, false), kFull, kStart);
@@ -84,8 +84,8 @@
   }
 
   // Guards against placing a call that has 100 ms left behind 150 ms of
-  // prompts: it would be late and take the slot of a call that would not have
-  // been.
+  // prompts: it would be late and take the slot of a call that would have been
+  // on time.
   void NoCallIsPlacedBehindTooManyPrompts() {
     SlotQueue queue = MakeQueue();
     const ReplicaLoad reading = {1, 150};
@@ -96,9 +96,9 @@
     CPPUNIT_ASSERT(Grant(queue, {1, 20}, kStart + 60ms).at(0).m_ticket == 1);
   }
 
-  // Guards against a first event after 0.43 s in place of 0.25: three calls are
-  // placed, and before the next pass a prompt arrives that takes 0.2 s to read
-  // and is read before any of the three writes. The long prompt must go
+  // Guards against a first event after 0.43 s instead of 0.25 s: three calls
+  // are placed, and before the next pass a prompt arrives that takes 0.2 s to
+  // read and is read before any of the three writes. The long prompt must go
   // elsewhere, or wait until the three calls have begun.
   void LongPromptDoesNotDelayGrantedCalls() {
     SlotQueue queue = MakeQueue();
--- a/src/libverbenalead/decide/store_clock.h
+++ b/src/libverbenalead/decide/store_clock.h
@@ -12,8 +12,9 @@
 ///
 /// The exchange itself doesn't date an answer well: a query that the store
 /// holds open for a second is answered long after it was sent, and the answer
-/// may be delayed on its way back. The store's steady clock does, once a single
-/// quick exchange has shown its offset from the local clock.
+/// may be delayed on its way back. The store's steady clock dates the answer
+/// well, once a single quick exchange has shown the offset of that clock from
+/// the local one.
 struct StoreClock {
   /// Local time minus the store's time: the largest lower bound of all
   /// exchanges so far, which is the tightest one.
--- a/src/libverbenalead/decide/summary_route.h
+++ b/src/libverbenalead/decide/summary_route.h
@@ -28,9 +28,9 @@
 /// entry its own state to each remote entry, these messages grew with the
 /// square of the fleet and took more of the links between regions than the
 /// calls did. Instead, one entry of a data centre sends a summary of it to
-/// three entries of each other data centre, which relay it to their neighbours.
-/// The messages then grow with the number of hosts times the number of data
-/// centres.
+/// three entries of each other data centre, which relay it to the other entries
+/// of theirs. The messages then grow with the number of hosts times the number
+/// of data centres.
 ///
 /// The sender is the entry with the least name among those that take calls and
 /// sent updates recently. Two entries that do not receive each other's updates
@@ -41,8 +41,8 @@
                      const std::vector<SummaryPeer>& peers);
 
 /// The recipients of the summary of `data_center`: three entries of each other
-/// data centre, drawn at random each time, so that no entry has to detect which
-/// of them are dead or cut off.
+/// data centre, chosen at random each time, so that no entry has to detect
+/// which of them are dead or cut off.
 std::vector<std::string> SummaryRecipients(
     const std::string& data_center,
     const std::vector<SummaryPeer>& peers,
--- a/src/libverbenalead/decide/target_watch.cc
+++ b/src/libverbenalead/decide/target_watch.cc
@@ -26,7 +26,7 @@
   return true;
 }
 
-/// Sorts targets of the own region first, then by hash.
+/// Sorts targets of this entry's region first, then by hash.
 void Rank(const TargetWatchState& state, std::vector<RankedTarget>& targets) {
   std::map<std::string, uint64_t> hashes;
   for (const RankedTarget& target : targets)
--- a/src/libverbenalead/decide/transfer.cc
+++ b/src/libverbenalead/decide/transfer.cc
@@ -21,13 +21,14 @@
 /// be due to the chunk, or to a pause of the host.
 constexpr uint32_t kMaxFailures = 3;
 /// Number of corrupt chunks after which a host gets no requests for a while:
-/// links corrupt one chunk in a hundred, but a host with faulty memory goes on
+/// links corrupt one chunk in a hundred, but a host with faulty memory keeps
 /// sending corrupt ones.
 constexpr size_t kMaxBadChunks = 4;
 constexpr Duration kBackoffAfterBadChunks = 10s;
 /// The weight of a new sample in a smoothed wait is 1 / kSmoothingDivisor.
 constexpr int kSmoothingDivisor = 8;
-/// An import that is due but has no available source is tried again after this.
+/// An import that is due but has no available source is retried after this
+/// time.
 constexpr Duration kImportRetry = 20ms;
 constexpr Duration kRefillInterval = 1s;
 
@@ -67,9 +68,9 @@
 }
 
 /// Expected duration of a fetch from `neighbour`, multiplied by a factor for
-/// its distance. Among equal hosts those of the own data centre are chosen, but
-/// a long queue there weighs more than a hop within the region, whose links are
-/// as fast.
+/// its distance. Among equal hosts those of the same data centre are chosen,
+/// but a long queue there weighs more than a hop within the region, whose links
+/// are as fast.
 double Cost(const Neighbour& neighbour) {
   constexpr double kDistanceFactor[] = {1.0, 1.25, 1.5};
   const auto wait = static_cast<double>(neighbour.m_wait.count());
@@ -100,9 +101,9 @@
   return best;
 }
 
-/// The rarest chunk that an available neighbour of the own region has. Within a
-/// bucket the search begins at a random position, so that neighbours do not all
-/// fetch the same chunk.
+/// The rarest chunk that an available neighbour of the same region has. Within
+/// a bucket the search begins at a random position, so that neighbours do not
+/// all fetch the same chunk.
 std::optional<uint32_t> RarestChunk(const TransferState& state,
                                     uint64_t available,
                                     std::mt19937_64& random) {
--- a/src/libverbenalead/decide/transfer.h
+++ b/src/libverbenalead/decide/transfer.h
@@ -80,8 +80,8 @@
 void RecordOriginFetches(TransferState& state,
                          const OriginFetchReport& report,
                          TimePoint now);
-/// The connection for updates of `host` failed: another host is followed in its
-/// place.
+/// The connection for updates of `host` failed: another host is followed
+/// instead.
 void RecordNeighbourLoss(TransferState& state,
                          const std::string& host,
                          TimePoint now,
--- a/src/libverbenalead/decide/transfer_bench.cc
+++ b/src/libverbenalead/decide/transfer_bench.cc
@@ -331,10 +331,10 @@
 
 void Simulation::Enqueue(const Event& event) {
   SimulatedHost& host = m_hosts[event.m_host];
-  const bool far =
+  const bool remote =
       m_members[event.m_host].m_region != m_members[event.m_peer].m_region;
   host.m_requesters[event.m_fetch] = event.m_peer;
-  EnqueueUpload(host.m_queue, {event.m_fetch, event.m_chunk, far,
+  EnqueueUpload(host.m_queue, {event.m_fetch, event.m_chunk, remote,
                                m_hosts[event.m_peer].m_transfer.m_have_count});
 }
 
--- a/src/libverbenalead/decide/transfer_limits.h
+++ b/src/libverbenalead/decide/transfer_limits.h
@@ -38,7 +38,7 @@
   /// complete. 0: the bandwidth is not known; fetches start at once.
   Duration m_origin_interval{};
 
-  /// Concurrent fetches from other hosts: one from each neighbour of the own
+  /// Concurrent fetches from other hosts: one from each neighbour of the same
   /// region, more than one only where there are few neighbours. With fewer
   /// fetches links are idle while requests queue at busy hosts; two fetches
   /// from one host leave the links of other hosts idle.
@@ -48,9 +48,9 @@
   Duration m_slow_fetch_threshold{};
   uint32_t m_max_own_origin_fetches = 2;
 
-  /// Neighbours in the own data centre, in the own region and in other regions.
-  /// With these numbers two random hosts of 1,400 are 3 hops apart, and the
-  /// traffic of updates stays low.
+  /// Neighbours in the same data centre, in other data centres of the same
+  /// region, and in other regions. With these numbers two random hosts of 1,400
+  /// are 3 hops apart, and the traffic of updates stays low.
   uint32_t m_data_center_neighbours = 10;
   uint32_t m_region_neighbours = 4;
   uint32_t m_remote_neighbours = 2;
--- a/src/libverbenalead/decide/transfer_outage_test.cc
+++ b/src/libverbenalead/decide/transfer_outage_test.cc
@@ -211,14 +211,14 @@
         m_news.push_back(
             {m_now + kUpdateDelay, host.m_state.m_self.m_name, to, unsent});
     }
-    std::erase_if(m_news, [&](const Update& news) {
-      if (news.m_at > m_now)
+    std::erase_if(m_news, [&](const Update& update) {
+      if (update.m_at > m_now)
         return false;
-      TransferState& state = m_hosts[news.m_to].m_state;
-      if (news.m_from.empty())
-        RecordOriginFetches(state, news.m_report, m_now);
+      TransferState& state = m_hosts[update.m_to].m_state;
+      if (update.m_from.empty())
+        RecordOriginFetches(state, update.m_report, m_now);
       else
-        RecordNeighbourChunks(state, news.m_from, news.m_chunks, m_now);
+        RecordNeighbourChunks(state, update.m_from, update.m_chunks, m_now);
       return true;
     });
   }
@@ -308,9 +308,9 @@
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // For seconds no replica has allowed weights: the origin returns, and its
-  // link carries each missing chunk twice, so that the last one reaches the
-  // hosts later than the time limit for a new version.
+  // Guards against seconds in which no replica has allowed weights: the origin
+  // returns, and its link carries each missing chunk twice, so that the last
+  // one reaches the hosts later than the time limit for a new version.
   void ReturnedOriginSendsEachChunkOnce() {
     for (const uint64_t seed : {1, 2, 3, 4, 20261202}) {
       OutageFleet fleet({}, seed);
@@ -319,10 +319,10 @@
     }
   }
 
-  // Weights arrive seconds later than possible: half of the chunks were missing
-  // when the origin became unreachable, and when it returns the first two hosts
-  // in rank fetch each of them, since both have waited longer than the wait
-  // limit.
+  // Guards against weights that arrive seconds later than possible: half of the
+  // chunks were missing when the origin became unreachable, and when it returns
+  // the first two hosts in rank fetch each of them, since both have waited
+  // longer than the wait limit.
   void OriginSendsEachChunkOnceAfterALongOutage() {
     for (const uint64_t seed : {1, 2, 3, 4, 20261202}) {
       OutageScenario load;
--- a/src/libverbenalead/decide/transfer_schedule.cc
+++ b/src/libverbenalead/decide/transfer_schedule.cc
@@ -32,8 +32,8 @@
 /// too.
 constexpr uint32_t kMaxHoldWaits = 2;
 
-TimePoint DueTime(TimePoint base, uint32_t rank, Duration patience) {
-  return base + rank * patience;
+TimePoint DueTime(TimePoint base, uint32_t rank, Duration wait_limit) {
+  return base + rank * wait_limit;
 }
 
 TimePoint OriginFetchDueTime(const TransferState::Chunk& chunk,
--- a/src/libverbenalead/decide/transfer_state.h
+++ b/src/libverbenalead/decide/transfer_state.h
@@ -39,8 +39,8 @@
     /// Neighbours that have the chunk: bit i stands for m_neighbours[i].
     uint64_t m_holders = 0;
     /// Number of hosts whose rendezvous hash precedes this host's: among all
-    /// hosts, and in the own region. 0: this host fetches the chunk from the
-    /// origin, or imports it into the region.
+    /// hosts, and among those of the same region. 0: this host fetches the
+    /// chunk from the origin, or imports it into the region.
     uint16_t m_rank = 0;
     uint16_t m_region_rank = 0;
     /// Start of the schedule by ranks: a host of rank r may fetch the chunk r
@@ -77,8 +77,8 @@
   /// Limit of concurrent fetches from other hosts.
   FetchWindow m_window;
   uint32_t m_origin_fetching = 0;
-  /// Missing chunks that a neighbour of the own region has, by number of copies
-  /// there.
+  /// Missing chunks that a neighbour of the same region has, by number of
+  /// copies there.
   ChunkBuckets m_rarest;
   /// Missing chunks that no neighbour is known to have.
   ChunkSchedule m_draws;
--- a/src/libverbenalead/decide/transfer_test.cc
+++ b/src/libverbenalead/decide/transfer_test.cc
@@ -53,10 +53,10 @@
                    std::vector<uint32_t>{1});
   }
 
-  // A chunk is missing on all hosts for ever: the host that has to fetch it
-  // from the origin dies before it does, and the others cannot know that. After
-  // the wait limit the host of the next rank fetches it, and no other host
-  // does.
+  // Guards against a chunk that all hosts lack for ever: the host that has to
+  // fetch it from the origin dies before it does, and the others cannot detect
+  // that. After the wait limit the host of the next rank fetches it, and no
+  // other host does.
   void NextRankTakesOverALostOriginFetch() {
     const std::vector<TransferMember> members = {kSelf, kSameDataCenter,
                                                  kSameRegion};
@@ -74,10 +74,11 @@
     CPPUNIT_ASSERT_EQUAL(size_t{1}, later);
   }
 
-  // New weights arrive only after the last host has learned of them, and if the
-  // origin fails meanwhile it has the only copy: each host scheduled its origin
-  // fetches from when it learned of the version. Hosts that learn late are due
-  // at once with the chunks that are scheduled up to then.
+  // Guards against new weights that leave the origin only after the last host
+  // has learned of them, so that the origin has the only copy if it fails
+  // meanwhile: each host scheduled its origin fetches from when it learned of
+  // the version. Hosts that learn late are due at once with the chunks that are
+  // scheduled up to then.
   void LateHostsKeepToTheSchedule() {
     m_limits.m_origin_interval = 100ms;
     m_limits.m_max_own_origin_fetches = 10;
@@ -90,9 +91,9 @@
                    std::vector<uint32_t>{3});
   }
 
-  // The origin's link carries chunks twice: the host of the next rank has not
-  // yet received the update that a distant host has fetched a chunk. It has to
-  // follow that host itself.
+  // Guards against an origin's link that carries chunks twice: the host of the
+  // next rank has not yet received the update that another host has fetched a
+  // chunk. It has to follow that host itself.
   void NextRanksFollowTheFetchingHost() {
     std::vector<TransferMember> members;
     for (int host = 0; host < 100; ++host) {
@@ -157,9 +158,10 @@
                          Step(state, kStart, m_random).m_fetches.size());
   }
 
-  // A host sends chunks with wrong bytes, which the digest shows. Such a chunk
-  // is not requested from that host again, even when the host reports it again,
-  // and after several corrupt chunks the host gets no requests for a while.
+  // Guards against a host that sends chunks with wrong bytes, which the digest
+  // shows. Such a chunk is not requested from that host again, even when the
+  // host reports it again, and after several corrupt chunks the host gets no
+  // requests for a while.
   void BadChunkIsNotRequestedAgainFromItsSource() {
     m_limits.m_max_own_origin_fetches = 0;
     TransferState state = Start(kSelf, {kSelf, kSameDataCenter}, 5);
@@ -173,8 +175,9 @@
     CPPUNIT_ASSERT(state.m_neighbours[0].m_fetch_backoff_until > kStart);
   }
 
-  // A connection delivers nothing but stays open. After the stall time the
-  // fetch is cancelled and the chunk is requested from another host.
+  // Guards against a connection that delivers nothing but stays open. After the
+  // stall time the fetch is cancelled and the chunk is requested from another
+  // host.
   void StalledFetchIsCancelled() {
     m_limits.m_max_own_origin_fetches = 0;
     m_limits.m_max_stall = 2s;
--- a/src/libverbenalead/decide/upload_slots_test.cc
+++ b/src/libverbenalead/decide/upload_slots_test.cc
@@ -20,9 +20,9 @@
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // A version spreads at half the possible speed: a host sends five chunks
-  // concurrently over its link, and until all are complete no receiver has one
-  // to pass on.
+  // Guards against a version that spreads at half the possible speed: a host
+  // sends five chunks concurrently over its link, and until all are complete no
+  // receiver has one to pass on.
   void ConcurrentUploadsAreLimited() {
     for (uint64_t id = 1; id <= 5; ++id)
       Ask(m_turns, 2, Request(id, static_cast<uint32_t>(id)));
@@ -34,8 +34,9 @@
     CPPUNIT_ASSERT(!Next(m_turns, kStart));
   }
 
-  // A version stops spreading: two receivers whose links have become slow
-  // occupy both concurrent uploads of a host, and a third receiver gets none.
+  // Guards against a version that stops spreading: two receivers whose links
+  // have become slow occupy both concurrent uploads of a host, and a third
+  // receiver gets none.
   void SlowUploadDoesNotBlockOthers() {
     for (uint64_t id = 1; id <= 3; ++id)
       Ask(m_turns, 2, Request(id, 0));
--- a/src/libverbenalead/decide/wait_share.h
+++ b/src/libverbenalead/decide/wait_share.h
@@ -13,7 +13,8 @@
 /// include, such as slow replicas and queues on links, make these calls late,
 /// and each takes a slot from a call that would have been on time. Long prompts
 /// have a short wait limit, and a fixed safety margin for all calls would leave
-/// them none. So each kind of call gives up the same share of its own limit.
+/// them none. So the wait limit of each kind of call is shortened by the same
+/// share.
 struct WaitShare {
   double m_share = 1;
 
--- a/src/libverbenalead/decide/wait_share_test.cc
+++ b/src/libverbenalead/decide/wait_share_test.cc
@@ -19,14 +19,14 @@
   // estimated, so that all are late. With the learned share of a wait limit of
   // 200 ms, about one in twenty is.
   void AdaptsToUnexpectedDelays() {
-    constexpr double kPatience = 200;
+    constexpr double kWaitLimit = 200;
     std::mt19937_64 random(1);
     std::uniform_real_distribution<double> extra(0, 100);
     WaitShare share;
     int late = 0;
     for (int call = 0; call < 2000; ++call) {
       const bool is_late =
-          kPatience * share.m_share + extra(random) > kPatience;
+          kWaitLimit * share.m_share + extra(random) > kWaitLimit;
       NoteFirstEvent(share, is_late);
       late += call >= 1000 && is_late ? 1 : 0;
     }
