--- a/src/libverbenalead/entry/call_attempt.cc
+++ b/src/libverbenalead/entry/call_attempt.cc
@@ -10,8 +10,8 @@
 
 using decide::AttemptEnd;
 
-/// The replica's deadline is this much before the call's, so that its
-/// final status still reaches the caller in time.
+/// The replica's deadline is this much before the call's, so that its final
+/// status still reaches the caller in time.
 constexpr Duration kReplicaMargin = 20ms;
 
 const char* ToString(AttemptEnd end) {
@@ -42,22 +42,22 @@
 
 Awaitable<bool> CallAttempt::Send(TimePoint wait_until,
                                   const std::function<void()>& on_sent) {
-  SlotAllocator& places = m_services.m_places;
+  SlotAllocator& slots = m_services.m_places;
   const CallPlan& plan = m_record->m_plan;
   decide::PoolCall pool_call = m_record->m_pool_call;
-  m_ticket = pool_call.m_ticket = places.NewTicket();
+  m_ticket = pool_call.m_ticket = slots.NewTicket();
   const uint32_t prompt_tokens = pool_call.m_prompt_tokens;
-  auto place =
-      co_await places.Take(plan.m_service, std::move(pool_call), wait_until);
-  if (!place)
+  auto slot =
+      co_await slots.Take(plan.m_service, std::move(pool_call), wait_until);
+  if (!slot)
     co_return false;
-  m_replica = *place;
+  m_replica = *slot;
   auto& replicas =
       StateOf(m_services.m_state, plan.m_service).m_pool.m_replicas;
   const auto found = replicas.find(m_replica);
   if (m_cancelled || found == replicas.end() ||
       m_record->Left(Now()) <= Duration()) {
-    places.NotePromptRead(plan.m_service, m_replica, prompt_tokens);
+    slots.NotePromptRead(plan.m_service, m_replica, prompt_tokens);
     End(AttemptEnd::kAbandoned);
     co_return false;
   }
@@ -79,7 +79,7 @@
     m_result.m_reader->Cancel();
   if (m_result.m_reader)
     co_await ReadAnswerHead(plan.m_call.m_id, head_deadline, m_result);
-  places.NotePromptRead(plan.m_service, m_replica, prompt_tokens);
+  slots.NotePromptRead(plan.m_service, m_replica, prompt_tokens);
   ApplyHead();
   Log(m_result.m_end, m_result.m_reason);
   co_return true;
--- a/src/libverbenalead/entry/call_attempt.h
+++ b/src/libverbenalead/entry/call_attempt.h
@@ -12,10 +12,10 @@
 
 namespace verbenalead::entry {
 
-/// One attempt of a call at one replica. It owns a place at the replica, the
+/// One attempt of a call at one replica. It owns a slot at the replica, the
 /// connection, and the part of the answer that has been read. A call may have
 /// two attempts at once: the first and its hedge. End() must be called for each
-/// attempt that got a place; otherwise the place is never released.
+/// attempt that got a slot; otherwise the slot is never released.
 class CallAttempt {
  public:
   CallAttempt(CallServices services, std::shared_ptr<CallRecord> record);
@@ -23,9 +23,9 @@
   CallAttempt(const CallAttempt&) = delete;
   CallAttempt& operator=(const CallAttempt&) = delete;
 
-  /// Waits for a place until `wait_until`, sends the call to that replica and
+  /// Waits for a slot until `wait_until`, sends the call to that replica and
   /// waits for the head of the answer. `on_sent` is called just before the call
-  /// is sent. False: nothing was sent, since no place came free in time, or the
+  /// is sent. False: nothing was sent, since no slot came free in time, or the
   /// attempt was cancelled, the call's time ran out or the replica was removed
   /// meanwhile.
   Awaitable<bool> Send(TimePoint wait_until,
@@ -36,15 +36,15 @@
   /// Returns the next piece of the body, as `wire::ResponseReader::ReadBody`.
   Awaitable<AsyncResult<std::optional<std::string>>> ReadBody();
   /// Cancels the attempt, as its answer isn't needed any more: the coroutine
-  /// that waits for a place or for data of this attempt returns.
+  /// that waits for a slot or for data of this attempt returns.
   void Cancel();
-  /// Closes the connection and releases the place at the replica. `end` is
+  /// Closes the connection and releases the slot at the replica. `end` is
   /// recorded for the replica.
   void End(decide::AttemptEnd end);
   /// Writes the log line of the attempt's result.
   void Log(decide::AttemptEnd end, const std::string& reason) const;
 
-  /// The attempt has got a place, and the call is being sent or was sent.
+  /// The attempt has got a slot, and the call is being sent or was sent.
   bool sent() const { return m_number > 0; }
   bool cancelled() const { return m_cancelled; }
   const std::string& incarnation() const { return m_incarnation; }
@@ -69,12 +69,12 @@
   const std::shared_ptr<CallRecord> m_record;
   uint64_t m_ticket = 0;
   bool m_cancelled = false;
-  /// The replica at which this attempt holds a place; empty: none.
+  /// The replica at which this attempt holds a slot; empty: none.
   std::string m_replica;
   /// Replica and start time of its process, to tell apart processes that ran
   /// under the same id.
   std::string m_incarnation;
-  /// Number of this attempt within the call, from 1; 0: no place yet.
+  /// Number of this attempt within the call, from 1; 0: no slot yet.
   uint32_t m_number = 0;
   TimePoint m_sent_at{};
   AttemptResult m_result;
--- a/src/libverbenalead/entry/call_fixture.h
+++ b/src/libverbenalead/entry/call_fixture.h
@@ -73,7 +73,7 @@
 }
 
 /// An entry with one organisation and `kReplicas` scripted replicas of four
-/// places each.
+/// slots each.
 class CallFixture : public CppUnit::TestFixture {
  public:
   static constexpr size_t kReplicas = 4;
--- a/src/libverbenalead/entry/call_plan.h
+++ b/src/libverbenalead/entry/call_plan.h
@@ -23,11 +23,11 @@
   std::string m_organisation;
   uint64_t m_config_version = 0;
   /// Identifies equal requests, so that one that crashes replicas is recognised
-  /// when it is sent again.
+  /// when a caller retries it.
   uint64_t m_fingerprint = 0;
   decide::WaitLimit m_patience;
-  /// For how long, at least, the caller had been trying when the call arrived,
-  /// estimated from the time that the caller says is left.
+  /// Least time for which the caller had already been attempting the call when
+  /// it arrived, estimated from the time that the caller states is left.
   Duration m_elapsed{};
   /// Expected run time at a replica; zero: not known.
   Duration m_length{};
--- a/src/libverbenalead/entry/call_record.h
+++ b/src/libverbenalead/entry/call_record.h
@@ -13,8 +13,8 @@
 namespace verbenalead::entry {
 
 /// One call and its progress. All its attempts at replicas share the record. An
-/// attempt holds it until it has released its place, which may be after the
-/// call itself has ended.
+/// attempt holds it until it has released its slot, which may be after the call
+/// itself has ended.
 struct CallRecord {
   CallRecord(CallPlan plan, wire::Request request)
       : m_plan(std::move(plan)), m_request(std::move(request)) {}
@@ -30,7 +30,7 @@
   /// passed to the caller, after which another replica resumes the stream.
   decide::EventSplitter m_events;
   CallTimes m_times;
-  /// Number of attempts that got a place at a replica.
+  /// Number of attempts that got a slot at a replica.
   uint32_t m_attempts = 0;
 };
 
--- a/src/libverbenalead/entry/call_run.h
+++ b/src/libverbenalead/entry/call_run.h
@@ -31,7 +31,7 @@
   /// answer; the caller has got an error response or has disconnected.
   Awaitable<bool> Begin();
   /// Sends the call to one replica, and to a second one in parallel if the
-  /// first is silent. False: no place came free. `resumes`: this call resumes a
+  /// first is silent. False: no slot came free. `resumes`: this call resumes a
   /// stream at another replica.
   Awaitable<bool> SendAttempt(TimePoint wait_until, bool resumes);
   Awaitable<void> AnswerWhole();
@@ -40,14 +40,14 @@
   /// True: the answer is complete.
   Awaitable<bool> RelayEvents();
   /// Records whether the first event was late, which adjusts how long later
-  /// calls of the service wait for a place.
+  /// calls of the service wait for a slot.
   void RecordFirstEventLateness();
   /// Resumes the stream at another replica. False: no replica took it over.
   Awaitable<bool> Resume();
   /// Called when the current replica has failed or broken off. Waits for the
   /// hedge, if it was sent, and switches to it. True: the hedge answers.
   Awaitable<bool> SwitchToHedge();
-  /// Ends a call without an answer: the caller is told that the call was not
+  /// Ends a call without an answer: the response states that the call was not
   /// run if that is certain, else that its outcome is unknown.
   Awaitable<void> GiveUp();
   Awaitable<void> Refuse(decide::Refusal refusal);
@@ -55,7 +55,7 @@
                        const std::string& reason,
                        Duration retry_after);
 
-  /// Records that the current attempt has got a place, after waiting since
+  /// Records that the current attempt has got a slot, after waiting since
   /// `wait_began`, and starts to watch the replica for silence.
   void RecordSent(TimePoint wait_began);
   /// Starts a new hedge for the current attempt, if one is allowed.
--- a/src/libverbenalead/entry/call_run_stream.cc
+++ b/src/libverbenalead/entry/call_run_stream.cc
@@ -12,7 +12,7 @@
 
 constexpr int kOk = 200;
 
-/// Least wait that shows that no place was free at once. A shorter one may be
+/// Least wait that shows that no slot was free at once. A shorter one may be
 /// just the request to a target, which takes less than this.
 constexpr Duration kMinSlotWait = 20ms;
 
@@ -104,9 +104,9 @@
 }
 
 void CallRun::RecordFirstEventLateness() {
-  // Only on-time calls that waited for a place and were sent once are counted.
-  // A call that got a place at once had time to spare, and the time of a call
-  // with several attempts isn't the time that one replica needs.
+  // Only on-time calls that waited for a slot and were sent once are counted. A
+  // call that got a slot at once had time to spare, and the time of a call with
+  // several attempts isn't the time that one replica needs.
   const CallTimes& times = m_record->m_times;
   if (!m_plan.m_patience.m_can_be_on_time || m_record->m_attempts > 1 ||
       times.m_slot_wait < kMinSlotWait)
--- a/src/libverbenalead/entry/call_server.h
+++ b/src/libverbenalead/entry/call_server.h
@@ -24,8 +24,8 @@
 
  private:
   /// Estimates for how long a caller that has `left` until its deadline has
-  /// already been trying, from the longest time left that any call on the same
-  /// route arrived with.
+  /// already been attempting the call, from the longest time left that any call
+  /// on the same route arrived with.
   Duration Elapsed(const std::string& route, std::optional<Duration> left);
 
   EntryState& m_state;
--- a/src/libverbenalead/entry/call_server_test.cc
+++ b/src/libverbenalead/entry/call_server_test.cc
@@ -132,8 +132,8 @@
     CPPUNIT_ASSERT(m_replicas.m_requests.empty());
   }
 
-  // One request crashes each replica that runs it, and its caller sends it
-  // again. After three replicas it is refused without reaching a fourth; other
+  // One request crashes each replica that runs it, and its caller retries it.
+  // After three replicas it is refused without reaching a fourth; other
   // requests are still served.
   void RequestThatCrashesReplicasIsQuarantined() {
     m_replicas.m_answers = {Broken(), Broken(), Broken(), Broken()};
--- a/src/libverbenalead/entry/call_times.h
+++ b/src/libverbenalead/entry/call_times.h
@@ -11,7 +11,7 @@
 /// Timing of one call, for its log line and for hedging: a second attempt is
 /// made when the replica has been silent since `m_last_seen_at` for too long.
 struct CallTimes {
-  /// Total time that all attempts waited for a place at a replica.
+  /// Total time that all attempts waited for a slot at a replica.
   Duration m_slot_wait{};
   /// From the start of the call to its first event; absent: no event yet.
   std::optional<Duration> m_first_event;
@@ -22,8 +22,8 @@
   /// last began to wait for its answer, whichever is later.
   TimePoint m_last_seen_at{};
   /// This entry waits for data from the replica. False: nothing is being read,
-  /// for instance because the caller is slow to take the data already read;
-  /// the replica isn't silent then.
+  /// for instance because the caller is slow to take the data already read; the
+  /// replica isn't silent then.
   bool m_awaiting_data = false;
 };
 
--- a/src/libverbenalead/entry/caller_addresses.cc
+++ b/src/libverbenalead/entry/caller_addresses.cc
@@ -20,10 +20,10 @@
 
 void Add(Candidates& candidates,
          const model::EntryAddress& entry,
-         bool near,
+         bool same_data_center,
          bool ready) {
   (ready ? candidates.m_all : candidates.m_unready).push_back(entry.m_callers);
-  if (ready && near)
+  if (ready && same_data_center)
     candidates.m_near.push_back(entry.m_callers);
 }
 
--- a/src/libverbenalead/entry/caller_addresses_test.cc
+++ b/src/libverbenalead/entry/caller_addresses_test.cc
@@ -40,7 +40,7 @@
 
 /// Makes `count` entries of the same data centre, from number `first` on, known
 /// to `state` as ready or as not ready.
-void Tell(EntryState& state, size_t first, size_t count, bool ready) {
+void SetPeers(EntryState& state, size_t first, size_t count, bool ready) {
   for (size_t number = first; number < first + count; ++number) {
     PeerEntry& peer = state.m_peers[Address(number).m_host];
     peer.m_address = Address(number);
@@ -51,7 +51,7 @@
   }
 }
 
-size_t Told(const EntryState& state) {
+size_t CountListed(const EntryState& state) {
   return EntriesForCallers(state, "a", kMost, Now()).size();
 }
 
@@ -67,11 +67,11 @@
   // are.
   void DoesNotListStoppingEntries() {
     const auto first = Ready(0);
-    Tell(*first, 1, 1, true);
-    Tell(*first, 2, 18, true);
+    SetPeers(*first, 1, 1, true);
+    SetPeers(*first, 2, 18, true);
     for (size_t number = 2; number < 20; ++number)
       first->m_peers.at(Address(number).m_host).m_ready = false;
-    CPPUNIT_ASSERT_EQUAL(size_t{2}, Told(*first));
+    CPPUNIT_ASSERT_EQUAL(size_t{2}, CountListed(*first));
   }
 
   // Guards against entries without callers: if a data centre has more entries
@@ -82,8 +82,8 @@
     std::map<std::string, size_t> listings;
     for (size_t number = 0; number < kEntries; ++number) {
       const auto entry = Ready(number);
-      Tell(*entry, 0, number, true);
-      Tell(*entry, number + 1, kEntries - number - 1, true);
+      SetPeers(*entry, 0, number, true);
+      SetPeers(*entry, number + 1, kEntries - number - 1, true);
       for (const Endpoint& endpoint :
            EntriesForCallers(*entry, "a", kMost, Now()))
         ++listings[ToString(endpoint)];
--- a/src/libverbenalead/entry/entry_state.cc
+++ b/src/libverbenalead/entry/entry_state.cc
@@ -10,8 +10,8 @@
 /// store's answer.
 constexpr double kLeaseShare = 0.9;
 /// Time from the selection of a replica until the call starts there. A call
-/// that was placed on older weights within this time before they are barred
-/// would be cancelled and placed again.
+/// that was assigned to a replica with older weights within this time before
+/// those weights are barred would be cancelled and would need a retry.
 constexpr Duration kStartDelay = 400ms;
 /// Allowance for entries that have started but are not known yet, while hosts
 /// are replaced or added.
@@ -72,14 +72,14 @@
 uint32_t MaxExistingEntries(const EntryState& state) {
   if (!state.m_remote_entries)
     return kAssumedEntries;
-  uint32_t near = 1;
-  uint32_t far = 0;
+  uint32_t local = 1;
+  uint32_t remote = 0;
   for (const auto& [host, peer] : state.m_peers) {
-    const bool is_near =
+    const bool is_local =
         peer.m_address.m_data_center == state.m_options.m_self.m_data_center;
-    ++(is_near ? near : far);
+    ++(is_local ? local : remote);
   }
-  return near + std::max(far, *state.m_remote_entries) + kUnknownEntries;
+  return local + std::max(remote, *state.m_remote_entries) + kUnknownEntries;
 }
 
 }  // namespace verbenalead::entry
--- a/src/libverbenalead/entry/hedge.h
+++ b/src/libverbenalead/entry/hedge.h
@@ -21,7 +21,7 @@
 ///       first = hedge->Take();
 ///
 /// Failure: a replica pauses for a second or two, because its host is busy or
-/// it reads long prompts, and no other replica has a free place. Symptom: an
+/// it reads long prompts, and no other replica has a free slot. Symptom: an
 /// entry that drops the replica because of the pause cannot continue elsewhere,
 /// and cuts off an answer that would have come. Since the first attempt is kept
 /// until the second one answers, a pause alone never ends a call.
@@ -38,7 +38,7 @@
   /// Called when the first replica has sent data. Cancels a second attempt that
   /// hasn't begun to answer.
   void OnReplicaData();
-  /// Stops watching, cancels a second attempt and releases its place.
+  /// Stops watching, cancels a second attempt and releases its slot.
   void Stop();
   /// The second attempt has begun to answer, and Take() hasn't been called.
   bool ready() const { return m_ready; }
@@ -46,7 +46,7 @@
   /// watching.
   std::shared_ptr<CallAttempt> Take();
   /// Called when the first attempt has broken off. Waits for the second attempt
-  /// if it was sent; one that has no place yet is cancelled. True: the second
+  /// if it was sent; one that has no slot yet is cancelled. True: the second
   /// attempt is ready.
   Awaitable<bool> Finish();
 
@@ -63,7 +63,7 @@
   /// Whether the second attempt, whose head has been received, can replace the
   /// first. A stream must also deliver a first piece of its body.
   Awaitable<bool> Proves();
-  /// Ends the second attempt and releases its place.
+  /// Ends the second attempt and releases its slot.
   void Drop();
   Awaitable<void> Pause();
   void Log(const char* outcome) const;
--- a/src/libverbenalead/entry/peer_updates.h
+++ b/src/libverbenalead/entry/peer_updates.h
@@ -25,7 +25,7 @@
 /// Limits `records` to the newest that fit into one datagram. Failure: hundreds
 /// of calls break together with their replicas. Symptom: an update with all
 /// records is too large to be sent, and the other entries take this one for
-/// dead. The oldest records can be dropped: a request that goes on crashing
+/// dead. The oldest records can be dropped: a request that continues to crash
 /// replicas produces new ones.
 void LimitToDatagram(std::vector<decide::CrashRecord>& records);
 
--- a/src/libverbenalead/entry/platform_entry.cc
+++ b/src/libverbenalead/entry/platform_entry.cc
@@ -29,8 +29,8 @@
 
 namespace asio = boost::asio;
 
-/// Interval at which target processes are sent follow requests, which make them
-/// send their updates for a few seconds.
+/// Interval at which target processes are sent subscription requests, which
+/// make them send their updates for a few seconds.
 constexpr Duration kFollowInterval = 1s;
 constexpr uint64_t kRoundsPerRemoteRequest = 2;
 /// Lifetime of a response of the directory. Callers that use it for three times
@@ -40,7 +40,7 @@
 /// ms.
 constexpr Duration kConnectTimeout = 250ms;
 /// Time after the stop signal for which calls are still accepted, since callers
-/// go on sending them until they have queried the directory again. A little
+/// continue to send them until they have queried the directory again. A little
 /// less than three times kAddressListLifetime, because a busy host handles the
 /// signal late.
 constexpr Duration kAcceptCallsFor = 2900ms;
--- a/src/libverbenalead/entry/retry_attempt.cc
+++ b/src/libverbenalead/entry/retry_attempt.cc
@@ -10,8 +10,8 @@
 /// after that, the pause in the stream is short enough to count as on time.
 constexpr Duration kResumeReadLimit = 300ms;
 
-/// Marks the call as late, before its next placement, if its prompt can no
-/// longer be read in time.
+/// Marks the call as late, before its next attempt, if its prompt can no longer
+/// be read in time.
 void PrepareNextAttempt(EntryState& state, CallRecord& record) {
   decide::PrepareRetry(
       record.m_pool_call,
@@ -36,7 +36,7 @@
                           const std::function<void()>& on_sent) {
   if (record.m_events.m_events > 0) {
     // The stream has begun and its caller waits for the next event, so the call
-    // is placed as one that can be on time.
+    // gets a slot as one that can be on time.
     record.m_pool_call.m_can_be_on_time = true;
     record.m_pool_call.m_read_deadline = Now() + kResumeReadLimit;
   }
--- a/src/libverbenalead/entry/retry_attempt.h
+++ b/src/libverbenalead/entry/retry_attempt.h
@@ -14,8 +14,8 @@
 bool TryTakeRetry(EntryState& state, const std::string& service);
 
 /// Retries a call with the new attempt `attempt`. The call first waits for a
-/// place that lets it be on time; if none comes free, it waits until
-/// `wait_until` for a place that no on-time call needs. False: no place came
+/// slot that lets it be on time; if none comes free, it waits until
+/// `wait_until` for a slot that no on-time call needs. False: no slot came
 /// free.
 Awaitable<bool> SendRetry(EntryState& state,
                           CallRecord& record,
--- a/src/libverbenalead/entry/slot_allocator.cc
+++ b/src/libverbenalead/entry/slot_allocator.cc
@@ -12,13 +12,13 @@
 namespace {
 
 /// Maximum number of targets at which a call is queued at the same time. With
-/// two, places come free for it twice as often as with one; each further target
+/// two, slots come free for it twice as often as with one; each further target
 /// costs three datagrams per call.
 constexpr size_t kReservations = 2;
 
 }  // namespace
 
-/// A call that waits for a place. The timer is cancelled to wake it.
+/// A call that waits for a slot. The timer is cancelled to wake it.
 struct SlotAllocator::Waiter {
   Waiter(const asio::any_io_executor& executor,
          std::string service,
@@ -50,23 +50,23 @@
                                                           TimePoint deadline) {
   const uint64_t ticket = call.m_ticket;
   while (true) {
-    auto place = co_await AcquireOrWait(service, call, deadline);
-    if (!place) {
+    auto slot = co_await AcquireOrWait(service, call, deadline);
+    if (!slot) {
       WithdrawReservations(ticket);
       co_return std::nullopt;
     }
-    bool granted = place->m_granted;
+    bool granted = slot->m_granted;
     if (!granted)
-      granted = co_await m_slot_requester.Ask(service, place->m_replica, call);
+      granted = co_await m_slot_requester.Ask(service, slot->m_replica, call);
     if (granted) {
       WithdrawReservations(ticket);
-      co_return place->m_replica;
+      co_return slot->m_replica;
     }
-    // The target denied the place. Its answer also updated this entry's view of
+    // The target denied the slot. Its answer also updated this entry's view of
     // the replica, so the next round chooses another one.
     decide::ReplicaPool& pool = StateOf(m_state, service).m_pool;
-    decide::NotePromptRead(pool, place->m_replica, call.m_prompt_tokens);
-    decide::Release(pool, place->m_replica, decide::AttemptEnd::kNotRun, Now());
+    decide::NotePromptRead(pool, slot->m_replica, call.m_prompt_tokens);
+    decide::Release(pool, slot->m_replica, decide::AttemptEnd::kNotRun, Now());
     m_state.m_metrics.Count("places_denied_total", "");
   }
 }
@@ -78,9 +78,9 @@
   decide::ReplicaPool& pool = StateOf(m_state, service).m_pool;
   auto replica = decide::AcquireSlot(pool, call, Now(), m_state.m_random);
   if (replica) {
-    Place place;
-    place.m_replica = *replica;
-    co_return place;
+    Place slot;
+    slot.m_replica = *replica;
+    co_return slot;
   }
   if (deadline <= Now())
     co_return std::nullopt;
@@ -144,10 +144,10 @@
   if (!decide::AddGrantedSlot(pool, replica, waiting.m_prompt_tokens))
     return;
   decide::RemoveWaitingCall(pool, ticket->second);
-  Place place;
-  place.m_replica = replica;
-  place.m_granted = true;
-  waiting.m_place = std::move(place);
+  Place slot;
+  slot.m_replica = replica;
+  slot.m_granted = true;
+  waiting.m_place = std::move(slot);
   waiting.m_timer.cancel();
 }
 
@@ -201,9 +201,9 @@
                       Now());
       continue;
     }
-    Place place;
-    place.m_replica = start.m_replica;
-    found->second->m_place = std::move(place);
+    Place slot;
+    slot.m_replica = start.m_replica;
+    found->second->m_place = std::move(slot);
     found->second->m_timer.cancel();
   }
 }
--- a/src/libverbenalead/entry/slot_allocator.h
+++ b/src/libverbenalead/entry/slot_allocator.h
@@ -14,63 +14,64 @@
 
 namespace verbenalead::entry {
 
-/// Obtains places at replicas for calls. A call for which no place is free
-/// waits until one is released here or a target grants one.
+/// Obtains slots (capacity for one call each) at replicas for calls. A call for
+/// which no slot is free waits until one is released here or a target grants
+/// one.
 class SlotAllocator {
  public:
-  /// `asker` confirms each place with the target of its replica. `on_change` is
+  /// `asker` confirms each slot with the target of its replica. `on_change` is
   /// called with each replica at which this entry's calls have changed, so that
   /// its target can be notified.
   SlotAllocator(EntryState& state,
                 SlotRequester& asker,
                 std::function<void(const decide::ReplicaState&)> on_change);
 
-  /// Obtains a place for `call` and returns the replica of `service`; nothing
-  /// if no place came free until `deadline`, or Cancel() was called for its
-  /// ticket.
+  /// Obtains a slot for `call` and returns the replica of `service`; nothing if
+  /// no slot came free until `deadline`, or Cancel() was called for its ticket.
   Awaitable<std::optional<std::string>> Take(std::string service,
                                              decide::PoolCall call,
                                              TimePoint deadline);
-  /// Ends the wait of the call with this ticket without a place.
+  /// Ends the wait of the call with this ticket without a slot.
   void Cancel(uint64_t ticket);
   uint64_t NewTicket() { return ++m_last_ticket; }
 
   /// Called when the replica has begun to answer a call: its prompt has been
-  /// read and no longer delays other calls that are placed there.
+  /// read and no longer delays other calls at that replica.
   void NotePromptRead(const std::string& service,
                       const std::string& replica,
                       uint32_t prompt_tokens);
-  /// Releases a place and wakes waiting calls.
+  /// Releases a slot and wakes waiting calls.
   void Release(const std::string& service,
                const std::string& replica,
                decide::AttemptEnd end);
-  /// Starts the waiting calls of `service` for which places are free now.
+  /// Starts the waiting calls of `service` for which slots are free now.
   void Wake(const std::string& service);
   void WakeAll();
 
  private:
   struct Waiter;
 
-  /// A place assigned to a call.
+  /// A slot assigned to a call.
   struct Place {
     std::string m_replica;
-    /// The target has granted it. False: the target has yet to be asked.
+    /// The target has granted it. False: it has yet to be requested from the
+    /// target.
     bool m_granted = false;
   };
 
-  /// Takes a free place of the pool by this entry's own view, or waits until
-  /// one comes free or a target grants one.
+  /// Takes a slot of the pool that is free by this entry's own view, or waits
+  /// until one comes free or a target grants one.
   Awaitable<std::optional<Place>> AcquireOrWait(std::string service,
                                                 decide::PoolCall call,
                                                 TimePoint deadline);
-  /// Also queues `call` at targets, which know of free places sooner.
+  /// Also queues `call` at targets, which know of free slots sooner.
   void Reserve(const std::string& service,
                const decide::PoolCall& call,
                TimePoint deadline);
   void WithdrawReservations(uint64_t ticket);
-  /// Called when a target has granted a place to a call queued there.
+  /// Called when a target has granted a slot to a call queued there.
   void HandleGrant(uint64_t reservation);
-  /// Returns a granted place whose call has a place elsewhere or has ended, so
+  /// Returns a granted slot whose call has a slot elsewhere or has ended, so
   /// that the target can grant it to the next call.
   void ReturnUnneededGrant(const std::string& replica);
   /// Sends the target of `replica` this entry's current calls there.
--- a/src/libverbenalead/entry/slot_allocator_test.cc
+++ b/src/libverbenalead/entry/slot_allocator_test.cc
@@ -46,9 +46,9 @@
     pool.m_replicas.at("i-1").m_other_entries_calls = kSlots;
   }
 
-  // Guards against refusing an on-time call although a place came free at a
+  // Guards against refusing an on-time call although a slot came free at a
   // target, because this entry doesn't know of it yet. The target grants the
-  // place to the call queued there, which starts without another request.
+  // slot to the call queued there, which starts without another request.
   void WaitingCallGetsTheSlotGrantedByATarget() {
     Take(10s);
     CPPUNIT_ASSERT(!m_done);
@@ -63,7 +63,7 @@
     CPPUNIT_ASSERT(StateOf(*m_state, "pool").m_pool.m_waiting.empty());
   }
 
-  // Guards against a place that stays unused for a second, because it was
+  // Guards against a slot that stays unused for a second, because it was
   // granted to a call that has ended. This entry must at once send the target
   // the calls that it really has there.
   void UnneededGrantIsReturned() {
--- a/src/libverbenalead/entry/slot_requester.cc
+++ b/src/libverbenalead/entry/slot_requester.cc
@@ -15,8 +15,9 @@
 
 /// Time-out of a request to a target. The longest round trip is 6 ms, but while
 /// new weights are transferred, requests queue behind chunks on the target's
-/// link. With a time-out of 15 ms, one in 15 calls was placed by its entry's
-/// own outdated view, and 190 of 5,600 requests of a quiet day got no answer.
+/// link. With a time-out of 15 ms, one in 15 calls was assigned to a replica by
+/// its entry's own outdated view, and 190 of 5,600 requests of a quiet day got
+/// no answer.
 constexpr Duration kAnswerTimeout = 40ms;
 /// Sent as the time limit for reading the prompt where none is known.
 constexpr Duration kNoReadLimit = std::chrono::hours(1);
--- a/src/libverbenalead/entry/slot_requester.h
+++ b/src/libverbenalead/entry/slot_requester.h
@@ -14,7 +14,8 @@
 
 namespace verbenalead::entry {
 
-/// Requests places at replicas from the target processes beside them.
+/// Requests slots at replicas from the target processes on their hosts. A slot
+/// is capacity for one call.
 ///
 /// Load: 28 calls start within 0.2 s at the peak. Harm: an entry's view of the
 /// other entries' calls is up to 0.2 s old, so without a request all entries
@@ -26,7 +27,7 @@
   SlotRequester(EntryState& state, links::DatagramSocket& datagrams)
       : m_state(state), m_datagrams(datagrams) {}
 
-  /// Whether the target grants `call` a place at `replica`. If the target
+  /// Whether the target grants `call` a slot at `replica`. If the target
   /// doesn't answer, its replica stays in use: the result is true, as this
   /// entry has already chosen the replica by its own view, and no requests are
   /// sent to the target for a while.
@@ -42,8 +43,8 @@
   /// Removes the call from the queue of the target.
   void Withdraw(uint64_t reservation);
   /// Sets the handlers of grants. `granted` is called with the reservation when
-  /// a target grants a place to a queued call; `unwanted` is called with the
-  /// replica when a target grants a place for which no call waits any more.
+  /// a target grants a slot to a queued call; `unwanted` is called with the
+  /// replica when a target grants a slot for which no call waits any more.
   void SetGrantHandlers(
       std::function<void(uint64_t reservation)> granted,
       std::function<void(const std::string& replica)> unwanted) {
@@ -59,7 +60,7 @@
  private:
   struct PendingRequest;
 
-  /// Address of the target process that runs beside `replica`.
+  /// Address of the target process on the host of `replica`.
   Endpoint TargetOf(const decide::ReplicaState& replica) const;
   links::SlotRequestMessage RequestFor(const decide::ReplicaState& replica,
                                        const decide::PoolCall& call);
--- a/src/libverbenalead/entry/summary_test.cc
+++ b/src/libverbenalead/entry/summary_test.cc
@@ -71,15 +71,15 @@
     m_receiver = Entry("b1", "b");
   }
 
-  bool Tell(uint64_t number) {
+  bool SendSummary(uint64_t number) {
     links::DataCenterSummary summary = SummaryOf(*m_sender, Now());
     summary.m_number = number;
     return ApplySummary(*m_receiver, summary, Now());
   }
 
-  // An entry places calls at replicas of other data centres by the summary. If
+  // An entry assigns calls to replicas of other data centres by the summary. If
   // the summary lacks calls of some entries, or the entry counts its own calls
-  // twice, calls are placed wrongly and queue behind calls that the entry
+  // twice, calls go to the wrong replicas and queue behind calls that the entry
   // didn't know of.
   void ReportsLocalReplicasWithTheCallsOfAllEntries() {
     At(*m_sender, "i-a").m_in_flight = 2;
@@ -89,7 +89,7 @@
     At(*m_receiver, "i-a").m_in_flight = 1;
     At(*m_receiver, "i-a").m_unread_tokens = 300;
     At(*m_sender, "i-b").m_other_entries_calls = 7;
-    CPPUNIT_ASSERT(Tell(1));
+    CPPUNIT_ASSERT(SendSummary(1));
     CPPUNIT_ASSERT_EQUAL(5U, At(*m_receiver, "i-a").m_other_entries_calls);
     CPPUNIT_ASSERT_EQUAL(uint64_t{700},
                          At(*m_receiver, "i-a").m_other_entries_unread_tokens);
@@ -101,7 +101,7 @@
   void LoadIsKnownInOtherDataCenters() {
     At(*m_sender, "i-a").m_loading_until = Now() + 1s;
     At(*m_sender, "i-a").m_weights = 2;
-    CPPUNIT_ASSERT(Tell(1));
+    CPPUNIT_ASSERT(SendSummary(1));
     CPPUNIT_ASSERT(At(*m_receiver, "i-a").m_loading_until > Now());
     CPPUNIT_ASSERT_EQUAL(uint64_t{2}, At(*m_receiver, "i-a").m_weights);
   }
@@ -113,9 +113,9 @@
     links::DataCenterSummary older = SummaryOf(*m_sender, Now());
     older.m_number = 1;
     At(*m_sender, "i-a").m_weights = 2;
-    CPPUNIT_ASSERT(Tell(2));
+    CPPUNIT_ASSERT(SendSummary(2));
     CPPUNIT_ASSERT(!ApplySummary(*m_receiver, older, Now()));
-    CPPUNIT_ASSERT(!Tell(2));
+    CPPUNIT_ASSERT(!SendSummary(2));
     CPPUNIT_ASSERT_EQUAL(uint64_t{2}, At(*m_receiver, "i-a").m_weights);
     // A summary of the receiver's own data centre is ignored too.
     older.m_data_center = "b";
@@ -132,11 +132,11 @@
     peer.m_ready = true;
     peer.m_last_seen_at = Now();
     m_sender->m_lease.m_proved_at = BootNow();
-    CPPUNIT_ASSERT(Tell(1));
+    CPPUNIT_ASSERT(SendSummary(1));
     CPPUNIT_ASSERT_EQUAL(size_t{2},
                          EntriesForCallers(*m_receiver, "a", 64, Now()).size());
     peer.m_last_seen_at = Now() - 2s;
-    CPPUNIT_ASSERT(Tell(2));
+    CPPUNIT_ASSERT(SendSummary(2));
     CPPUNIT_ASSERT(!m_receiver->m_peers.at("a2").m_ready);
   }
 
@@ -154,7 +154,7 @@
     CPPUNIT_ASSERT_EQUAL(size_t{3},
                          SummaryOf(*m_sender, Now()).m_crashes.size());
     CPPUNIT_ASSERT(!decide::IsQuarantined(m_receiver->m_crashes, 5, Now()));
-    CPPUNIT_ASSERT(Tell(1));
+    CPPUNIT_ASSERT(SendSummary(1));
     CPPUNIT_ASSERT(decide::IsQuarantined(m_receiver->m_crashes, 5, Now()));
   }
 
@@ -186,10 +186,10 @@
     m_sender->m_operator_confirmed_at = BootNow();
     CPPUNIT_ASSERT(!HasValidLease(*m_receiver));
     m_receiver->m_operator_revision = 4;
-    CPPUNIT_ASSERT(Tell(1));
+    CPPUNIT_ASSERT(SendSummary(1));
     CPPUNIT_ASSERT(!HasValidLease(*m_receiver));
     m_receiver->m_operator_revision = 5;
-    CPPUNIT_ASSERT(Tell(2));
+    CPPUNIT_ASSERT(SendSummary(2));
     CPPUNIT_ASSERT(HasValidLease(*m_receiver));
   }
 
--- a/src/libverbenalead/entry/update_sender.cc
+++ b/src/libverbenalead/entry/update_sender.cc
@@ -5,8 +5,9 @@
 namespace verbenalead::entry {
 namespace {
 
-/// In one of this many rounds all calls are sent to targets again, in case a
-/// datagram was lost.
+/// In one of this many rounds the calls at each replica that has any are
+/// reported to its target even if they have not changed, in case a datagram was
+/// lost.
 constexpr uint64_t kRoundsPerResend = 12;
 /// In one of this many rounds an update is sent to the entries of this data
 /// centre even if nothing has changed.
@@ -62,9 +63,9 @@
 }
 
 void UpdateSender::NotifyStartingEntry(const links::EntryUpdate& update) {
-  const bool near =
+  const bool same_data_center =
       update.m_address.m_data_center == m_state.m_options.m_self.m_data_center;
-  if (near && update.m_operator_revision == 0 &&
+  if (same_data_center && update.m_operator_revision == 0 &&
       m_state.m_operator_revision > 0)
     m_datagrams.Send(update.m_address.m_peers, NewsOf(m_state));
 }
--- a/src/libverbenalead/entry/update_sender.h
+++ b/src/libverbenalead/entry/update_sender.h
@@ -46,8 +46,8 @@
 
  private:
   void Broadcast(const links::EntryUpdate& update);
-  /// Sends a follow request to the targets of this data centre (`near`) or to
-  /// those of all others.
+  /// Sends a subscription request to the targets of this data centre (`near`)
+  /// or to those of all others.
   void SendFollowRequests(bool near);
   Endpoint TargetOf(const decide::ReplicaState& replica) const;
 
--- a/src/libverbenalead/links/datagram_socket.cc
+++ b/src/libverbenalead/links/datagram_socket.cc
@@ -61,7 +61,7 @@
     if (error == asio::error::operation_aborted)
       co_return;
     // The error is about an earlier datagram that this socket sent to a port on
-    // which nobody listens. The socket itself still works.
+    // which no process listens. The socket itself still works.
     if (error)
       continue;
     const Endpoint sender(from.address().to_string(), from.port());
--- a/src/libverbenalead/links/process_servers.h
+++ b/src/libverbenalead/links/process_servers.h
@@ -10,8 +10,8 @@
 
 namespace verbenalead::links {
 
-/// Returns a handler that answers each request with `metrics` in the
-/// Prometheus text format.
+/// Returns a handler that answers each request with `metrics` in the Prometheus
+/// text format.
 wire::Handler MetricsHandler(const Metrics& metrics);
 
 /// Makes each server listen on its endpoint; a server with an empty endpoint is
--- a/src/libverbenalead/links/relayed_rows.h
+++ b/src/libverbenalead/links/relayed_rows.h
@@ -62,7 +62,7 @@
 Result<RelayedRows> DecodeRows(const std::string& text,
                                const RelayMetadata& facts);
 
-/// Header field of a request for rows: the requester can retry later or ask
+/// Header field of a request for rows: the requester can retry later or use
 /// another entry, so the server may refuse the request while it serves many
 /// others.
 inline constexpr char kMayBeDeferred[] = "may-be-put-off";
--- a/src/libverbenalead/links/slot_answer.h
+++ b/src/libverbenalead/links/slot_answer.h
@@ -7,8 +7,8 @@
 
 namespace verbenalead::links {
 
-/// Answer of a target process to a SlotRequestMessage. It is sent at once, and
-/// sent again for a queued call when the call gets its slot.
+/// Answer of a target process to a SlotRequestMessage. It is sent at once; for
+/// a queued call, a second one follows when the call gets its slot.
 struct SlotAnswer {
   uint64_t m_ticket = 0;
   bool m_granted = false;
--- a/src/libverbenalead/links/summary_codec.cc
+++ b/src/libverbenalead/links/summary_codec.cc
@@ -152,12 +152,12 @@
 }
 
 json::array EncodeCrashes(const std::vector<decide::CrashRecord>& crashes) {
-  json::array notes;
-  for (const decide::CrashRecord& note : crashes) {
-    notes.push_back(json::object{{"request", std::to_string(note.m_key)},
-                                 {"replica", note.m_target}});
+  json::array records;
+  for (const decide::CrashRecord& record : crashes) {
+    records.push_back(json::object{{"request", std::to_string(record.m_key)},
+                                   {"replica", record.m_target}});
   }
-  return notes;
+  return records;
 }
 
 Result<std::vector<decide::CrashRecord>> DecodeCrashes(
@@ -167,12 +167,12 @@
   for (const json::value& value : *list) {
     if (!value.is_object())
       return model::BadField("crashes", "objects");
-    decide::CrashRecord note;
+    decide::CrashRecord record;
     BOOST_LEAF_AUTO(request, model::TextField(value.as_object(), "request"));
-    note.m_key = std::strtoull(request.c_str(), nullptr, 10);
-    BOOST_LEAF_ASSIGN(note.m_target,
+    record.m_key = std::strtoull(request.c_str(), nullptr, 10);
+    BOOST_LEAF_ASSIGN(record.m_target,
                       model::TextField(value.as_object(), "replica"));
-    crashes.push_back(std::move(note));
+    crashes.push_back(std::move(record));
   }
   return crashes;
 }
--- a/src/libverbenalead/links/summary_codec.h
+++ b/src/libverbenalead/links/summary_codec.h
@@ -14,7 +14,7 @@
 /// Fails with kInvalid on an object that EncodeSummary can't have written.
 Result<DataCenterSummary> DecodeSummary(const boost::json::object& object);
 
-/// The crash notes that entries exchange, as a JSON array.
+/// The crash records that entries exchange, as a JSON array.
 boost::json::array EncodeCrashes(
     const std::vector<decide::CrashRecord>& crashes);
 Result<std::vector<decide::CrashRecord>> DecodeCrashes(
--- a/src/libverbenalead/links/table_follower.h
+++ b/src/libverbenalead/links/table_follower.h
@@ -36,8 +36,8 @@
   /// have changed or has to be read now. During a request, the next one follows
   /// at once.
   void PollNow();
-  /// Notes that all changes up to `revision` came from another process, so that
-  /// they aren't read from the store.
+  /// Records that all changes up to `revision` came from another process, so
+  /// that they aren't read from the store.
   void SkipTo(uint64_t revision) {
     m_revision = std::max(m_revision, revision);
   }
--- a/src/libverbenalead/platform/store.cc
+++ b/src/libverbenalead/platform/store.cc
@@ -13,13 +13,13 @@
 
 namespace json = boost::json;
 
-/// Longest wait for an answer beyond the time that the store was asked to wait,
+/// Longest wait for an answer beyond the long-poll wait stated in the request,
 /// and longest pause within an answer. An answer usually takes 4 ms; one that
 /// takes 60 times as long must still be accepted.
 constexpr Duration kAnswerTimeout = 800ms;
 
-/// Longest time for a whole answer, beyond the time that the store was asked to
-/// wait.
+/// Longest time for a whole answer, beyond the long-poll wait stated in the
+/// request.
 constexpr Duration kTotalTimeout = 8s;
 
 constexpr int kOk = 200;
--- a/src/libverbenalead/target/chunk_fetcher.cc
+++ b/src/libverbenalead/target/chunk_fetcher.cc
@@ -56,8 +56,8 @@
 constexpr Duration kResponseHeaderTimeout = 4s;
 constexpr Duration kOriginTimeout = 3s;
 constexpr Duration kMembersInterval = 500ms;
-/// A transfer that received no chunk for this time, ten times the duration of
-/// a chunk, has stalled.
+/// A transfer that received no chunk for this time, ten times the duration of a
+/// chunk, has stalled.
 constexpr Duration kStallTimeout = 500ms;
 /// Most concurrent origin fetches of all hosts together. With fewer, the
 /// origin's link is idle until the next host learns that a fetch has ended.
@@ -235,18 +235,18 @@
 
 void ChunkFetcher::AnnounceOriginFetches(Transfer& transfer,
                                          std::vector<uint32_t> drawn) {
-  links::OriginFetchUpdate news;
-  news.m_model = m_state.m_engine->m_model;
-  news.m_version = transfer.m_version;
-  news.m_report.m_host = m_state.m_options.m_peers.address();
+  links::OriginFetchUpdate update;
+  update.m_model = m_state.m_engine->m_model;
+  update.m_version = transfer.m_version;
+  update.m_report.m_host = m_state.m_options.m_peers.address();
   for (const auto& [chunk, fetch] : transfer.m_core.m_fetching) {
     if (fetch.m_source.IsOrigin())
-      news.m_report.m_under_way.push_back(chunk);
+      update.m_report.m_under_way.push_back(chunk);
   }
-  if (news.m_report.m_under_way.empty() && drawn.empty())
+  if (update.m_report.m_under_way.empty() && drawn.empty())
     return;
-  news.m_report.m_origin_fetched = std::move(drawn);
-  m_announce_origin_fetches(news);
+  update.m_report.m_origin_fetched = std::move(drawn);
+  m_announce_origin_fetches(update);
   transfer.m_next_announcement = Now() + kAnnouncementInterval;
 }
 
--- a/src/libverbenalead/target/chunk_fetcher.h
+++ b/src/libverbenalead/target/chunk_fetcher.h
@@ -83,7 +83,7 @@
   void End(const std::shared_ptr<Transfer>& transfer);
   static void StopTransfer(std::shared_ptr<Transfer>& transfer);
   /// Announces to the other hosts which chunks this host is fetching from the
-  /// origin, and that `drawn` have been fetched.
+  /// origin, and which ones it has just fetched from there (`drawn`).
   void AnnounceOriginFetches(Transfer& transfer, std::vector<uint32_t> drawn);
   /// Records and logs whether the origin answers. `reason`: the failure if not.
   void RecordOriginState(bool answers, const std::string& reason);
--- a/src/libverbenalead/target/chunk_stager.cc
+++ b/src/libverbenalead/target/chunk_stager.cc
@@ -5,9 +5,9 @@
 namespace verbenalead::target {
 namespace {
 
-/// A version that `Adopt` read back within this time is not read again before
-/// the load. A second read would keep the replica out of service for longer
-/// after a power failure.
+/// A version that `FindStaged` read back within this time is not read again
+/// before the load. A second read would keep the replica out of service for
+/// longer after a power failure.
 constexpr Duration kMaxVerificationAge = 1s;
 
 }  // namespace
--- a/src/libverbenalead/target/chunk_stager.h
+++ b/src/libverbenalead/target/chunk_stager.h
@@ -28,7 +28,7 @@
   /// Reads all staged chunks of `version` back and returns whether each of them
   /// matches its digest. Staged chunks can become corrupt without any write;
   /// such a chunk is removed from the cache and has to be fetched again. A
-  /// version that `Adopt` has just read back completely is not read again.
+  /// version that `FindStaged` has just read back completely is not read again.
   Awaitable<bool> Verify(uint64_t version);
   /// Must be called after the engine restarted: chunks that it had staged may
   /// be lost.
@@ -40,9 +40,9 @@
 
   TargetState& m_state;
   platform::EngineClient& m_engine;
-  /// The version of which a chunk was staged or adopted last; 0: none.
+  /// The version of which a chunk was staged, or found staged, last; 0: none.
   uint64_t m_version = 0;
-  /// The version that `Adopt` found completely staged, and when that check
+  /// The version that `FindStaged` found completely staged, and when that check
   /// began; 0: none.
   uint64_t m_verified_version = 0;
   TimePoint m_verified_at{};
--- a/src/libverbenalead/target/digest_reader.cc
+++ b/src/libverbenalead/target/digest_reader.cc
@@ -11,8 +11,8 @@
 namespace {
 
 constexpr Duration kOriginTimeout = 3s;
-/// Number of hosts that are asked, among those first in line at the origin
-/// (`decide::kDigestReaders`).
+/// Number of hosts from which the digests are requested, among those first in
+/// line at the origin (`decide::kDigestReaders`).
 constexpr size_t kMaxHostsAsked = 2;
 constexpr Duration kDigestsTimeout = 300ms;
 constexpr int kMaxOriginAttempts = 3;
--- a/src/libverbenalead/target/engine_controller.cc
+++ b/src/libverbenalead/target/engine_controller.cc
@@ -85,9 +85,9 @@
   while (true) {
     if (m_state.m_engine && !m_state.m_engine->m_model.empty())
       co_await Look();
-    const links::ReplicaUpdate news = News();
-    if (news != m_told || news.m_loading) {
-      m_told = news;
+    const links::ReplicaUpdate update = News();
+    if (update != m_told || update.m_loading) {
+      m_told = update;
       m_tell();
     }
     co_await Sleep(kEnginePollInterval);
@@ -102,14 +102,14 @@
 }
 
 links::ReplicaUpdate EngineController::News() const {
-  links::ReplicaUpdate news;
+  links::ReplicaUpdate update;
   const model::Replica* replica = OwnReplica(m_state);
-  news.m_replica = replica ? replica->m_id : "";
-  news.m_service = m_state.m_options.m_service;
-  news.m_version = m_state.m_engine ? Loaded() : 0;
-  news.m_closing = m_closing;
-  news.m_loading = m_calls_stopped || (m_report && m_report->m_loading);
-  return news;
+  update.m_replica = replica ? replica->m_id : "";
+  update.m_service = m_state.m_options.m_service;
+  update.m_version = m_state.m_engine ? Loaded() : 0;
+  update.m_closing = m_closing;
+  update.m_loading = m_calls_stopped || (m_report && m_report->m_loading);
+  return update;
 }
 
 void EngineController::RecordEngineReport(
--- a/src/libverbenalead/target/platform_target.cc
+++ b/src/libverbenalead/target/platform_target.cc
@@ -72,8 +72,8 @@
         m_fetcher(m_state,
                   m_http,
                   m_origin,
-                  [this](const links::OriginFetchUpdate& news) {
-                    AnnounceOriginFetches(news);
+                  [this](const links::OriginFetchUpdate& update) {
+                    AnnounceOriginFetches(update);
                   }),
         m_datagrams(m_threads.main(), m_state.m_options.m_peers),
         m_places(m_state,
@@ -109,18 +109,18 @@
     } else if (const auto* calls = std::get_if<links::CallUpdate>(&message)) {
       if (IsOwnReplica(sender, calls->m_replica))
         m_places.HandleCallReport(sender, *calls);
-    } else if (const auto* ask =
+    } else if (const auto* slot_request =
                    std::get_if<links::SlotRequestMessage>(&message)) {
-      if (IsOwnReplica(sender, ask->m_replica))
-        m_places.Grant(sender, *ask);
+      if (IsOwnReplica(sender, slot_request->m_replica))
+        m_places.Grant(sender, *slot_request);
     } else if (const auto* withdrawal =
                    std::get_if<links::SlotWithdrawal>(&message)) {
       m_places.Withdraw(sender, withdrawal->m_ticket);
-    } else if (const auto* news = std::get_if<links::ChunkUpdate>(&message)) {
-      m_fetcher.TakeNews(*news);
-    } else if (const auto* draws =
+    } else if (const auto* update = std::get_if<links::ChunkUpdate>(&message)) {
+      m_fetcher.TakeNews(*update);
+    } else if (const auto* origin_fetches =
                    std::get_if<links::OriginFetchUpdate>(&message)) {
-      m_fetcher.HandleOriginFetches(*draws);
+      m_fetcher.HandleOriginFetches(*origin_fetches);
     }
   }
 
@@ -160,19 +160,19 @@
     if (!m_state.m_engine)
       return;
     for (const auto& [version, cached] : m_state.m_cache.versions()) {
-      links::ChunkUpdate news;
-      news.m_host = m_state.m_options.m_peers.address();
-      news.m_model = m_state.m_engine->m_model;
-      news.m_version = version;
-      news.m_chunks = m_state.m_cache.Held(version);
-      m_datagrams.Send(to, news);
+      links::ChunkUpdate update;
+      update.m_host = m_state.m_options.m_peers.address();
+      update.m_model = m_state.m_engine->m_model;
+      update.m_version = version;
+      update.m_chunks = m_state.m_cache.Held(version);
+      m_datagrams.Send(to, update);
     }
   }
 
-  void AnnounceOriginFetches(const links::OriginFetchUpdate& news) {
+  void AnnounceOriginFetches(const links::OriginFetchUpdate& update) {
     for (const decide::TransferMember& member : OtherMembers(m_state))
       m_datagrams.Send(
-          Endpoint(member.m_name, m_state.m_options.m_peers.port()), news);
+          Endpoint(member.m_name, m_state.m_options.m_peers.port()), update);
   }
 
   /// A value that changes when chunks arrive or a newer version is added.
--- a/src/libverbenalead/target/row_source.cc
+++ b/src/libverbenalead/target/row_source.cc
@@ -19,10 +19,11 @@
 /// such a host was to fetch from the origin are fetched late, by the next host
 /// in the order.
 constexpr Duration kReplicaReadInterval = 300ms;
-/// After a start, this many entries are asked per round, with a pause between
-/// rounds. Each entry is asked this many times before the list of entries is
-/// read again. The repetition is needed as the entries may have started at the
-/// same time, and then know the tables half a second later.
+/// After a start, rows are requested from this many entries per round, with a
+/// pause between rounds. They are requested from each entry this many times
+/// before the list of entries is read again. The repetition is needed as the
+/// entries may have started at the same time, and then know the tables half a
+/// second later.
 constexpr size_t kEntriesPerRound = 3;
 constexpr size_t kAttemptsPerEntry = 2;
 constexpr Duration kRoundPause = 200ms;
@@ -82,16 +83,17 @@
   std::vector<Endpoint> local_entries;
   size_t attempts = 0;
   while (!m_changes.m_known) {
-    // Each entry is asked twice, as it may have just started. After that the
-    // list of entries is read again, as it may have changed.
+    // Rows are requested from each entry twice, as it may have just started.
+    // After that the list of entries is read again, as it may have changed.
     if (attempts >= kAttemptsPerEntry * local_entries.size()) {
       local_entries = co_await LocalEntries();
       attempts = 0;
     }
     bool received = false;
-    for (size_t tried = 0; tried < kEntriesPerRound && !local_entries.empty() &&
-                           !m_changes.m_known && !received;
-         ++tried) {
+    for (size_t round_attempts = 0;
+         round_attempts < kEntriesPerRound && !local_entries.empty() &&
+         !m_changes.m_known && !received;
+         ++round_attempts) {
       ++attempts;
       std::rotate(local_entries.begin(), local_entries.begin() + 1,
                   local_entries.end());
@@ -179,11 +181,11 @@
 
 void RowSource::HandleAnnouncement(const Endpoint& entry,
                                    const links::SubscriptionRequest& request) {
-  const bool news = decide::HandleAnnouncement(
+  const bool is_newer = decide::HandleAnnouncement(
       m_changes, request.m_near, request.m_weights_revision, Now());
   const bool other_replicas =
       request.m_replicas_hash != decide::HashOf(m_state.m_replicas);
-  if (news && !m_fetching)
+  if (is_newer && !m_fetching)
     Spawn(m_executor, ReadRowsExclusively(entry, other_replicas), "take_over");
   else if (request.m_near && m_changes.m_known && other_replicas)
     RequestReplicaRows(entry);
--- a/src/libverbenalead/target/row_source_test.cc
+++ b/src/libverbenalead/target/row_source_test.cc
@@ -53,7 +53,7 @@
   // target reads its rows from an entry of its data centre, and from the store
   // only the list of entries there.
   void ReadsRowsFromLocalEntryAfterStart() {
-    Tells("10.0.0.1", 5, 3s);
+    PrepareEntry("10.0.0.1", 5, 3s);
     m_rows->Start();
     m_io->run_for(100ms);
     CPPUNIT_ASSERT(m_state->m_engine);
@@ -72,7 +72,7 @@
 
   void SkipsEntryWithoutRows() {
     m_http->m_answers["store/rows-get"] = EntryRows({"10.0.0.1", "10.0.0.2"});
-    Tells("10.0.0.2", 5, 0s);
+    PrepareEntry("10.0.0.2", 5, 0s);
     m_rows->Start();
     m_io->run_for(500ms);
     CPPUNIT_ASSERT(m_state->m_engine);
@@ -82,7 +82,7 @@
   // started, because target processes whose replica has no engine, and which
   // get no announcements, read both tables over the links that entries need.
   void DoesNotReadStoreWithoutEngine() {
-    Tells("10.0.0.1", 5, 0s, kConfigWithoutEngine);
+    PrepareEntry("10.0.0.1", 5, 0s, kConfigWithoutEngine);
     m_rows->Start();
     m_io->run_for(6s);
     CPPUNIT_ASSERT(m_state->m_config_version > 0);
@@ -96,7 +96,7 @@
   }
 
   void ReadsNewWeightsFromAnnouncingEntry() {
-    Tells("10.0.0.1", 5, 0s);
+    PrepareEntry("10.0.0.1", 5, 0s);
     m_rows->Start();
     m_io->run_for(400ms);
     m_http->m_asked.clear();
@@ -123,7 +123,7 @@
   // data centre read the list of replicas with them, 80 KB each over the link
   // of one entry. A list that is known already must not be read again.
   void DoesNotReadKnownReplicasAgain() {
-    Tells("10.0.0.1", 5, 0s);
+    PrepareEntry("10.0.0.1", 5, 0s);
     m_rows->Start();
     m_io->run_for(400ms);
     m_http->m_asked.clear();
@@ -143,11 +143,11 @@
   static wire::Response EntryRows(const std::vector<std::string>& hosts) {
     std::string rows;
     for (const std::string& host : hosts) {
-      links::EntryUpdate news;
-      news.m_address = {host, "a", Endpoint(host, 1), Endpoint(host, 2)};
+      links::EntryUpdate update;
+      update.m_address = {host, "a", Endpoint(host, 1), Endpoint(host, 2)};
       rows += std::string(rows.empty() ? "" : ",") + R"({"key":")" + host +
               R"(","ver":1,"value":")" +
-              EncodeBase64(links::EncodeMessage(news)) + "\"}";
+              EncodeBase64(links::EncodeMessage(update)) + "\"}";
     }
     return wire::JsonResponse(
         200, R"({"ver":9,"now_ms":1000,"rows":[)" + rows + "]}");
@@ -155,10 +155,10 @@
 
   /// Prepares the responses of the entry on `host`, with a declaration of
   /// weights that is `age` old.
-  void Tells(const std::string& host,
-             uint64_t revision,
-             Duration age,
-             const std::string& config = kConfig) {
+  void PrepareEntry(const std::string& host,
+                    uint64_t revision,
+                    Duration age,
+                    const std::string& config = kConfig) {
     const std::map<std::string, platform::Row> operator_rows = {
         {"config", {"config", config, 1, false}},
         {"version/m", {"version/m", kDeclaration, revision, false}}};
--- a/src/libverbenalead/target/slot_granter.cc
+++ b/src/libverbenalead/target/slot_granter.cc
@@ -18,18 +18,18 @@
   m_queue.m_slots = m_state.m_engine->m_slots;
   m_queue.m_prefill_rate = m_state.m_engine->m_prefill_rate;
   const TimePoint now = Now();
-  decide::SlotRequest wish;
-  wish.m_entry = entry;
-  wish.m_ticket = request.m_ticket;
-  wish.m_prompt_tokens = request.m_prompt_tokens;
-  wish.m_can_be_on_time = request.m_can_be_on_time;
-  wish.m_read_deadline = now + request.m_read_within;
-  wish.m_until = now + request.m_wait;
+  decide::SlotRequest slot_request;
+  slot_request.m_entry = entry;
+  slot_request.m_ticket = request.m_ticket;
+  slot_request.m_prompt_tokens = request.m_prompt_tokens;
+  slot_request.m_can_be_on_time = request.m_can_be_on_time;
+  slot_request.m_read_deadline = now + request.m_read_within;
+  slot_request.m_until = now + request.m_wait;
   links::SlotAnswer answer;
   answer.m_ticket = request.m_ticket;
   answer.m_news = UpdateFor(follower);
   if (!answer.m_news.m_loading) {
-    const auto verdict = decide::Ask(m_queue, wish, Load(), now);
+    const auto verdict = decide::Ask(m_queue, slot_request, Load(), now);
     answer.m_granted = verdict == decide::SlotVerdict::kGranted;
     answer.m_queued = verdict == decide::SlotVerdict::kQueued;
   }
@@ -52,15 +52,15 @@
 void SlotGranter::GrantWaiting() {
   if (m_queue.m_slot_requests.empty() || m_engine_news().m_loading)
     return;
-  for (const decide::SlotRequest& wish :
+  for (const decide::SlotRequest& slot_request :
        decide::Grant(m_queue, Load(), Now())) {
-    EntrySubscription& follower = m_entries[wish.m_entry];
+    EntrySubscription& follower = m_entries[slot_request.m_entry];
     links::SlotAnswer answer;
-    answer.m_ticket = wish.m_ticket;
+    answer.m_ticket = slot_request.m_ticket;
     answer.m_granted = true;
     answer.m_news = UpdateFor(follower);
-    CountGranted(follower, wish.m_prompt_tokens);
-    m_datagrams.Send(wish.m_entry, answer);
+    CountGranted(follower, slot_request.m_prompt_tokens);
+    m_datagrams.Send(slot_request.m_entry, answer);
   }
 }
 
@@ -88,8 +88,9 @@
 }
 
 void SlotGranter::SendChanges() {
-  Tell([](const EntrySubscription& follower, const links::ReplicaUpdate& news) {
-    return news != follower.m_told;
+  Tell([](const EntrySubscription& follower,
+          const links::ReplicaUpdate& update) {
+    return update != follower.m_told;
   });
 }
 
@@ -121,13 +122,13 @@
 
 links::ReplicaUpdate SlotGranter::UpdateFor(
     const EntrySubscription& follower) const {
-  links::ReplicaUpdate news = m_engine_news();
+  links::ReplicaUpdate update = m_engine_news();
   const links::ReplicaCalls all = Calls();
-  news.m_other_entries_calls.m_calls = all.m_calls - follower.m_calls.m_calls;
-  news.m_other_entries_calls.m_unread_tokens =
+  update.m_other_entries_calls.m_calls = all.m_calls - follower.m_calls.m_calls;
+  update.m_other_entries_calls.m_unread_tokens =
       all.m_unread_tokens - follower.m_calls.m_unread_tokens;
-  news.m_waiting = static_cast<uint32_t>(m_queue.m_slot_requests.size());
-  return news;
+  update.m_waiting = static_cast<uint32_t>(m_queue.m_slot_requests.size());
+  return update;
 }
 
 template <typename Which>
@@ -135,12 +136,12 @@
   if (!OwnReplica(m_state))
     return;
   for (auto& [entry, follower] : m_entries) {
-    const links::ReplicaUpdate news = UpdateFor(follower);
-    if (follower.m_until <= Now() || !which(follower, news))
+    const links::ReplicaUpdate update = UpdateFor(follower);
+    if (follower.m_until <= Now() || !which(follower, update))
       continue;
-    follower.m_told = news;
+    follower.m_told = update;
     follower.m_slot_denied = false;
-    m_datagrams.Send(entry, news);
+    m_datagrams.Send(entry, update);
   }
 }
 
--- a/src/libverbenalead/target/slot_granter_test.cc
+++ b/src/libverbenalead/target/slot_granter_test.cc
@@ -31,7 +31,7 @@
 
   void GrantsNoMoreThanAvailableSlots() {
     for (uint32_t call = 0; call < kSlots + 2; ++call)
-      Ask(kEntry, std::min(call, kSlots));
+      RequestSlot(kEntry, std::min(call, kSlots));
     CPPUNIT_ASSERT_EQUAL(kSlots, m_slot_granter->Calls().m_calls);
   }
 
@@ -40,9 +40,9 @@
   // Each request states the calls of its entry at the replica, so that the
   // process needs no stored state.
   void LearnsCallsOfEntriesAfterRestart() {
-    Ask(kEntry, 2);
-    Ask(kOther, 1);
-    Ask(kOther, 1);
+    RequestSlot(kEntry, 2);
+    RequestSlot(kOther, 1);
+    RequestSlot(kOther, 1);
     CPPUNIT_ASSERT_EQUAL(kSlots, m_slot_granter->Calls().m_calls);
   }
 
@@ -50,7 +50,7 @@
   // report the end of its calls. Its calls count for 2.5 s after its last
   // report.
   void DropsCallsOfDeadEntry() {
-    Ask(kEntry, 3);
+    RequestSlot(kEntry, 3);
     m_slot_granter->ExpireSilentEntries(Now() + 1s);
     CPPUNIT_ASSERT_EQUAL(kSlots, m_slot_granter->Calls().m_calls);
     m_slot_granter->ExpireSilentEntries(Now() + 3s);
@@ -59,13 +59,13 @@
 
   void GrantsNothingWhileLoading() {
     m_news.m_loading = true;
-    Ask(kEntry, 0);
+    RequestSlot(kEntry, 0);
     CPPUNIT_ASSERT_EQUAL(0U, m_slot_granter->Calls().m_calls);
   }
 
  private:
   /// `entry`, which has `calls` at the replica, requests one more slot.
-  void Ask(const Endpoint& entry, uint32_t calls) {
+  void RequestSlot(const Endpoint& entry, uint32_t calls) {
     links::SlotRequestMessage request;
     request.m_calls.m_calls = calls;
     m_slot_granter->Grant(entry, request);
--- a/src/libverbenalead/target/upload_admission.h
+++ b/src/libverbenalead/target/upload_admission.h
@@ -10,8 +10,9 @@
 
 namespace verbenalead::target {
 
-/// Suspends uploads until `decide::UploadSlots` admits them. Not safe for
-/// concurrent use.
+/// Suspends uploads until `decide::UploadSlots` admits them. Chunks sent
+/// concurrently to several hosts would all be complete late, and until then no
+/// receiver could pass one on. Not safe for concurrent use.
 ///
 ///     const uint64_t id = gate.NewId();
 ///     co_await gate.Wait(id, version, request);
