--- a/src/libverbenalead/base/pacer.h
+++ b/src/libverbenalead/base/pacer.h
@@ -25,7 +25,8 @@
   const uint64_t m_rate;
   const Duration m_credit;
   std::mutex m_mutex;
-  /// When all bytes reserved so far have been sent at the configured rate.
+  /// Time at which all bytes reserved so far will have been sent at the
+  /// configured rate.
   TimePoint m_free_at{};
 };
 
--- a/src/libverbenalead/base/settings_schema.h
+++ b/src/libverbenalead/base/settings_schema.h
@@ -39,8 +39,8 @@
 ///
 ///     const auto schema = SettingsSchema()
 ///         .Address("listen.callers", "127.0.0.1:8080", "callers' HTTP")
-///         .Integer("limits.body", 1 << 20, 1, 1 << 26, "bytes", "largest
-///         body");
+///         .Integer("limits.body", 1 << 20, 1, 1 << 26, "bytes",
+///                  "largest body");
 ///     auto settings = schema.Parse(text);
 class SettingsSchema {
  public:
--- a/src/libverbenalead/daemon/config_capacity_bench.cc
+++ b/src/libverbenalead/daemon/config_capacity_bench.cc
@@ -53,23 +53,21 @@
 
 void MeasureConfig(size_t resources) {
   const size_t before = HeapBytes();
-  daemon::ConfigStore keeper(nullptr);
+  daemon::ConfigStore store(nullptr);
   uint64_t revision = 0;
   while (revision < resources)
-    keeper.ApplyChanges({ChangeOf(++revision, resources)});
+    store.ApplyChanges({ChangeOf(++revision, resources)});
   const size_t state = HeapBytes() - before;
-  const double apply = Cost(200, [&](int) {
-    keeper.ApplyChanges({ChangeOf(++revision, resources)});
-  });
-  const std::string message =
-      daemon::SerialiseConfigAfter(keeper, revision - 1);
+  const double apply = Cost(
+      200, [&](int) { store.ApplyChanges({ChangeOf(++revision, resources)}); });
+  const std::string message = daemon::SerialiseConfigAfter(store, revision - 1);
   const double send = Cost(
-      2000, [&](int) { daemon::SerialiseConfigAfter(keeper, revision - 1); });
+      2000, [&](int) { daemon::SerialiseConfigAfter(store, revision - 1); });
   fmt::print(
       "bench=capacity role=all what=config resources={} state_bytes={} "
       "apply_us={:.1f} message_us={:.1f} message_bytes={} whole_bytes={}\n",
       resources, state, apply, send, message.size(),
-      decide::ToJson(*keeper.current()).size());
+      decide::ToJson(*store.current()).size());
 }
 
 std::vector<model::Host> Hosts(size_t entries, size_t targets) {
--- a/src/libverbenalead/daemon/config_store.cc
+++ b/src/libverbenalead/daemon/config_store.cc
@@ -29,9 +29,9 @@
 /// further behind receives the whole state.
 constexpr size_t kMaxRecentChanges = 4096;
 constexpr uint32_t kPageSize = 500;
-/// Attempts of one commit. An attempt fails whenever another write is committed
-/// first; with eight operators writing at the same time a handful of attempts
-/// is normal.
+/// Maximum number of attempts of one commit. An attempt fails whenever another
+/// write is committed first; with eight operators writing at the same time a
+/// handful of attempts is normal.
 constexpr int kMaxAttempts = 64;
 /// How long Commit() tries to find out whether a write in doubt took effect.
 /// Less than the 10 s time-out of an operator's client, so that the operator
--- a/src/libverbenalead/daemon/config_store_test.cc
+++ b/src/libverbenalead/daemon/config_store_test.cc
@@ -160,20 +160,20 @@
   std::optional<AsyncResult<model::Change>> m_result;
 };
 
-Awaitable<void> RunCommit(std::shared_ptr<ConfigStore> keeper,
+Awaitable<void> RunCommit(std::shared_ptr<ConfigStore> store,
                           std::shared_ptr<Commit> commit) {
-  commit->m_result = co_await keeper->Commit(commit->m_write);
+  commit->m_result = co_await store->Commit(commit->m_write);
 }
 
-Awaitable<void> RunCatchUp(std::shared_ptr<ConfigStore> keeper) {
-  auto ignored = co_await keeper->CatchUp();
+Awaitable<void> RunCatchUp(std::shared_ptr<ConfigStore> store) {
+  auto ignored = co_await store->CatchUp();
   (void)ignored;
 }
 
 constexpr size_t kSteps = 400;
 
-Awaitable<void> RunSnapshot(std::shared_ptr<ConfigStore> keeper) {
-  auto ignored = co_await keeper->WriteSnapshot();
+Awaitable<void> RunSnapshot(std::shared_ptr<ConfigStore> store) {
+  auto ignored = co_await store->WriteSnapshot();
   (void)ignored;
 }
 
@@ -237,11 +237,11 @@
   void CheckCommits() {
     const std::vector<model::Change> log = m_table_state.Log();
     std::map<std::string, size_t> entries;
-    std::map<std::string, size_t> asked;
+    std::map<std::string, size_t> commit_counts;
     for (const model::Change& change : log)
       RC_ASSERT(++entries[change.m_operation] == 1u);
     for (const auto& commit : m_commits)
-      ++asked[commit->m_write.m_operation];
+      ++commit_counts[commit->m_write.m_operation];
     for (const auto& commit : m_commits) {
       if (!commit->m_result)
         continue;
@@ -250,7 +250,7 @@
         RC_ASSERT(result->m_revision <= log.size());
         RC_ASSERT(log[result->m_revision - 1] == *result);
       } else if (result.error().m_code != FailureCode::kTimeout &&
-                 asked[commit->m_write.m_operation] == 1) {
+                 commit_counts[commit->m_write.m_operation] == 1) {
         RC_ASSERT(entries[commit->m_write.m_operation] == 0u);
       }
     }
@@ -324,9 +324,9 @@
   } else if (!fleet.m_messages.empty()) {
     const auto& message =
         fleet.m_messages[random / 256 % fleet.m_messages.size()];
-    ConfigStore& keeper = *fleet.m_daemons[message.first];
+    ConfigStore& store = *fleet.m_daemons[message.first];
     auto applied =
-        CatchFailure([&] { return TakeConfig(keeper, message.second); });
+        CatchFailure([&] { return TakeConfig(store, message.second); });
     RC_ASSERT(applied.has_value());
   }
 }
@@ -367,7 +367,7 @@
   CPPUNIT_TEST(ReferencedResourceIsNotDeleted);
   CPPUNIT_TEST(StartsFromASnapshot);
   CPPUNIT_TEST(NoChangeIsDuplicatedLostOrReverted);
-  CPPUNIT_TEST(ConcurrentReadsAndOffers);
+  CPPUNIT_TEST(ConcurrentReadsAndChanges);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -498,17 +498,17 @@
     CPPUNIT_ASSERT(good);
   }
 
-  void ConcurrentReadsAndOffers() {
-    ConfigStore keeper(nullptr);
+  void ConcurrentReadsAndChanges() {
+    ConfigStore store(nullptr);
     std::vector<std::thread> threads;
     for (int t = 0; t < 4; ++t) {
-      threads.emplace_back([&keeper] {
+      threads.emplace_back([&store] {
         uint64_t seen = 0;
         for (uint64_t revision = 1; revision <= 200; ++revision) {
-          keeper.ApplyChanges(
+          store.ApplyChanges(
               {{revision, {"limits", "a"}, false, "{}", "", ""}});
-          keeper.RecordObservedRevision(revision);
-          const uint64_t now = keeper.current()->m_revision;
+          store.RecordObservedRevision(revision);
+          const uint64_t now = store.current()->m_revision;
           CPPUNIT_ASSERT(now >= seen);
           seen = now;
         }
@@ -516,7 +516,7 @@
     }
     for (std::thread& thread : threads)
       thread.join();
-    CPPUNIT_ASSERT_EQUAL(uint64_t{200}, keeper.current()->m_revision);
+    CPPUNIT_ASSERT_EQUAL(uint64_t{200}, store.current()->m_revision);
   }
 };
 
--- a/src/libverbenalead/daemon/crash_record_exchange.cc
+++ b/src/libverbenalead/daemon/crash_record_exchange.cc
@@ -21,16 +21,16 @@
 namespace json = boost::json;
 
 constexpr char kPath[] = "/v1/crash-notes";
-/// New notes are sent at once. An entry that did not answer is retried at this
-/// interval.
+/// New crash records are sent at once. If an entry did not answer, sending to
+/// it is retried at this interval.
 constexpr Duration kRetryInterval = 500ms;
 constexpr Duration kTimeout = 1s;
-/// Maximum number of notes kept for an entry that does not answer; if there are
-/// more, the oldest are dropped. An entry that lacks a note may let the request
-/// of that note crash one more target.
+/// Maximum number of crash records kept for an entry that does not answer; if
+/// there are more, the oldest are dropped. An entry that lacks a crash record
+/// may let the request of that record crash one more target.
 constexpr size_t kMaxPending = 1000;
 
-/// The notes that one entry has not confirmed yet.
+/// The crash records that one entry has not confirmed yet.
 struct PendingNotes {
   std::vector<decide::CrashRecord> m_notes;
   bool m_sending = false;
@@ -38,50 +38,50 @@
 
 using PendingNotesByEntry = std::map<std::string, PendingNotes>;
 
-wire::Request MakeMessage(const std::vector<decide::CrashRecord>& notes) {
+wire::Request MakeMessage(const std::vector<decide::CrashRecord>& records) {
   wire::Request request;
   request.m_method = "POST";
   request.m_path = kPath;
-  request.m_body = ToJson(notes, Now());
+  request.m_body = ToJson(records, Now());
   return request;
 }
 
 Awaitable<void> Tell(std::shared_ptr<PendingNotesByEntry> pending,
                      wire::Client& peers,
                      model::Host entry) {
-  std::vector<decide::CrashRecord> notes =
+  std::vector<decide::CrashRecord> records =
       std::exchange((*pending)[entry.name()].m_notes, {});
-  wire::Request message = MakeMessage(notes);
+  wire::Request message = MakeMessage(records);
   auto response = co_await wire::Fetch(peers, entry.peer(), std::move(message),
                                        Now() + kTimeout);
   PendingNotes& remaining = (*pending)[entry.name()];
   remaining.m_sending = false;
   if (!response || response->m_status != 200)
-    remaining.m_notes.insert(remaining.m_notes.begin(), notes.begin(),
-                             notes.end());
+    remaining.m_notes.insert(remaining.m_notes.begin(), records.begin(),
+                             records.end());
 }
 
-/// Adds `new_notes` to the notes pending for an entry. If there are more than
-/// kMaxPending then, the oldest are dropped.
+/// Adds `new_records` to the crash records pending for an entry. If there are
+/// then more than kMaxPending, the oldest are dropped.
 void Add(PendingNotes& pending,
-         const std::vector<decide::CrashRecord>& new_notes) {
-  auto& notes = pending.m_notes;
-  notes.insert(notes.end(), new_notes.begin(), new_notes.end());
-  if (notes.size() > kMaxPending)
-    notes.erase(notes.begin(), notes.end() - kMaxPending);
+         const std::vector<decide::CrashRecord>& new_records) {
+  auto& records = pending.m_notes;
+  records.insert(records.end(), new_records.begin(), new_records.end());
+  if (records.size() > kMaxPending)
+    records.erase(records.begin(), records.end() - kMaxPending);
 }
 
 Result<decide::CrashRecord> ReadNote(const json::value& value, TimePoint now) {
   if (!value.is_object())
     return model::BadField("notes", "a list of objects");
   const json::object& object = value.get_object();
-  decide::CrashRecord note;
-  BOOST_LEAF_ASSIGN(note.m_key, model::NumberField(object, "key"));
-  BOOST_LEAF_ASSIGN(note.m_target, model::TextField(object, "target"));
+  decide::CrashRecord record;
+  BOOST_LEAF_ASSIGN(record.m_key, model::NumberField(object, "key"));
+  BOOST_LEAF_ASSIGN(record.m_target, model::TextField(object, "target"));
   BOOST_LEAF_AUTO(age, model::NumberField(object, "age_ms"));
-  note.m_at =
+  record.m_at =
       now - std::chrono::milliseconds(std::min<uint64_t>(age, INT32_MAX));
-  return note;
+  return record;
 }
 
 Awaitable<void> Answer(LockedQuarantine& quarantine,
@@ -92,11 +92,11 @@
     co_await handler(request, writer);
     co_return;
   }
-  auto notes =
+  auto records =
       CatchFailure([&] { return ParseCrashRecords(request.m_body, Now()); });
-  if (notes)
-    quarantine.Merge(*notes);
-  co_await writer.Send(wire::Response{notes ? 200 : 400, {}, ""});
+  if (records)
+    quarantine.Merge(*records);
+  co_await writer.Send(wire::Response{records ? 200 : 400, {}, ""});
 }
 
 }  // namespace
@@ -104,10 +104,10 @@
 std::string ToJson(const std::vector<decide::CrashRecord>& notes,
                    TimePoint now) {
   json::array list;
-  for (const decide::CrashRecord& note : notes) {
-    list.push_back(json::object{{"key", note.m_key},
-                                {"target", note.m_target},
-                                {"age_ms", ToMilliseconds(now - note.m_at)}});
+  for (const decide::CrashRecord& record : notes) {
+    list.push_back(json::object{{"key", record.m_key},
+                                {"target", record.m_target},
+                                {"age_ms", ToMilliseconds(now - record.m_at)}});
   }
   return json::serialize(json::object{{"notes", std::move(list)}});
 }
@@ -119,12 +119,12 @@
   const json::value* list = object.if_contains("notes");
   if (list == nullptr || !list->is_array())
     return model::BadField("notes", "a list");
-  std::vector<decide::CrashRecord> notes;
+  std::vector<decide::CrashRecord> records;
   for (const json::value& value : list->get_array()) {
-    BOOST_LEAF_AUTO(note, ReadNote(value, now));
-    notes.push_back(std::move(note));
+    BOOST_LEAF_AUTO(record, ReadNote(value, now));
+    records.push_back(std::move(record));
   }
-  return notes;
+  return records;
 }
 
 wire::Handler WithCrashRecords(LockedQuarantine& quarantine,
@@ -142,19 +142,20 @@
   const auto executor = co_await boost::asio::this_coro::executor;
   auto pending = std::make_shared<PendingNotesByEntry>();
   auto wake = std::make_shared<boost::asio::steady_timer>(executor);
-  // New notes wake the loop. Polling every 50 ms was too slow: a caller that
-  // tries one entry after the other needs only a few milliseconds for each.
-  std::function<void()> on_new_notes = [executor, wake] {
+  // New crash records wake the loop. Polling every 50 ms was too slow: a caller
+  // that retries at one entry after the other needs only a few milliseconds for
+  // each.
+  std::function<void()> on_new_records = [executor, wake] {
     boost::asio::post(executor, [wake] { wake->cancel(); });
   };
-  quarantine.SetOnNewRecords(on_new_notes);
+  quarantine.SetOnNewRecords(on_new_records);
   while (true) {
-    const std::vector<decide::CrashRecord> new_notes = quarantine.News();
+    const std::vector<decide::CrashRecord> new_records = quarantine.News();
     for (const model::Host& entry : hosts.Hosts(model::HostRole::kEntry)) {
       PendingNotes& known = (*pending)[entry.name()];
       if (entry.name() == self)
         continue;
-      Add(known, new_notes);
+      Add(known, new_records);
       if (known.m_notes.empty() || known.m_sending)
         continue;
       known.m_sending = true;
--- a/src/libverbenalead/daemon/crash_record_exchange.h
+++ b/src/libverbenalead/daemon/crash_record_exchange.h
@@ -11,8 +11,8 @@
 
 namespace verbenalead::daemon {
 
-/// The JSON form of crash notes. Times are sent as ages, since the clocks of
-/// hosts differ.
+/// Returns the JSON form of crash records. Times are sent as ages, since the
+/// clocks of hosts differ.
 std::string ToJson(const std::vector<decide::CrashRecord>& notes,
                    TimePoint now);
 Result<std::vector<decide::CrashRecord>> ParseCrashRecords(
@@ -25,12 +25,12 @@
 wire::Handler WithCrashRecords(LockedQuarantine& quarantine,
                                wire::Handler handler);
 
-/// Sends each new crash note of this entry to all other entries, and retries
+/// Sends each new crash record of this entry to all other entries, and retries
 /// for entries that did not answer. Runs until the process ends.
 ///
-/// The load it answers is a request that crashes each target that runs it and
-/// whose caller sends it again through other entries: without the exchange each
-/// of 8 entries would let the request crash two targets. Notes are rare, so
+/// Guards against a request that crashes each target that runs it and whose
+/// caller retries it through other entries: without the exchange each of 8
+/// entries would let the request crash two targets. Crash records are rare, so
 /// each one is sent to every entry.
 Awaitable<void> SendCrashRecords(LockedQuarantine& quarantine,
                                  HostDirectory& hosts,
--- a/src/libverbenalead/daemon/entry_peer_api.h
+++ b/src/libverbenalead/daemon/entry_peer_api.h
@@ -13,7 +13,7 @@
 struct EntryPeerContext {
   ConfigStore* m_config = nullptr;
   Journal* m_journal = nullptr;
-  /// Whether this process may vouch for its configuration: see
+  /// Whether other processes may rely on the configuration of this one: see
   /// ConfigFollower::ready().
   std::function<bool()> m_ready;
 };
--- a/src/libverbenalead/daemon/guarded_gate.h
+++ b/src/libverbenalead/daemon/guarded_gate.h
@@ -7,8 +7,8 @@
 
 namespace verbenalead::daemon {
 
-/// The state of the target's gate together with the mutex that guards it.
-/// Thread-safe.
+/// The state of the target's gate, which admits or refuses attempts, together
+/// with the mutex that guards it. Thread-safe.
 class GuardedGate {
  public:
   GuardedGate(uint64_t incarnation, uint32_t capacity)
--- a/src/libverbenalead/daemon/leaving_entries.h
+++ b/src/libverbenalead/daemon/leaving_entries.h
@@ -18,8 +18,8 @@
 class LeavingEntries {
  public:
   void Add(const std::string& host);
-  /// Whether `host` has announced its stop recently. A notice expires, since
-  /// the host may have been started again.
+  /// Whether `host` has announced its stop recently. An announcement expires,
+  /// since the host may have been started again.
   bool Contains(const std::string& host) const;
 
  private:
--- a/src/libverbenalead/daemon/request_runner.cc
+++ b/src/libverbenalead/daemon/request_runner.cc
@@ -24,7 +24,8 @@
 constexpr int kConflictStatus = 409;
 constexpr int kUnprocessableStatus = 422;
 constexpr char kQuarantinedReason[] = "request_crashes_targets";
-/// Of an answer with a longer body only the outcome is recorded.
+/// Maximum size in bytes of a recorded answer body. If the body is longer, the
+/// record contains no body.
 constexpr size_t kMaxRecordedBody = 64 * 1024;
 
 front::Problem MakeProblem(const model::Call& call,
@@ -202,16 +203,16 @@
   CallResult verdict;
   verdict.m_reason = "no_usable_target";
   Duration pause = decide::kFullTargetPause;
-  int turned_away = 0;
+  int refused_rounds = 0;
   while (true) {
     const RoundResult end =
         co_await RunRound(call, request, started, verdict, writer);
     if (end == RoundResult::kDone)
       co_return verdict;
     if (end == RoundResult::kRefusedByTargets)
-      ++turned_away;
+      ++refused_rounds;
     const bool capacity_expected = router.RecordTargetsFull();
-    if (!capacity_expected || turned_away >= kMaxRoundsTurnedAway ||
+    if (!capacity_expected || refused_rounds >= kMaxRoundsTurnedAway ||
         Now() + pause >= call.deadline()) {
       verdict.m_outcome =
           decide::OutcomeToReport(Outcome::kRefused, verdict.m_in_doubt);
--- a/src/libverbenalead/daemon/request_runner.h
+++ b/src/libverbenalead/daemon/request_runner.h
@@ -34,7 +34,7 @@
                       wire::Request request,
                       wire::ResponseWriter& writer) override;
 
-  /// For the exchange of crash notes with other entries.
+  /// For the exchange of crash records with other entries.
   LockedQuarantine& quarantine() { return m_quarantine; }
   /// Sets the number of entries, including this one. They share the capacity of
   /// the table and the targets.
@@ -72,7 +72,7 @@
                                 wire::Request request,
                                 wire::ResponseWriter& writer);
   /// The result of one round of attempts, each at another target. kDone: the
-  /// verdict is final.
+  /// result of the call is final.
   enum class RoundResult { kDone, kFull, kRefusedByTargets };
   Awaitable<RoundResult> RunRound(const model::Call& call,
                                   const wire::Request& request,
--- a/src/libverbenalead/daemon/upload_scheduler.h
+++ b/src/libverbenalead/daemon/upload_scheduler.h
@@ -12,8 +12,9 @@
 namespace verbenalead::daemon {
 
 /// Schedules the sending of chunks on this host's link, in the order that
-/// decide::UploadQueue chooses. In order of arrival, a burst of requests for
-/// one new chunk would delay all other chunks. Thread-safe.
+/// decide::UploadQueue chooses. If requests were served in order of arrival, a
+/// burst of requests for one new chunk would delay all other chunks.
+/// Thread-safe.
 class UploadScheduler {
  public:
   explicit UploadScheduler(Pacer& link) : m_link(link) {}
--- a/src/libverbenalead/daemon/version_controller.cc
+++ b/src/libverbenalead/daemon/version_controller.cc
@@ -158,10 +158,10 @@
       .With("version", version->m_name)
       .With("digest", ToString(digest))
       .Info();
-  // Named, not a temporary: see "Coroutines and GCC 12" in CONTRIBUTING.md.
-  // The transfer stops when the engine's state has to be queried again. The
-  // query is short and may open the gate, and the chunks received so far are
-  // kept.
+  // `still_wanted` is a variable instead of a temporary: see "Coroutines and
+  // GCC 12" in CONTRIBUTING.md. The transfer stops when the engine's state has
+  // to be queried again. The query is short and may open the gate, and the
+  // chunks received so far are kept.
   std::function<bool()> still_wanted = [this, digest] {
     return Plan().m_digest == digest &&
            With([](decide::RolloutState& state, decide::GateState& gate) {
--- a/src/libverbenalead/daemon/weights_store_test.cc
+++ b/src/libverbenalead/daemon/weights_store_test.cc
@@ -24,7 +24,7 @@
   CPPUNIT_TEST_SUITE(WeightsStoreTest);
   CPPUNIT_TEST(RefusesVersionOverMemoryLimit);
   CPPUNIT_TEST(KeepsOnlyVerifiedChunks);
-  CPPUNIT_TEST(ParsesUpdatesSplitAtAnyOffset);
+  CPPUNIT_TEST(ParsesAnnouncementsSplitAtAnyOffset);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -59,7 +59,7 @@
 
   // A stream of held chunks is parsed to the same result however it is split
   // into pieces.
-  void ParsesUpdatesSplitAtAnyOffset() {
+  void ParsesAnnouncementsSplitAtAnyOffset() {
     std::string body = "\x05";
     body += '\x02';
     AppendNumber(body, 7);
--- a/src/libverbenalead/http/server_connections.h
+++ b/src/libverbenalead/http/server_connections.h
@@ -8,8 +8,8 @@
 
 namespace verbenalead::http {
 
-/// Handle by which a server can end one of its connections while it waits for a
-/// next request. Belongs to the thread of the socket.
+/// Handle by which a server can close one of its connections while that
+/// connection waits for the next request. Belongs to the thread of the socket.
 class ServerConnection {
  public:
   explicit ServerConnection(boost::asio::ip::tcp::socket& socket)
--- a/src/libverbenalead/model/call.h
+++ b/src/libverbenalead/model/call.h
@@ -21,7 +21,8 @@
   Call() = default;
 
   /// The request id under which the call is traced; the caller's id if it sent
-  /// one. A request that its caller sends again has the same id.
+  /// one. If the caller retries the request under that id, both calls have the
+  /// same id.
   const std::string& id() const { return m_id; }
   /// Identifies this call uniquely among the calls of all entries, unlike id().
   const std::string& instance() const { return m_instance; }
@@ -38,8 +39,9 @@
   /// at-most-once and must have an idempotency key.
   bool idempotent() const { return m_idempotent; }
   const std::string& idempotency_key() const { return m_idempotency_key; }
-  /// Hash of the organisation and the idempotency key or body. A request that
-  /// its caller sends again has the same value. 0 means no fingerprint.
+  /// Hash of the organisation, method, path and idempotency key; without
+  /// a key, the body instead. A retry of the request by its caller has the same
+  /// value. 0 means no fingerprint.
   uint64_t fingerprint() const { return m_fingerprint; }
   /// Hash of the start of the prompt, used to select a target that has the
   /// prefix cached. 0 means no prefix.
--- a/src/libverbenalead/model/resource_write.h
+++ b/src/libverbenalead/model/resource_write.h
@@ -15,7 +15,7 @@
   bool m_deleted = false;
   std::string m_spec;
   /// The revision that the resource must have for the write to succeed
-  /// (compare-and-set). 0: the resource must be absent; nullopt: any revision.
+  /// (compare-and-swap). 0: the resource must be absent; nullopt: any revision.
   std::optional<uint64_t> m_expected_revision;
   /// Operation id chosen by the operator; makes the write idempotent.
   std::string m_operation;
