--- a/src/libverbenalead/daemon/pool_router.cc
+++ b/src/libverbenalead/daemon/pool_router.cc
@@ -108,12 +108,12 @@
 
 void PoolRouter::AttemptEnded(const std::string& target,
                               const model::Call& call,
-                              decide::TargetFeedback sign,
+                              decide::TargetFeedback feedback,
                               Duration elapsed,
                               std::optional<uint32_t> running) {
   std::lock_guard lock(m_mutex);
   const TimePoint now = Now();
-  decide::AttemptEnded(m_place, target, call, sign, elapsed, now);
+  decide::AttemptEnded(m_place, target, call, feedback, elapsed, now);
   if (running)
     decide::LoadObserved(m_place, target, *running, now);
 }
--- a/src/libverbenalead/daemon/pool_router.h
+++ b/src/libverbenalead/daemon/pool_router.h
@@ -42,7 +42,7 @@
   /// any.
   void AttemptEnded(const std::string& target,
                     const model::Call& call,
-                    decide::TargetFeedback sign,
+                    decide::TargetFeedback feedback,
                     Duration elapsed,
                     std::optional<uint32_t> running);
   decide::RetryDecision DecideRetry(const model::Call& call,
--- a/src/libverbenalead/decide/announcement_tracker.cc
+++ b/src/libverbenalead/decide/announcement_tracker.cc
@@ -28,30 +28,30 @@
 
 }  // namespace
 
-bool HandleAnnouncement(AnnouncementTracker& watch,
+bool HandleAnnouncement(AnnouncementTracker& tracker,
                         bool same_data_center,
                         uint64_t revision,
                         TimePoint now) {
-  watch.m_told_at = now;
+  tracker.m_told_at = now;
   if (same_data_center)
-    watch.m_local_announced_at = now;
-  if (watch.m_known && revision <= watch.m_weights_revision)
+    tracker.m_local_announced_at = now;
+  if (tracker.m_known && revision <= tracker.m_weights_revision)
     return false;
-  return same_data_center ||
-         !IsRecent(watch.m_local_announced_at, kLocalAnnouncementTimeout, now);
+  return same_data_center || !IsRecent(tracker.m_local_announced_at,
+                                       kLocalAnnouncementTimeout, now);
 }
 
-bool DefersStoreRead(const AnnouncementTracker& watch,
+bool DefersStoreRead(const AnnouncementTracker& tracker,
                      double spread,
                      TimePoint now) {
-  if (IsRecent(watch.m_told_at, kAnnouncementTimeout, now) && watch.m_known)
+  if (IsRecent(tracker.m_told_at, kAnnouncementTimeout, now) && tracker.m_known)
     return true;
   const auto read_delay =
       kMinReadDelay + std::chrono::duration_cast<Duration>(
                           (kMaxReadDelay - kMinReadDelay) * spread);
   const TimePoint awaited_at = std::min<TimePoint>(
-      watch.m_rows_missing_at, watch.m_started + kMaxAwaitTime);
-  return now - std::max({watch.m_started, watch.m_told_at, awaited_at}) <
+      tracker.m_rows_missing_at, tracker.m_started + kMaxAwaitTime);
+  return now - std::max({tracker.m_started, tracker.m_told_at, awaited_at}) <
          read_delay;
 }
 
--- a/src/libverbenalead/decide/announcement_tracker.h
+++ b/src/libverbenalead/decide/announcement_tracker.h
@@ -40,21 +40,21 @@
 /// announcements cause a fetch: they receive the change at most 0.4 s later.
 /// Otherwise all hosts of the other regions would fetch the rows from a remote
 /// entry at the same moment.
-bool HandleAnnouncement(AnnouncementTracker& watch,
+bool HandleAnnouncement(AnnouncementTracker& tracker,
                         bool same_data_center,
                         uint64_t revision,
                         TimePoint now);
 
 /// Records that an entry answered but has no rows yet: it has just started as
 /// well, or the operator has not written a configuration.
-inline void RecordMissingRows(AnnouncementTracker& watch, TimePoint now) {
-  watch.m_rows_missing_at = now;
+inline void RecordMissingRows(AnnouncementTracker& tracker, TimePoint now) {
+  tracker.m_rows_missing_at = now;
 }
 
 /// Whether the store must not be read for now, because entries are expected to
 /// serve the rows. Each host chooses `spread`, 0 to 1, at random, so that hosts
 /// that start together do not read the store at the same moment.
-bool DefersStoreRead(const AnnouncementTracker& watch,
+bool DefersStoreRead(const AnnouncementTracker& tracker,
                      double spread,
                      TimePoint now);
 
--- a/src/libverbenalead/decide/announcement_tracker_test.cc
+++ b/src/libverbenalead/decide/announcement_tracker_test.cc
@@ -8,11 +8,11 @@
 const TimePoint kStart{std::chrono::hours(1)};
 
 AnnouncementTracker KnownWatch(uint64_t revision) {
-  AnnouncementTracker watch;
-  watch.m_started = kStart;
-  watch.m_known = true;
-  watch.m_weights_revision = revision;
-  return watch;
+  AnnouncementTracker tracker;
+  tracker.m_started = kStart;
+  tracker.m_known = true;
+  tracker.m_weights_revision = revision;
+  return tracker;
 }
 
 class AnnouncementTrackerTest : public CppUnit::TestFixture {
@@ -32,12 +32,12 @@
   // the rows, no host may read the store; if all entries are dead, the hosts
   // read it at different times.
   void HostsStartingTogetherWaitForEntries() {
-    AnnouncementTracker watch;
-    watch.m_started = kStart;
-    CPPUNIT_ASSERT(DefersStoreRead(watch, 0, kStart + 2s));
-    CPPUNIT_ASSERT(!DefersStoreRead(watch, 0, kStart + 2500ms));
-    CPPUNIT_ASSERT(DefersStoreRead(watch, 1, kStart + 4900ms));
-    CPPUNIT_ASSERT(!DefersStoreRead(watch, 1, kStart + 5s));
+    AnnouncementTracker tracker;
+    tracker.m_started = kStart;
+    CPPUNIT_ASSERT(DefersStoreRead(tracker, 0, kStart + 2s));
+    CPPUNIT_ASSERT(!DefersStoreRead(tracker, 0, kStart + 2500ms));
+    CPPUNIT_ASSERT(DefersStoreRead(tracker, 1, kStart + 4900ms));
+    CPPUNIT_ASSERT(!DefersStoreRead(tracker, 1, kStart + 5s));
   }
 
   // Guards against 200 needless requests to the store: the operator has not
@@ -45,13 +45,13 @@
   // the store. Hosts have to wait for the entries, but only for a limited time,
   // as the entries may have lost the store.
   void WaitsLongerForEntriesWithoutRows() {
-    AnnouncementTracker watch;
-    watch.m_started = kStart;
-    RecordMissingRows(watch, kStart + 2s);
-    CPPUNIT_ASSERT(DefersStoreRead(watch, 0, kStart + 4s));
-    CPPUNIT_ASSERT(!DefersStoreRead(watch, 0, kStart + 5s));
-    RecordMissingRows(watch, kStart + 30s);
-    CPPUNIT_ASSERT(!DefersStoreRead(watch, 1, kStart + 30s));
+    AnnouncementTracker tracker;
+    tracker.m_started = kStart;
+    RecordMissingRows(tracker, kStart + 2s);
+    CPPUNIT_ASSERT(DefersStoreRead(tracker, 0, kStart + 4s));
+    CPPUNIT_ASSERT(!DefersStoreRead(tracker, 0, kStart + 5s));
+    RecordMissingRows(tracker, kStart + 30s);
+    CPPUNIT_ASSERT(!DefersStoreRead(tracker, 1, kStart + 30s));
   }
 
   // Guards against calls being served by a configuration that is 3 s old: hosts
@@ -59,11 +59,11 @@
   // second. When each host read every change, 100 KB over the link between
   // regions, the link was saturated for 5 s.
   void ReadsStoreSeldomWithoutAnnouncements() {
-    const AnnouncementTracker watch = KnownWatch(1);
+    const AnnouncementTracker tracker = KnownWatch(1);
     int reads = 0;
     TimePoint next_read = kStart;
     for (TimePoint now = kStart; now < kStart + 6s; now += 200ms) {
-      if (now < next_read || DefersStoreRead(watch, 0, now))
+      if (now < next_read || DefersStoreRead(tracker, 0, now))
         continue;
       ++reads;
       next_read = now + kUnannouncedReadInterval;
@@ -77,31 +77,31 @@
   // announce them to hosts everywhere. All hosts of the other regions then
   // fetched from remote entries at the same moment.
   void PrefersRowsFromLocalEntries() {
-    AnnouncementTracker watch = KnownWatch(1);
-    CPPUNIT_ASSERT(!HandleAnnouncement(watch, true, 1, kStart));
-    CPPUNIT_ASSERT(!HandleAnnouncement(watch, false, 7, kStart + 1s));
-    CPPUNIT_ASSERT(HandleAnnouncement(watch, true, 7, kStart + 1200ms));
-    CPPUNIT_ASSERT(DefersStoreRead(watch, 0, kStart + 6s));
+    AnnouncementTracker tracker = KnownWatch(1);
+    CPPUNIT_ASSERT(!HandleAnnouncement(tracker, true, 1, kStart));
+    CPPUNIT_ASSERT(!HandleAnnouncement(tracker, false, 7, kStart + 1s));
+    CPPUNIT_ASSERT(HandleAnnouncement(tracker, true, 7, kStart + 1200ms));
+    CPPUNIT_ASSERT(DefersStoreRead(tracker, 0, kStart + 6s));
   }
 
   void FetchesFromRemoteEntriesWithoutLocalOnes() {
-    AnnouncementTracker watch = KnownWatch(1);
-    CPPUNIT_ASSERT(HandleAnnouncement(watch, false, 7, kStart));
-    CPPUNIT_ASSERT(!HandleAnnouncement(watch, true, 1, kStart + 1s));
-    CPPUNIT_ASSERT(HandleAnnouncement(watch, false, 7, kStart + 4s));
+    AnnouncementTracker tracker = KnownWatch(1);
+    CPPUNIT_ASSERT(HandleAnnouncement(tracker, false, 7, kStart));
+    CPPUNIT_ASSERT(!HandleAnnouncement(tracker, true, 1, kStart + 1s));
+    CPPUNIT_ASSERT(HandleAnnouncement(tracker, false, 7, kStart + 4s));
   }
 
   void KnownRevisionsCauseNoFetch() {
-    AnnouncementTracker watch = KnownWatch(7);
-    CPPUNIT_ASSERT(!HandleAnnouncement(watch, false, 7, kStart));
-    CPPUNIT_ASSERT(!HandleAnnouncement(watch, true, 6, kStart));
+    AnnouncementTracker tracker = KnownWatch(7);
+    CPPUNIT_ASSERT(!HandleAnnouncement(tracker, false, 7, kStart));
+    CPPUNIT_ASSERT(!HandleAnnouncement(tracker, true, 6, kStart));
   }
 
   void FirstRowsAreFetchedFromAnyEntry() {
-    AnnouncementTracker watch;
-    watch.m_started = kStart;
-    CPPUNIT_ASSERT(HandleAnnouncement(watch, true, 0, kStart));
-    CPPUNIT_ASSERT(HandleAnnouncement(watch, true, 0, kStart + 1s));
+    AnnouncementTracker tracker;
+    tracker.m_started = kStart;
+    CPPUNIT_ASSERT(HandleAnnouncement(tracker, true, 0, kStart));
+    CPPUNIT_ASSERT(HandleAnnouncement(tracker, true, 0, kStart + 1s));
   }
 };
 
--- a/src/libverbenalead/decide/burst_pacer.h
+++ b/src/libverbenalead/decide/burst_pacer.h
@@ -25,10 +25,11 @@
 };
 
 /// Records a request sent at `now`. Returns how long the next one has to wait.
-inline Duration RecordRequest(BurstPacer& pace, TimePoint now) {
-  pace.m_full_burst_at = std::max(pace.m_full_burst_at, now) + pace.m_interval;
-  return std::max<Duration>(
-      Duration(), pace.m_full_burst_at - now - pace.m_burst * pace.m_interval);
+inline Duration RecordRequest(BurstPacer& pacer, TimePoint now) {
+  pacer.m_full_burst_at =
+      std::max(pacer.m_full_burst_at, now) + pacer.m_interval;
+  return std::max<Duration>(Duration(), pacer.m_full_burst_at - now -
+                                            pacer.m_burst * pacer.m_interval);
 }
 
 }  // namespace verbenalead::decide
--- a/src/libverbenalead/decide/burst_pacer_test.cc
+++ b/src/libverbenalead/decide/burst_pacer_test.cc
@@ -19,19 +19,19 @@
   // The origin became unreachable before the hosts had fetched one copy, which
   // takes 2.1 s.
   void BurstIsNotDelayed() {
-    BurstPacer pace{5, 400ms};
+    BurstPacer pacer{5, 400ms};
     for (int request = 0; request < 5; ++request) {
-      CPPUNIT_ASSERT(RecordRequest(pace, kStart + request * 200ms) ==
+      CPPUNIT_ASSERT(RecordRequest(pacer, kStart + request * 200ms) ==
                      Duration());
     }
   }
 
   void LongSeriesIsPacedByTheInterval() {
-    BurstPacer pace{5, 400ms};
+    BurstPacer pacer{5, 400ms};
     int requests = 0;
     for (TimePoint now = kStart; now < kStart + 10s;) {
       ++requests;
-      now += std::max<Duration>(RecordRequest(pace, now), 1ms);
+      now += std::max<Duration>(RecordRequest(pacer, now), 1ms);
     }
     CPPUNIT_ASSERT(requests >= 25);
     CPPUNIT_ASSERT(requests <= 30);
--- a/src/libverbenalead/decide/claim_batch_test.cc
+++ b/src/libverbenalead/decide/claim_batch_test.cc
@@ -323,8 +323,9 @@
     CPPUNIT_ASSERT(actions.at(0).m_kind == ClaimAction::Kind::kRead);
     actions = ReadEnded(batch, 1, ReadItem(table, "k"), At(1s));
     CPPUNIT_ASSERT(actions.at(0).m_end == ClaimEnd::kDone);
-    const uint64_t again = Submit(batch, MakeClaim("k", 2, "same-id", At(5s)));
-    CPPUNIT_ASSERT(RunAll(batch, table).at(again) == ClaimEnd::kHeld);
+    const uint64_t retried =
+        Submit(batch, MakeClaim("k", 2, "same-id", At(5s)));
+    CPPUNIT_ASSERT(RunAll(batch, table).at(retried) == ClaimEnd::kHeld);
   }
 
   // Guards against a late release that frees the claim of the next caller,
--- a/src/libverbenalead/decide/config_lease_test.cc
+++ b/src/libverbenalead/decide/config_lease_test.cc
@@ -63,13 +63,14 @@
       const auto steps =
           *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 4000));
       for (int step : steps) {
-        const Duration asked = now;
+        const Duration requested_at = now;
         const Duration latency = std::chrono::milliseconds(step % 97);
-        const Duration answered = asked + latency;
-        now = answered + std::chrono::milliseconds(step);  // Or a pause.
+        const Duration answered_at = requested_at + latency;
+        now = answered_at + std::chrono::milliseconds(step);  // Or a pause.
         if (step % 3 == 0) {
-          removal_known |= answered >= removed;
-          RenewLease(lease, AnsweredAt(clock, asked, answered - offset));
+          removal_known |= answered_at >= removed;
+          RenewLease(lease,
+                     AnsweredAt(clock, requested_at, answered_at - offset));
         }
         const Duration sent = now - latency;
         const bool admitted = !removal_known && Holds(lease, kLength, now);
--- a/src/libverbenalead/decide/declared_versions.h
+++ b/src/libverbenalead/decide/declared_versions.h
@@ -17,22 +17,23 @@
 
 /// Records a declared version and its binding time. Later records of the same
 /// version are ignored.
-inline void Declare(DeclaredVersions& watch,
+inline void Declare(DeclaredVersions& versions,
                     uint64_t version,
                     TimePoint binding) {
-  watch.m_binding_times.emplace(version, binding);
+  versions.m_binding_times.emplace(version, binding);
 }
 
 /// The newest declared version; 0 if there is none.
-inline uint64_t Newest(const DeclaredVersions& watch) {
-  return watch.m_binding_times.empty() ? 0
-                                       : watch.m_binding_times.rbegin()->first;
+inline uint64_t Newest(const DeclaredVersions& versions) {
+  return versions.m_binding_times.empty()
+             ? 0
+             : versions.m_binding_times.rbegin()->first;
 }
 
 /// The oldest version on which a call may begin now; 0 for any.
-inline uint64_t Binding(const DeclaredVersions& watch, TimePoint now) {
+inline uint64_t Binding(const DeclaredVersions& versions, TimePoint now) {
   uint64_t binding = 0;
-  for (const auto& [version, from] : watch.m_binding_times) {
+  for (const auto& [version, from] : versions.m_binding_times) {
     if (from <= now)
       binding = version;
   }
@@ -41,10 +42,10 @@
 
 /// Time from which no call may begin on `version`; TimePoint::max() if no newer
 /// version is declared.
-inline TimePoint ForbiddenFrom(const DeclaredVersions& watch,
+inline TimePoint ForbiddenFrom(const DeclaredVersions& versions,
                                uint64_t version) {
   TimePoint from = TimePoint::max();
-  for (const auto& [newer, binding] : watch.m_binding_times) {
+  for (const auto& [newer, binding] : versions.m_binding_times) {
     if (newer > version)
       from = std::min(from, binding);
   }
--- a/src/libverbenalead/decide/digest_read_order.cc
+++ b/src/libverbenalead/decide/digest_read_order.cc
@@ -24,10 +24,10 @@
   return hosts;
 }
 
-Duration DigestReadDelay(size_t place) {
+Duration DigestReadDelay(size_t position) {
   Duration delay{};
   Duration step = kFirstDelay;
-  for (size_t readers = kDigestReaders; readers <= place; readers *= 2) {
+  for (size_t readers = kDigestReaders; readers <= position; readers *= 2) {
     delay += step;
     step *= 2;
   }
--- a/src/libverbenalead/decide/digest_read_order.h
+++ b/src/libverbenalead/decide/digest_read_order.h
@@ -19,7 +19,7 @@
 std::vector<std::string> DigestReadOrder(std::vector<std::string> hosts,
                                          uint64_t version);
 
-/// How long the host at position `place` of that order requests the digests
+/// How long the host at position `position` of that order requests the digests
 /// from other hosts before it may read them from the origin.
 ///
 /// Load: an origin that does not answer for seconds while no host has the
@@ -28,7 +28,7 @@
 /// again. Each time the number of hosts that may read doubles, the added delay
 /// doubles too: few hosts read at once, and the failure of the first ones does
 /// not block the others.
-Duration DigestReadDelay(size_t place);
+Duration DigestReadDelay(size_t position);
 
 }  // namespace verbenalead::decide
 
--- a/src/libverbenalead/decide/digest_read_order_test.cc
+++ b/src/libverbenalead/decide/digest_read_order_test.cc
@@ -38,8 +38,8 @@
   // returns.
   void FewHostsReadFromAReturnedOrigin() {
     size_t readers = 0;
-    for (size_t place = 0; place < 300; ++place)
-      readers += DigestReadDelay(place) <= Duration(6s);
+    for (size_t position = 0; position < 300; ++position)
+      readers += DigestReadDelay(position) <= Duration(6s);
     CPPUNIT_ASSERT(readers > kDigestReaders);
     CPPUNIT_ASSERT(readers <= 20);
     CPPUNIT_ASSERT(DigestReadDelay(kDigestReaders - 1) == Duration());
--- a/src/libverbenalead/decide/earliest_write.h
+++ b/src/libverbenalead/decide/earliest_write.h
@@ -30,16 +30,16 @@
 /// An outage of the store is not counted. No process can act on a declaration
 /// that it cannot read, and counting the outage would reject older weights
 /// before any replica has loaded the newer ones.
-inline Duration EarliestWriteTime(Duration asked_at,
+inline Duration EarliestWriteTime(Duration requested_at,
                                   Duration answered_at,
                                   std::optional<Duration> proved_at) {
   if (!proved_at)
     return answered_at;
-  const Duration unasked =
-      std::max<Duration>(Duration(), asked_at - *proved_at);
-  if (unasked > kOutage)
+  const Duration time_without_query =
+      std::max<Duration>(Duration(), requested_at - *proved_at);
+  if (time_without_query > kOutage)
     return answered_at;
-  return std::max(*proved_at, answered_at - unasked);
+  return std::max(*proved_at, answered_at - time_without_query);
 }
 
 }  // namespace verbenalead::decide
--- a/src/libverbenalead/decide/earliest_write_test.cc
+++ b/src/libverbenalead/decide/earliest_write_test.cc
@@ -25,8 +25,8 @@
   // deadline was counted from its answer.
   void TimeWithoutQueryAddsToTheRowsAge() {
     const Duration proved = 10s;
-    const Duration asked = 11s;
-    CPPUNIT_ASSERT(EarliestWriteTime(asked, 11005ms, proved) ==
+    const Duration requested_at = 11s;
+    CPPUNIT_ASSERT(EarliestWriteTime(requested_at, 11005ms, proved) ==
                    Duration(10005ms));
   }
 
--- a/src/libverbenalead/decide/fake_pool.h
+++ b/src/libverbenalead/decide/fake_pool.h
@@ -443,7 +443,7 @@
   void SendAnswer(size_t call,
                   size_t e,
                   size_t target,
-                  TargetFeedback sign,
+                  TargetFeedback feedback,
                   TimePoint sent,
                   std::shared_ptr<std::set<std::string>> tried,
                   uint32_t number,
@@ -453,26 +453,27 @@
       Entry& entry = m_entries[e];
       const model::Call& model_call = m_records[call].m_call;
       AttemptEnded(entry.m_place, "t" + std::to_string(target), model_call,
-                   sign, m_now - sent, m_now);
-      if (sign != TargetFeedback::kBroken)
+                   feedback, m_now - sent, m_now);
+      if (feedback != TargetFeedback::kBroken)
         LoadObserved(entry.m_place, "t" + std::to_string(target), running,
                      m_now);
       FinishedAttempt attempt;
       attempt.m_number = number;
-      attempt.m_refused_without_run = sign == TargetFeedback::kFull ||
-                                      sign == TargetFeedback::kAboveMaxRunning;
-      attempt.m_end = sign == TargetFeedback::kGood ? AttemptEnd::kCompleted
-                                                    : AttemptEnd::kNotRun;
+      attempt.m_refused_without_run =
+          feedback == TargetFeedback::kFull ||
+          feedback == TargetFeedback::kAboveMaxRunning;
+      attempt.m_end = feedback == TargetFeedback::kGood ? AttemptEnd::kCompleted
+                                                        : AttemptEnd::kNotRun;
       const RetryDecision decision =
           DecideRetry(model_call, attempt, entry.m_budget, m_now);
       if (decision.m_retry)
         return StartAttempt(call, e, tried, number + 1, started);
       if (attempt.m_refused_without_run) {
-        if (sign == TargetFeedback::kFull)
+        if (feedback == TargetFeedback::kFull)
           LowerConcurrencyLimit(entry.m_admit, m_now);
         return RetryWhenFull(call, e, number, started);
       }
-      FinishCall(call, e, sign == TargetFeedback::kGood, started);
+      FinishCall(call, e, feedback == TargetFeedback::kGood, started);
     });
   }
 
--- a/src/libverbenalead/decide/late_call_shedding.h
+++ b/src/libverbenalead/decide/late_call_shedding.h
@@ -29,13 +29,13 @@
 
 /// Records that a call that could have been on time was refused for lack of a
 /// slot.
-inline void NoteOnTimeRefusal(LateCallShedding& late, TimePoint now) {
-  late.m_on_time_refused_at = now;
+inline void NoteOnTimeRefusal(LateCallShedding& shedding, TimePoint now) {
+  shedding.m_on_time_refused_at = now;
 }
 
-inline bool ShedsLateCalls(const LateCallShedding& late, TimePoint now) {
-  return late.m_on_time_refused_at &&
-         now - *late.m_on_time_refused_at < kSheddingHold;
+inline bool ShedsLateCalls(const LateCallShedding& shedding, TimePoint now) {
+  return shedding.m_on_time_refused_at &&
+         now - *shedding.m_on_time_refused_at < kSheddingHold;
 }
 
 }  // namespace verbenalead::decide
--- a/src/libverbenalead/decide/load_permits.cc
+++ b/src/libverbenalead/decide/load_permits.cc
@@ -24,9 +24,9 @@
 
 }  // namespace
 
-std::string ToJson(const LoadPermits& board) {
+std::string ToJson(const LoadPermits& permits) {
   json::object out;
-  for (const auto& [host, permit] : board.m_permits) {
+  for (const auto& [host, permit] : permits.m_permits) {
     out[host] = json::object{{"digest", ToString(permit.m_digest)},
                              {"plan", permit.m_plan},
                              {"owner", permit.m_owner},
@@ -39,15 +39,15 @@
 
 Result<LoadPermits> ParseLoadPermits(std::string_view text, uint64_t revision) {
   BOOST_LEAF_AUTO(object, model::ParseObject(text, "permits"));
-  LoadPermits board;
-  board.m_revision = revision;
+  LoadPermits permits;
+  permits.m_revision = revision;
   for (const auto& item : object) {
     if (!item.value().is_object())
       return model::BadField(item.key(), "a permit");
     BOOST_LEAF_AUTO(permit, ReadPermit(item.value().get_object()));
-    board.m_permits[item.key()] = std::move(permit);
+    permits.m_permits[item.key()] = std::move(permit);
   }
-  return board;
+  return permits;
 }
 
 }  // namespace verbenalead::decide
--- a/src/libverbenalead/decide/load_permits.h
+++ b/src/libverbenalead/decide/load_permits.h
@@ -24,7 +24,7 @@
 
 /// Returns the permits encoded as the value of their table item. The revision
 /// isn't part of the value.
-std::string ToJson(const LoadPermits& board);
+std::string ToJson(const LoadPermits& permits);
 Result<LoadPermits> ParseLoadPermits(std::string_view json, uint64_t revision);
 
 }  // namespace verbenalead::decide
--- a/src/libverbenalead/decide/permit_tracker.cc
+++ b/src/libverbenalead/decide/permit_tracker.cc
@@ -3,12 +3,12 @@
 namespace verbenalead::decide {
 namespace {
 
-bool HasLapsed(const PermitTracker& watch,
+bool HasLapsed(const PermitTracker& tracker,
                const std::string& host,
                const LoadPermit& permit,
                TimePoint now) {
-  auto seen = watch.m_seen.find(host);
-  return seen != watch.m_seen.end() &&
+  auto seen = tracker.m_seen.find(host);
+  return seen != tracker.m_seen.end() &&
          seen->second.m_number == permit.m_number &&
          now - seen->second.m_since > kPermitLease;
 }
@@ -20,24 +20,26 @@
 
 }  // namespace
 
-void Observe(PermitTracker& watch, const LoadPermits& board, TimePoint now) {
-  std::erase_if(watch.m_seen, [&](const auto& seen) {
-    return !board.m_permits.contains(seen.first);
+void Observe(PermitTracker& tracker,
+             const LoadPermits& permits,
+             TimePoint now) {
+  std::erase_if(tracker.m_seen, [&](const auto& seen) {
+    return !permits.m_permits.contains(seen.first);
   });
-  for (const auto& [host, permit] : board.m_permits) {
-    auto [seen, added] = watch.m_seen.try_emplace(
+  for (const auto& [host, permit] : permits.m_permits) {
+    auto [seen, added] = tracker.m_seen.try_emplace(
         host, PermitTracker::Seen{permit.m_number, now});
     if (!added && seen->second.m_number != permit.m_number)
       seen->second = {permit.m_number, now};
   }
 }
 
-void Forget(PermitTracker& watch) {
-  watch.m_seen.clear();
+void Forget(PermitTracker& tracker) {
+  tracker.m_seen.clear();
 }
 
-PermitDecision DecidePermit(const LoadPermits& board,
-                            const PermitTracker& watch,
+PermitDecision DecidePermit(const LoadPermits& permits,
+                            const PermitTracker& tracker,
                             const std::string& host,
                             uint64_t owner,
                             const RolloutPlan& plan,
@@ -45,7 +47,7 @@
   if (plan.m_paused)
     return {PermitVerdict::kPaused, "paused"};
   uint32_t taken = 0;
-  for (const auto& [holder, permit] : board.m_permits) {
+  for (const auto& [holder, permit] : permits.m_permits) {
     // A version that fails on one engine is likely to fail on the next one. If
     // the rollout continued, it would shut one gate after another. Unlike a
     // permit, a failure doesn't lapse.
@@ -53,29 +55,29 @@
       return {PermitVerdict::kStopped,
               "stopped: " + holder + ": " + permit.m_reason};
     }
-    if (holder != host && !HasLapsed(watch, holder, permit, now))
+    if (holder != host && !HasLapsed(tracker, holder, permit, now))
       ++taken;
   }
-  auto own = board.m_permits.find(host);
+  auto own = permits.m_permits.find(host);
   // A host that acquires a permit erases the lapsed ones. A permit that is
   // still stored has therefore not been replaced by another host's. A host may
   // have two processes, an older one that was paused and the newer one that
   // replaced it. When the older one resumes, it must not act on the permit of
   // the newer one.
-  if (own != board.m_permits.end() && own->second.m_owner > owner &&
-      !HasLapsed(watch, host, own->second, now))
+  if (own != permits.m_permits.end() && own->second.m_owner > owner &&
+      !HasLapsed(tracker, host, own->second, now))
     return {PermitVerdict::kFull, "a newer process of this host has a permit"};
-  const bool held = own != board.m_permits.end() && !own->second.m_failed;
+  const bool held = own != permits.m_permits.end() && !own->second.m_failed;
   if (!held && taken >= MaxUnavailable(plan))
     return {PermitVerdict::kFull, std::to_string(taken) + " hosts load"};
   return {PermitVerdict::kGranted, ""};
 }
 
-void EraseLapsed(LoadPermits& board,
-                 const PermitTracker& watch,
+void EraseLapsed(LoadPermits& permits,
+                 const PermitTracker& tracker,
                  TimePoint now) {
-  std::erase_if(board.m_permits, [&](const auto& item) {
-    return HasLapsed(watch, item.first, item.second, now);
+  std::erase_if(permits.m_permits, [&](const auto& item) {
+    return HasLapsed(tracker, item.first, item.second, now);
   });
 }
 
--- a/src/libverbenalead/decide/permit_tracker.h
+++ b/src/libverbenalead/decide/permit_tracker.h
@@ -44,24 +44,26 @@
   std::string m_reason;
 };
 
-/// Updates `watch` from the permits in `board`, which were read at `now`.
-void Observe(PermitTracker& watch, const LoadPermits& board, TimePoint now);
+/// Updates `tracker` from the permits in `permits`, which were read at `now`.
+void Observe(PermitTracker& tracker, const LoadPermits& permits, TimePoint now);
 /// Clears all observations. Called when the permits could not be read: holders
 /// could not renew during that time either, so the lease of each permit starts
 /// again at the next read.
-void Forget(PermitTracker& watch);
+void Forget(PermitTracker& tracker);
 
 /// Decides whether process `owner` of `host` may acquire a permit or keep the
 /// permit that it holds.
-PermitDecision DecidePermit(const LoadPermits& board,
-                            const PermitTracker& watch,
+PermitDecision DecidePermit(const LoadPermits& permits,
+                            const PermitTracker& tracker,
                             const std::string& host,
                             uint64_t owner,
                             const RolloutPlan& plan,
                             TimePoint now);
 
-/// Erases the lapsed permits from `board`.
-void EraseLapsed(LoadPermits& board, const PermitTracker& watch, TimePoint now);
+/// Erases the lapsed permits from `permits`.
+void EraseLapsed(LoadPermits& permits,
+                 const PermitTracker& tracker,
+                 TimePoint now);
 
 }  // namespace verbenalead::decide
 
--- a/src/libverbenalead/decide/quarantine.cc
+++ b/src/libverbenalead/decide/quarantine.cc
@@ -71,9 +71,9 @@
 }
 
 void Merge(QuarantineState& state,
-           const std::vector<CrashRecord>& notes,
+           const std::vector<CrashRecord>& records,
            TimePoint now) {
-  for (const CrashRecord& record : notes) {
+  for (const CrashRecord& record : records) {
     const auto cleared = state.m_cleared.find(record.m_key);
     if (cleared == state.m_cleared.end() ||
         now - cleared->second > state.m_limits.m_hold)
--- a/src/libverbenalead/decide/quarantine.h
+++ b/src/libverbenalead/decide/quarantine.h
@@ -86,7 +86,7 @@
 /// more than once. They are not forwarded: each entry sends its own records to
 /// all other entries.
 void Merge(QuarantineState& state,
-           const std::vector<CrashRecord>& notes,
+           const std::vector<CrashRecord>& records,
            TimePoint now);
 
 }  // namespace verbenalead::decide
--- a/src/libverbenalead/decide/reader_failover.cc
+++ b/src/libverbenalead/decide/reader_failover.cc
@@ -32,19 +32,19 @@
 
 }  // namespace
 
-Reading NextReadSource(ReaderFailover& turn,
+Reading NextReadSource(ReaderFailover& failover,
                        bool has_reader,
                        size_t rank,
                        TimePoint now) {
   if (has_reader) {
-    turn.m_had_reader = true;
+    failover.m_had_reader = true;
     return Reading::kFromPeer;
   }
-  if (turn.m_had_reader) {
-    turn.m_had_reader = false;
-    turn.m_read_from = now + TakeoverDelay(rank);
+  if (failover.m_had_reader) {
+    failover.m_had_reader = false;
+    failover.m_read_from = now + TakeoverDelay(rank);
   }
-  return now < turn.m_read_from ? Reading::kWaiting : Reading::kFromStore;
+  return now < failover.m_read_from ? Reading::kWaiting : Reading::kFromStore;
 }
 
 Duration PauseAfterFailure(size_t rank, double spread) {
--- a/src/libverbenalead/decide/reader_failover.h
+++ b/src/libverbenalead/decide/reader_failover.h
@@ -38,7 +38,7 @@
 /// From where to get the tables now. `has_reader`: another entry of the data
 /// centre reads the store on behalf of this one. `rank`: how many entries of
 /// the data centre come before this one in the order of takeover.
-Reading NextReadSource(ReaderFailover& turn,
+Reading NextReadSource(ReaderFailover& failover,
                        bool has_reader,
                        size_t rank,
                        TimePoint now);
--- a/src/libverbenalead/decide/replica_pool_test.cc
+++ b/src/libverbenalead/decide/replica_pool_test.cc
@@ -253,8 +253,8 @@
         now += 20ms;
         if (step <= 1) {
           const PoolCall call = MakeCall(++ticket, step == 0);
-          if (const auto place = AcquireSlot(pool, call, now, m_random)) {
-            running.push_back(*place);
+          if (const auto acquired = AcquireSlot(pool, call, now, m_random)) {
+            running.push_back(*acquired);
           } else {
             Wait(pool, call);
             waiting.insert(call.m_ticket);
--- a/src/libverbenalead/decide/rollout.cc
+++ b/src/libverbenalead/decide/rollout.cc
@@ -62,23 +62,23 @@
   return {};
 }
 
-/// Changes this host's permit in `board`. Returns false if there is nothing to
-/// write.
+/// Changes this host's permit in `permits`. Returns false if there is nothing
+/// to write.
 bool ChangeOwnPermit(RolloutState& state,
                      const RolloutPlan& plan,
                      Purpose purpose,
-                     LoadPermits& board) {
-  auto own = board.m_permits.find(state.m_host);
+                     LoadPermits& permits) {
+  auto own = permits.m_permits.find(state.m_host);
   if (purpose == Purpose::kRelease) {
     // A permit of an earlier run of this host is erased, too; one of a later
     // run has to stay.
     state.m_permit_may_be_stored =
-        own != board.m_permits.end() && own->second.m_owner <= state.m_owner;
+        own != permits.m_permits.end() && own->second.m_owner <= state.m_owner;
     if (state.m_permit_may_be_stored)
-      board.m_permits.erase(own);
+      permits.m_permits.erase(own);
     return state.m_permit_may_be_stored;
   }
-  if (purpose == Purpose::kRecordFailure && own != board.m_permits.end() &&
+  if (purpose == Purpose::kRecordFailure && own != permits.m_permits.end() &&
       own->second.m_owner > state.m_owner) {
     state.m_failure_unrecorded = false;
     return false;
@@ -87,7 +87,7 @@
   permit.m_digest = plan.m_digest;
   permit.m_plan = plan.m_revision;
   permit.m_owner = state.m_owner;
-  permit.m_number = board.m_revision;
+  permit.m_number = permits.m_revision;
   if (purpose == Purpose::kRecordFailure) {
     // Record the version and plan that failed rather than the current ones. The
     // failure of a plan must not stop the plan that replaces it.
@@ -96,7 +96,7 @@
     permit.m_failed = true;
     permit.m_reason = state.m_failure;
   }
-  board.m_permits[state.m_host] = std::move(permit);
+  permits.m_permits[state.m_host] = std::move(permit);
   return true;
 }
 
@@ -356,16 +356,16 @@
 }
 
 void PermitsRead(RolloutState& state,
-                 std::optional<LoadPermits> board,
+                 std::optional<LoadPermits> permits,
                  TimePoint now) {
-  if (board) {
-    Observe(state.m_permit_tracker, *board, now);
+  if (permits) {
+    Observe(state.m_permit_tracker, *permits, now);
   } else {
     Forget(state.m_permit_tracker);
     state.m_next_read = now + kTableRetryDelay;
     state.m_reason = "the table can't be read";
   }
-  state.m_load_permits = std::move(board);
+  state.m_load_permits = std::move(permits);
 }
 
 void PermitsWritten(RolloutState& state,
@@ -415,7 +415,7 @@
                           GateState& gate,
                           const RolloutPlan& plan,
                           std::optional<Digest> serves,
-                          uint64_t doubt,
+                          uint64_t epoch,
                           TimePoint now) {
   if (!serves) {
     RequireStatus(gate);
@@ -427,9 +427,9 @@
     InvalidateVersion(gate);
   // A status requested before the last increment of m_status_epoch doesn't show
   // the engine's state after the event that caused it.
-  if (gate.m_status_epoch != doubt)
+  if (gate.m_status_epoch != epoch)
     return;
-  state.m_settled = doubt;
+  state.m_settled = epoch;
   EvaluateOrder(state, plan, now);
   if (gate.m_open || state.m_superseded)
     return;
@@ -456,8 +456,8 @@
 }
 
 std::optional<LoadPermits> WithPermitRenewed(RolloutState& state,
-                                             const LoadPermits& board) {
-  LoadPermits next = board;
+                                             const LoadPermits& permits) {
+  LoadPermits next = permits;
   ++next.m_revision;
   auto own = next.m_permits.find(state.m_host);
   if (own == next.m_permits.end() || own->second.m_owner != state.m_owner) {
--- a/src/libverbenalead/decide/rollout.h
+++ b/src/libverbenalead/decide/rollout.h
@@ -101,9 +101,9 @@
 
 void Fetched(RolloutState& state, const Digest& digest);
 void FetchFailed(RolloutState& state, const std::string& reason, TimePoint now);
-/// `board` is nullopt if the table could not be read.
+/// `permits` is nullopt if the table could not be read.
 void PermitsRead(RolloutState& state,
-                 std::optional<LoadPermits> board,
+                 std::optional<LoadPermits> permits,
                  TimePoint now);
 enum class WriteResult {
   kCommitted,
@@ -129,13 +129,13 @@
                 GateState& gate,
                 const std::string& reason);
 /// Reports the engine's status for a kQueryEngine action. `serves` is the
-/// version that the engine serves, or nullopt if it did not answer. `doubt` is
+/// version that the engine serves, or nullopt if it did not answer. `epoch` is
 /// the action's m_status_epoch.
 void EngineStatusReceived(RolloutState& state,
                           GateState& gate,
                           const RolloutPlan& plan,
                           std::optional<Digest> serves,
-                          uint64_t doubt,
+                          uint64_t epoch,
                           TimePoint now);
 
 /// Reports an engine status from periodic polling, outside the steps of
@@ -149,11 +149,11 @@
 /// Returns true if the permit has to be renewed now. Renewals run in parallel
 /// with the action in progress.
 bool RenewalDue(const RolloutState& state, TimePoint now);
-/// Returns `board` with this host's permit renewed. Returns nullopt if another
-/// host erased the permit after it lapsed, or if another process of this host
-/// has acquired it.
+/// Returns `permits` with this host's permit renewed. Returns nullopt if
+/// another host erased the permit after it lapsed, or if another process of
+/// this host has acquired it.
 std::optional<LoadPermits> WithPermitRenewed(RolloutState& state,
-                                             const LoadPermits& board);
+                                             const LoadPermits& permits);
 /// Reports that the renewal sent at `sent` was written.
 void RenewalWritten(RolloutState& state, TimePoint sent);
 
--- a/src/libverbenalead/decide/route_table_test.cc
+++ b/src/libverbenalead/decide/route_table_test.cc
@@ -59,16 +59,16 @@
 
   void WeightsBindAtDeclaredTime() {
     const TimePoint start = TimePoint() + 3600s;
-    DeclaredVersions watch;
-    Declare(watch, 2, start + 8s);
-    Declare(watch, 3, start + 10s);
-    Declare(watch, 3, start + 99s);  // A later declaration is ignored.
-    CPPUNIT_ASSERT_EQUAL(uint64_t{0}, Binding(watch, start + 7s));
-    CPPUNIT_ASSERT_EQUAL(uint64_t{2}, Binding(watch, start + 8s));
-    CPPUNIT_ASSERT_EQUAL(uint64_t{3}, Binding(watch, start + 10s));
-    CPPUNIT_ASSERT(ForbiddenFrom(watch, 1) == start + 8s);
-    CPPUNIT_ASSERT(ForbiddenFrom(watch, 2) == start + 10s);
-    CPPUNIT_ASSERT(ForbiddenFrom(watch, 3) == TimePoint::max());
+    DeclaredVersions versions;
+    Declare(versions, 2, start + 8s);
+    Declare(versions, 3, start + 10s);
+    Declare(versions, 3, start + 99s);  // A later declaration is ignored.
+    CPPUNIT_ASSERT_EQUAL(uint64_t{0}, Binding(versions, start + 7s));
+    CPPUNIT_ASSERT_EQUAL(uint64_t{2}, Binding(versions, start + 8s));
+    CPPUNIT_ASSERT_EQUAL(uint64_t{3}, Binding(versions, start + 10s));
+    CPPUNIT_ASSERT(ForbiddenFrom(versions, 1) == start + 8s);
+    CPPUNIT_ASSERT(ForbiddenFrom(versions, 2) == start + 10s);
+    CPPUNIT_ASSERT(ForbiddenFrom(versions, 3) == TimePoint::max());
   }
 };
 
--- a/src/libverbenalead/decide/routing_test.cc
+++ b/src/libverbenalead/decide/routing_test.cc
@@ -312,11 +312,11 @@
   static void RunAttempt(TargetSelectionState& state,
                          const std::string& target,
                          const model::Call& call,
-                         TargetFeedback sign,
+                         TargetFeedback feedback,
                          Duration elapsed,
                          TimePoint now) {
     AttemptSent(state, target, call, now);
-    AttemptEnded(state, target, call, sign, elapsed, now);
+    AttemptEnded(state, target, call, feedback, elapsed, now);
   }
 };
 
--- a/src/libverbenalead/decide/row_transfer_limit.h
+++ b/src/libverbenalead/decide/row_transfer_limit.h
@@ -38,14 +38,14 @@
 
 /// Whether a table of `bytes` may be sent now to an entry that can be deferred.
 /// If so, counts the transfer.
-inline bool TryAdmitTransfer(RowTransferLimit& pace,
+inline bool TryAdmitTransfer(RowTransferLimit& limit,
                              uint64_t bytes,
                              TimePoint now) {
   const Duration transfer_time = std::chrono::duration_cast<Duration>(
       std::chrono::microseconds(bytes * 1'000'000 / kRowTransferRate));
-  if (pace.m_busy_until - now > kMaxPendingTransfers * transfer_time)
+  if (limit.m_busy_until - now > kMaxPendingTransfers * transfer_time)
     return false;
-  pace.m_busy_until = std::max(pace.m_busy_until, now) + transfer_time;
+  limit.m_busy_until = std::max(limit.m_busy_until, now) + transfer_time;
   return true;
 }
 
--- a/src/libverbenalead/decide/row_transfer_limit_test.cc
+++ b/src/libverbenalead/decide/row_transfer_limit_test.cc
@@ -119,11 +119,11 @@
   // Guards against late changes in a small data centre, where its few entries
   // would wait for each other.
   void FewRequestsAreNotDeferred() {
-    RowTransferLimit pace;
+    RowTransferLimit limit;
     for (int other = 0; other <= kMaxPendingTransfers; ++other)
-      CPPUNIT_ASSERT(TryAdmitTransfer(pace, kTableBytes, TimePoint()));
-    CPPUNIT_ASSERT(!TryAdmitTransfer(pace, kTableBytes, TimePoint()));
-    CPPUNIT_ASSERT(TryAdmitTransfer(pace, kTableBytes, TimePoint() + 1s));
+      CPPUNIT_ASSERT(TryAdmitTransfer(limit, kTableBytes, TimePoint()));
+    CPPUNIT_ASSERT(!TryAdmitTransfer(limit, kTableBytes, TimePoint()));
+    CPPUNIT_ASSERT(TryAdmitTransfer(limit, kTableBytes, TimePoint() + 1s));
   }
 };
 
--- a/src/libverbenalead/decide/store_clock.h
+++ b/src/libverbenalead/decide/store_clock.h
@@ -22,13 +22,13 @@
 };
 
 /// Local time of an answer that the store dates `store_time`, to a query sent
-/// at `asked_at`. Never later than the true time: the store answers after the
-/// query was sent, so each exchange gives a lower bound of the offset, and the
-/// largest bound is the best.
+/// at `requested_at`. Never later than the true time: the store answers after
+/// the query was sent, so each exchange gives a lower bound of the offset, and
+/// the largest bound is the best.
 inline Duration AnsweredAt(StoreClock& clock,
-                           Duration asked_at,
+                           Duration requested_at,
                            Duration store_time) {
-  const Duration bound = asked_at - store_time;
+  const Duration bound = requested_at - store_time;
   clock.m_offset = std::max(clock.m_offset.value_or(bound), bound);
   return store_time + *clock.m_offset;
 }
--- a/src/libverbenalead/decide/target_health.cc
+++ b/src/libverbenalead/decide/target_health.cc
@@ -16,10 +16,10 @@
 /// Reinstates or ejects the target by the result of a single probe: there is no
 /// other sample, as a probe is the only call at its target.
 bool ObserveProbe(TargetHealth& health,
-                  HealthSample sign,
+                  HealthSample sample,
                   double slowness,
                   TimePoint now) {
-  if (sign != HealthSample::kGood || slowness > kSlowEjectionFactor) {
+  if (sample != HealthSample::kGood || slowness > kSlowEjectionFactor) {
     Eject(health, now);
     return true;
   }
@@ -39,16 +39,16 @@
 }
 
 bool Observe(TargetHealth& health,
-             HealthSample sign,
+             HealthSample sample,
              double slowness,
              TimePoint now) {
   if (health.m_ejected) {
     // Results of calls sent before the ejection are ignored.
     if (now < health.m_ejected_until)
       return false;
-    return ObserveProbe(health, sign, slowness, now);
+    return ObserveProbe(health, sample, slowness, now);
   }
-  const double failed = sign == HealthSample::kGood ? 0 : 1;
+  const double failed = sample == HealthSample::kGood ? 0 : 1;
   health.m_failures += kHealthDecay * (failed - health.m_failures);
   if (slowness > 0) {
     health.m_slowness += kHealthDecay * (slowness - health.m_slowness);
@@ -56,7 +56,7 @@
   }
   // One broken connection is enough for an ejection: its usual cause is the
   // failure of the host.
-  const bool bad = sign == HealthSample::kBroken ||
+  const bool bad = sample == HealthSample::kBroken ||
                    health.m_failures > kFailureEjectionShare ||
                    (health.m_samples >= kMinSlownessSamples &&
                     health.m_slowness > kSlowEjectionFactor);
--- a/src/libverbenalead/decide/target_health.h
+++ b/src/libverbenalead/decide/target_health.h
@@ -51,7 +51,7 @@
 /// the duration expected from the mean of the pool, 0 if that is unknown.
 /// Returns whether the target was ejected.
 bool Observe(TargetHealth& health,
-             HealthSample sign,
+             HealthSample sample,
              double slowness,
              TimePoint now);
 
--- a/src/libverbenalead/decide/target_selection.cc
+++ b/src/libverbenalead/decide/target_selection.cc
@@ -352,7 +352,7 @@
 void AttemptEnded(TargetSelectionState& state,
                   const std::string& name,
                   const model::Call& call,
-                  TargetFeedback sign,
+                  TargetFeedback feedback,
                   Duration elapsed,
                   TimePoint now) {
   TargetView* target = Find(state, name);
@@ -361,21 +361,21 @@
   if (target->m_in_flight > 0)
     --target->m_in_flight;
   const double units = WorkUnits(call);
-  if (sign == TargetFeedback::kFull ||
-      sign == TargetFeedback::kAboveMaxRunning ||
-      sign == TargetFeedback::kRefused) {
-    if (sign != TargetFeedback::kAboveMaxRunning)
+  if (feedback == TargetFeedback::kFull ||
+      feedback == TargetFeedback::kAboveMaxRunning ||
+      feedback == TargetFeedback::kRefused) {
+    if (feedback != TargetFeedback::kAboveMaxRunning)
       target->m_full_until = now + kFullTargetPause;
     target->m_work = std::max(0.0, target->m_work - units);
     return;
   }
   const double seconds = std::chrono::duration<double>(elapsed).count();
   const double expected_seconds = SecondsPerUnit(state.m_service) * units;
-  const bool good = sign == TargetFeedback::kGood;
+  const bool good = feedback == TargetFeedback::kGood;
   const double slowness =
       good && expected_seconds > 0 ? seconds / expected_seconds : 0;
   const HealthSample answer = good ? HealthSample::kGood
-                              : sign == TargetFeedback::kFailed
+                              : feedback == TargetFeedback::kFailed
                                   ? HealthSample::kFailed
                                   : HealthSample::kBroken;
   Observe(target->m_health, answer, slowness, now);
--- a/src/libverbenalead/decide/target_selection.h
+++ b/src/libverbenalead/decide/target_selection.h
@@ -119,7 +119,7 @@
 void AttemptEnded(TargetSelectionState& state,
                   const std::string& target,
                   const model::Call& call,
-                  TargetFeedback sign,
+                  TargetFeedback feedback,
                   Duration elapsed,
                   TimePoint now);
 
--- a/src/libverbenalead/decide/transfer.cc
+++ b/src/libverbenalead/decide/transfer.cc
@@ -312,10 +312,10 @@
   RankChunks(state);
   for (size_t i = 0; i < state.m_neighbours.size(); ++i) {
     const std::string& name = state.m_neighbours[i].m_name;
-    const bool gone =
+    const bool has_left =
         std::none_of(state.m_members.begin(), state.m_members.end(),
                      [&](const auto& member) { return member.m_name == name; });
-    if (!name.empty() && gone)
+    if (!name.empty() && has_left)
       RemoveNeighbour(state, i, now);
   }
   for (const TransferMember& member : PlanNeighbours(state)) {
--- a/src/libverbenalead/decide/upload_slots.cc
+++ b/src/libverbenalead/decide/upload_slots.cc
@@ -10,31 +10,31 @@
 
 }  // namespace
 
-void Ask(UploadSlots& turns, uint64_t version, const UploadRequest& request) {
-  EnqueueUpload(turns.m_queues[version], request);
-  const auto oldest = turns.m_queues.begin();
-  if (turns.m_queues.size() > kMaxVersions && oldest->second.m_waiting.empty())
-    turns.m_queues.erase(oldest);
+void Ask(UploadSlots& slots, uint64_t version, const UploadRequest& request) {
+  EnqueueUpload(slots.m_queues[version], request);
+  const auto oldest = slots.m_queues.begin();
+  if (slots.m_queues.size() > kMaxVersions && oldest->second.m_waiting.empty())
+    slots.m_queues.erase(oldest);
 }
 
-std::optional<uint64_t> Next(UploadSlots& turns, TimePoint now) {
+std::optional<uint64_t> Next(UploadSlots& slots, TimePoint now) {
   const auto active = std::count_if(
-      turns.m_running.begin(), turns.m_running.end(),
+      slots.m_running.begin(), slots.m_running.end(),
       [now](const auto& each) { return now - each.second < kSlowUpload; });
   if (static_cast<size_t>(active) >= kMaxConcurrentUploads)
     return std::nullopt;
-  for (auto& [version, queue] : turns.m_queues) {
+  for (auto& [version, queue] : slots.m_queues) {
     if (const auto next = DequeueUpload(queue)) {
-      turns.m_running.emplace(next->m_id, now);
+      slots.m_running.emplace(next->m_id, now);
       return next->m_id;
     }
   }
   return std::nullopt;
 }
 
-void End(UploadSlots& turns, uint64_t id) {
-  turns.m_running.erase(id);
-  for (auto& [version, queue] : turns.m_queues)
+void End(UploadSlots& slots, uint64_t id) {
+  slots.m_running.erase(id);
+  for (auto& [version, queue] : slots.m_queues)
     RemoveUpload(queue, id);
 }
 
--- a/src/libverbenalead/decide/upload_slots.h
+++ b/src/libverbenalead/decide/upload_slots.h
@@ -36,16 +36,16 @@
 constexpr Duration kSlowUpload = 300ms;
 
 /// Queues the request of a host for a chunk of `version`.
-void Ask(UploadSlots& turns, uint64_t version, const UploadRequest& request);
+void Ask(UploadSlots& slots, uint64_t version, const UploadRequest& request);
 
 /// Starts the next upload and returns its id; nullopt if none may start. Older
 /// versions go first: a newer version is less urgent, since its chunks are
 /// fetched while hosts wait for their turn to load it.
-std::optional<uint64_t> Next(UploadSlots& turns, TimePoint now);
+std::optional<uint64_t> Next(UploadSlots& slots, TimePoint now);
 
 /// Ends upload `id`: it completed, or its receiver disconnected. Also removes a
 /// request that still waits.
-void End(UploadSlots& turns, uint64_t id);
+void End(UploadSlots& slots, uint64_t id);
 
 }  // namespace verbenalead::decide
 
