--- a/src/libverbenalead/base/deflate_test.cc
+++ b/src/libverbenalead/base/deflate_test.cc
@@ -51,8 +51,8 @@
   // Guards against accepting a table that was truncated or corrupted in
   // transit: the receiver would treat a part of it as the complete table.
   void RejectsTruncatedOrCorruptStream() {
-    const std::string whole = Deflate(std::string(5000, 'a') + "b");
-    CPPUNIT_ASSERT(!TryInflate(whole.substr(0, whole.size() / 2)));
+    const std::string compressed = Deflate(std::string(5000, 'a') + "b");
+    CPPUNIT_ASSERT(!TryInflate(compressed.substr(0, compressed.size() / 2)));
     CPPUNIT_ASSERT(!TryInflate(""));
     const bool passed = rc::check(
         "any bytes", [](const std::string& bytes) { TryInflate(bytes); });
--- a/src/libverbenalead/base/log.cc
+++ b/src/libverbenalead/base/log.cc
@@ -27,9 +27,9 @@
     spdlog::memory_buf_t line;
     formatter_->format(message, line);
     if (m_dropped > 0) {
-      const std::string note =
+      const std::string notice =
           "event=log_lines_dropped count=" + std::to_string(m_dropped) + "\n";
-      if (Write(note.data(), note.size()))
+      if (Write(notice.data(), notice.size()))
         m_dropped = 0;
     }
     if (!Write(line.data(), line.size()))
--- a/src/libverbenalead/base/loop_lag.h
+++ b/src/libverbenalead/base/loop_lag.h
@@ -27,12 +27,12 @@
   return now - lag.m_worst_at < kLagRetention ? lag.m_worst : Duration();
 }
 
-/// Records that a timer fired `late` after it was due. Negative values count
-/// as 0.
-inline void RecordLag(LoopLag& lag, Duration late, TimePoint now) {
-  late = std::max(late, Duration());
-  if (late >= WorstLag(lag, now))
-    lag = {late, now};
+/// Records that a timer fired `lateness` after it was due. Negative values
+/// count as 0.
+inline void RecordLag(LoopLag& lag, Duration lateness, TimePoint now) {
+  lateness = std::max(lateness, Duration());
+  if (lateness >= WorstLag(lag, now))
+    lag = {lateness, now};
 }
 
 }  // namespace verbenalead
--- a/src/libverbenalead/daemon/config_capacity_bench.cc
+++ b/src/libverbenalead/daemon/config_capacity_bench.cc
@@ -129,13 +129,13 @@
   const model::Call call =
       model::CallBuilder().Id("r-1").Organisation("acme").Build();
   decide::Random random(kSeed);
-  const double place = Cost(2000, [&](int) {
+  const double placement = Cost(2000, [&](int) {
     decide::Place(state, call, {}, Duration::zero(), TimePoint(), random);
   });
   fmt::print(
       "bench=capacity role=entry what=placement targets={} state_bytes={} "
       "report_us={:.1f} report_bytes={} place_us={:.1f}\n",
-      targets, bytes, report, text.size(), place);
+      targets, bytes, report, text.size(), placement);
   fmt::print("bench=capacity role=target what=report report_us={:.1f}\n",
              write);
 }
--- a/src/libverbenalead/daemon/config_messages.cc
+++ b/src/libverbenalead/daemon/config_messages.cc
@@ -11,11 +11,11 @@
 
 namespace json = boost::json;
 
-std::string SerialiseConfigAfter(const ConfigStore& keeper, uint64_t revision) {
-  const auto changes = keeper.ChangesAfter(revision);
+std::string SerialiseConfigAfter(const ConfigStore& store, uint64_t revision) {
+  const auto changes = store.ChangesAfter(revision);
   if (!changes) {
     return json::serialize(
-        json::object{{"state", decide::ToJson(*keeper.current())}});
+        json::object{{"state", decide::ToJson(*store.current())}});
   }
   json::array list;
   for (const model::Change& change : *changes)
@@ -23,12 +23,12 @@
   return json::serialize(json::object{{"changes", std::move(list)}});
 }
 
-Result<void> TakeConfig(ConfigStore& keeper, std::string_view text) {
+Result<void> TakeConfig(ConfigStore& store, std::string_view text) {
   BOOST_LEAF_AUTO(object, model::ParseObject(text, "configuration"));
   if (object.contains("state")) {
     BOOST_LEAF_AUTO(state_text, model::TextField(object, "state"));
     BOOST_LEAF_AUTO(state, decide::ParseConfigState(state_text));
-    keeper.ApplyState(std::move(state));
+    store.ApplyState(std::move(state));
     return {};
   }
   const json::value* list = object.if_contains("changes");
@@ -41,18 +41,18 @@
     BOOST_LEAF_AUTO(change, model::ParseChange(std::string(item.get_string())));
     changes.push_back(std::move(change));
   }
-  keeper.ApplyChanges(changes);
+  store.ApplyChanges(changes);
   return {};
 }
 
-Awaitable<AsyncResult<bool>> FetchConfig(ConfigStore& keeper,
+Awaitable<AsyncResult<bool>> FetchConfig(ConfigStore& store,
                                          wire::Client& peers,
                                          Endpoint endpoint,
                                          Duration hold,
                                          Duration timeout) {
   wire::Request request;
   request.m_path =
-      "/v1/config?after=" + std::to_string(keeper.current()->m_revision) +
+      "/v1/config?after=" + std::to_string(store.current()->m_revision) +
       "&hold_ms=" + std::to_string(ToMilliseconds(hold));
   if (hold == Duration::zero())
     request.m_path += "&fresh=1";
@@ -65,13 +65,13 @@
                       ToString(endpoint), response->m_body};
   }
   auto applied =
-      CatchFailure([&] { return TakeConfig(keeper, response->m_body); });
+      CatchFailure([&] { return TakeConfig(store, response->m_body); });
   if (!applied)
     co_return applied.error();
   co_return !wire::Get(response->m_headers, peer::kFromTable).empty();
 }
 
-Awaitable<AsyncResult<bool>> PushConfig(const ConfigStore& keeper,
+Awaitable<AsyncResult<bool>> PushConfig(const ConfigStore& store,
                                         wire::Client& peers,
                                         Endpoint endpoint,
                                         uint64_t revision,
@@ -79,23 +79,23 @@
   // The first message contains only the last change. A process that lacks
   // earlier ones answers with its revision, and the second message contains all
   // changes after that.
-  uint64_t held = revision - 1;
+  uint64_t peer_revision = revision - 1;
   for (int attempt = 0; attempt < 2; ++attempt) {
     wire::Request request;
     request.m_method = "POST";
     request.m_path = "/v1/config";
-    request.m_body = SerialiseConfigAfter(keeper, held);
+    request.m_body = SerialiseConfigAfter(store, peer_revision);
     auto response =
         co_await wire::Fetch(peers, endpoint, std::move(request), deadline);
     if (!response)
       co_return response.error();
-    held = std::strtoull(response->m_body.c_str(), nullptr, 10);
-    if (response->m_status == 200 && held >= revision)
+    peer_revision = std::strtoull(response->m_body.c_str(), nullptr, 10);
+    if (response->m_status == 200 && peer_revision >= revision)
       co_return true;
   }
   co_return Failure{FailureCode::kRefused, "push configuration",
                     ToString(endpoint),
-                    "stands at revision " + std::to_string(held)};
+                    "stands at revision " + std::to_string(peer_revision)};
 }
 
 }  // namespace verbenalead::daemon
--- a/src/libverbenalead/daemon/config_messages.h
+++ b/src/libverbenalead/daemon/config_messages.h
@@ -12,28 +12,28 @@
 namespace verbenalead::daemon {
 
 /// Returns, as JSON, the changes that a process with `revision` in force lacks,
-/// or the whole state if `keeper` no longer has all of these changes in memory.
-std::string SerialiseConfigAfter(const ConfigStore& keeper, uint64_t revision);
+/// or the whole state if `store` no longer has all of these changes in memory.
+std::string SerialiseConfigAfter(const ConfigStore& store, uint64_t revision);
 
 /// Parses a message that SerialiseConfigAfter() wrote and applies it to
-/// `keeper`.
-Result<void> TakeConfig(ConfigStore& keeper, std::string_view json);
+/// `store`.
+Result<void> TakeConfig(ConfigStore& store, std::string_view json);
 
-/// Fetches the changes that `keeper` lacks from the process at `endpoint` and
+/// Fetches the changes that `store` lacks from the process at `endpoint` and
 /// applies them. While there are none, that process may delay its answer by up
 /// to `hold` (long polling). Fails with kRefused if that process has not yet
 /// fetched the newest configuration itself, or has lost contact with the table
 /// and its peers. Returns whether the answer is known to match a recent read of
 /// the table; with a `hold` of zero the process reads the table to ensure that.
-Awaitable<AsyncResult<bool>> FetchConfig(ConfigStore& keeper,
+Awaitable<AsyncResult<bool>> FetchConfig(ConfigStore& store,
                                          wire::Client& peers,
                                          Endpoint endpoint,
                                          Duration hold,
                                          Duration timeout);
 
-/// Sends the configuration of `keeper` to the process at `endpoint`. Succeeds
+/// Sends the configuration of `store` to the process at `endpoint`. Succeeds
 /// when that process has confirmed that it holds `revision`.
-Awaitable<AsyncResult<bool>> PushConfig(const ConfigStore& keeper,
+Awaitable<AsyncResult<bool>> PushConfig(const ConfigStore& store,
                                         wire::Client& peers,
                                         Endpoint endpoint,
                                         uint64_t revision,
--- a/src/libverbenalead/daemon/config_store_test.cc
+++ b/src/libverbenalead/daemon/config_store_test.cc
@@ -58,21 +58,21 @@
   }
 
   Awaitable<CallOutcome> Wait() {
-    auto turn = std::make_shared<Turn>(m_context);
-    m_turns.push_back(turn);
-    while (!turn->m_call_outcome) {
+    auto pending_call = std::make_shared<Turn>(m_context);
+    m_turns.push_back(pending_call);
+    while (!pending_call->m_call_outcome) {
       boost::system::error_code ignored;
-      co_await turn->m_event.async_wait(
+      co_await pending_call->m_event.async_wait(
           asio::redirect_error(asio::use_awaitable, ignored));
     }
-    co_return *turn->m_call_outcome;
+    co_return *pending_call->m_call_outcome;
   }
 
   void Resume(size_t index, CallOutcome outcome) {
-    auto turn = m_turns[index];
+    auto pending_call = m_turns[index];
     m_turns.erase(m_turns.begin() + static_cast<ptrdiff_t>(index));
-    turn->m_call_outcome = outcome;
-    turn->m_event.cancel();
+    pending_call->m_call_outcome = outcome;
+    pending_call->m_event.cancel();
     Poll();
   }
 
--- a/src/libverbenalead/daemon/crash_record_exchange.cc
+++ b/src/libverbenalead/daemon/crash_record_exchange.cc
@@ -101,10 +101,10 @@
 
 }  // namespace
 
-std::string ToJson(const std::vector<decide::CrashRecord>& notes,
+std::string ToJson(const std::vector<decide::CrashRecord>& records,
                    TimePoint now) {
   json::array list;
-  for (const decide::CrashRecord& record : notes) {
+  for (const decide::CrashRecord& record : records) {
     list.push_back(json::object{{"key", record.m_key},
                                 {"target", record.m_target},
                                 {"age_ms", ToMilliseconds(now - record.m_at)}});
--- a/src/libverbenalead/daemon/crash_record_exchange.h
+++ b/src/libverbenalead/daemon/crash_record_exchange.h
@@ -13,7 +13,7 @@
 
 /// Returns the JSON form of crash records. Times are sent as ages, since the
 /// clocks of hosts differ.
-std::string ToJson(const std::vector<decide::CrashRecord>& notes,
+std::string ToJson(const std::vector<decide::CrashRecord>& records,
                    TimePoint now);
 Result<std::vector<decide::CrashRecord>> ParseCrashRecords(
     std::string_view json,
--- a/src/libverbenalead/daemon/load_permit_table.cc
+++ b/src/libverbenalead/daemon/load_permit_table.cc
@@ -21,11 +21,11 @@
 }
 
 Awaitable<decide::WriteResult> LoadPermitTable::Write(
-    decide::LoadPermits board) {
+    decide::LoadPermits permits) {
   using Condition = backends::TableWrite::Condition;
-  const uint64_t previous = board.m_revision - 1;
+  const uint64_t previous = permits.m_revision - 1;
   backends::TableWrite write;
-  write.m_item = {kPartition, m_pool, board.m_revision, ToJson(board)};
+  write.m_item = {kPartition, m_pool, permits.m_revision, ToJson(permits)};
   write.m_condition = previous ? Condition::kRevisionIs : Condition::kAbsent;
   write.m_expected_revision = previous;
   std::vector<backends::TableWrite> writes;
--- a/src/libverbenalead/daemon/load_permit_table.h
+++ b/src/libverbenalead/daemon/load_permit_table.h
@@ -18,9 +18,9 @@
 
   /// Returns no permits and revision 0 if the item does not exist yet.
   Awaitable<AsyncResult<decide::LoadPermits>> Read();
-  /// Writes `board` if the revision of the stored item is one below the
-  /// revision of `board` (compare-and-swap).
-  Awaitable<decide::WriteResult> Write(decide::LoadPermits board);
+  /// Writes `permits` if the revision of the stored item is one below the
+  /// revision of `permits` (compare-and-swap).
+  Awaitable<decide::WriteResult> Write(decide::LoadPermits permits);
 
  private:
   const std::string m_pool;
--- a/src/libverbenalead/daemon/locked_quarantine.h
+++ b/src/libverbenalead/daemon/locked_quarantine.h
@@ -18,8 +18,8 @@
   /// Sets the function that is called, from any thread, after each crash that
   /// has to be reported to the other entries. Must be set before the first
   /// crash.
-  void SetOnNewRecords(std::function<void()> on_new_notes) {
-    m_on_new_records = std::move(on_new_notes);
+  void SetOnNewRecords(std::function<void()> on_new_records) {
+    m_on_new_records = std::move(on_new_records);
   }
 
   void RecordCrash(uint64_t key, const std::string& target) {
@@ -42,9 +42,9 @@
     std::lock_guard lock(m_mutex);
     return decide::News(m_state);
   }
-  void Merge(const std::vector<decide::CrashRecord>& notes) {
+  void Merge(const std::vector<decide::CrashRecord>& records) {
     std::lock_guard lock(m_mutex);
-    decide::Merge(m_state, notes, Now());
+    decide::Merge(m_state, records, Now());
   }
 
  private:
--- a/src/libverbenalead/daemon/request_runner.cc
+++ b/src/libverbenalead/daemon/request_runner.cc
@@ -134,21 +134,21 @@
   }
   PoolRouter& router = m_routers.Get(call.pool());
   const decide::AdmissionAction admitted = co_await router.Admit(call);
-  CallResult verdict;
+  CallResult result;
   if (admitted.m_kind == decide::AdmissionAction::Kind::kRefuse) {
-    verdict.m_reason = admitted.m_reason;
-    verdict.m_retry_after = admitted.m_retry_after;
+    result.m_reason = admitted.m_reason;
+    result.m_retry_after = admitted.m_retry_after;
   } else {
     const TimePoint started = Now();
-    verdict = co_await Attempt(call, std::move(request), writer);
+    result = co_await Attempt(call, std::move(request), writer);
     std::optional<Duration> elapsed;
-    if (verdict.m_outcome == Outcome::kCompleted)
+    if (result.m_outcome == Outcome::kCompleted)
       elapsed = Now() - started;
     router.Finish(call, elapsed);
   }
   if (claim)
-    co_await SettleClaim(call, *claim, verdict);
-  co_await Tell(std::move(call), std::move(verdict), writer);
+    co_await SettleClaim(call, *claim, result);
+  co_await Tell(std::move(call), std::move(result), writer);
 }
 
 Awaitable<void> RequestRunner::RefuseQuarantined(model::Call call,
@@ -200,24 +200,24 @@
     wire::ResponseWriter& writer) {
   PoolRouter& router = m_routers.Get(call.pool());
   const TimePoint started = Now();
-  CallResult verdict;
-  verdict.m_reason = "no_usable_target";
+  CallResult result;
+  result.m_reason = "no_usable_target";
   Duration pause = decide::kFullTargetPause;
   int refused_rounds = 0;
   while (true) {
     const RoundResult end =
-        co_await RunRound(call, request, started, verdict, writer);
+        co_await RunRound(call, request, started, result, writer);
     if (end == RoundResult::kDone)
-      co_return verdict;
+      co_return result;
     if (end == RoundResult::kRefusedByTargets)
       ++refused_rounds;
     const bool capacity_expected = router.RecordTargetsFull();
     if (!capacity_expected || refused_rounds >= kMaxRoundsTurnedAway ||
         Now() + pause >= call.deadline()) {
-      verdict.m_outcome =
-          decide::OutcomeToReport(Outcome::kRefused, verdict.m_in_doubt);
-      verdict.m_retry_after = kRetryAfterNoTarget;
-      co_return verdict;
+      result.m_outcome =
+          decide::OutcomeToReport(Outcome::kRefused, result.m_in_doubt);
+      result.m_retry_after = kRetryAfterNoTarget;
+      co_return result;
     }
     co_await Sleep(pause);
     pause = std::min<Duration>(pause * 2, kMaxFullPause);
@@ -228,7 +228,7 @@
     const model::Call& call,
     const wire::Request& request,
     TimePoint started,
-    CallResult& verdict,
+    CallResult& result,
     wire::ResponseWriter& writer) {
   PoolRouter& router = m_routers.Get(call.pool());
   std::set<std::string> tried;
@@ -239,29 +239,29 @@
       co_return end_without_target;
     tried.insert(placement->m_target);
     decide::FinishedAttempt ended = co_await RunOneAttempt(
-        call, std::move(*placement), request, verdict, writer);
+        call, std::move(*placement), request, result, writer);
     ended.m_number = static_cast<uint32_t>(tried.size());
     const decide::RetryDecision decision = router.DecideRetry(call, ended);
-    verdict.m_outcome =
-        decide::OutcomeToReport(decision.m_outcome, verdict.m_in_doubt);
-    verdict.m_in_doubt |= ended.m_end == decide::AttemptEnd::kInDoubt;
+    result.m_outcome =
+        decide::OutcomeToReport(decision.m_outcome, result.m_in_doubt);
+    result.m_in_doubt |= ended.m_end == decide::AttemptEnd::kInDoubt;
     m_journal.Record(call.id(),
                      LogLine("attempt_ended")
-                         .With("attempt", uint64_t{verdict.m_attempts})
-                         .With("target", verdict.m_target)
-                         .With("version", verdict.m_last.m_version)
+                         .With("attempt", uint64_t{result.m_attempts})
+                         .With("target", result.m_target)
+                         .With("version", result.m_last.m_version)
                          .With("result", ToString(decision.m_outcome))
                          .With("retry", decision.m_retry)
                          .With("over_budget", decision.m_over_budget)
-                         .With("reason", verdict.m_reason));
-    if (ended.m_refused_without_run && !IsForCapacity(verdict.m_reason))
+                         .With("reason", result.m_reason));
+    if (ended.m_refused_without_run && !IsForCapacity(result.m_reason))
       end_without_target = RoundResult::kRefusedByTargets;
     if (decision.m_retry && !m_quarantine.IsQuarantined(call.fingerprint()))
       continue;
     if (ended.m_refused_without_run)
       co_return end_without_target;
-    if (verdict.m_outcome == Outcome::kRefused)
-      verdict.m_retry_after = kRetryAfterNoTarget;
+    if (result.m_outcome == Outcome::kRefused)
+      result.m_retry_after = kRetryAfterNoTarget;
     co_return RoundResult::kDone;
   }
 }
@@ -270,13 +270,13 @@
     const model::Call& call,
     decide::Placement placement,
     const wire::Request& request,
-    CallResult& verdict,
+    CallResult& result,
     wire::ResponseWriter& writer) {
-  ++verdict.m_attempts;
-  verdict.m_target = placement.m_target;
+  ++result.m_attempts;
+  result.m_target = placement.m_target;
   LogLine line("place");
   line.With("call", call.instance())
-      .With("attempt", uint64_t{verdict.m_attempts})
+      .With("attempt", uint64_t{result.m_attempts})
       .With("target", placement.m_target)
       .With("version", placement.m_version)
       .With("incarnation", placement.m_incarnation)
@@ -285,10 +285,10 @@
     line.With("max_running", uint64_t{placement.m_max_running});
   m_journal.Record(call.id(), line);
   const TimePoint sent = Now();
-  verdict.m_last = co_await m_attempts.Run(call, placement, verdict.m_attempts,
-                                           request, writer);
-  const AttemptReport& last = verdict.m_last;
-  verdict.m_reason = last.m_reason;
+  result.m_last = co_await m_attempts.Run(call, placement, result.m_attempts,
+                                          request, writer);
+  const AttemptReport& last = result.m_last;
+  result.m_reason = last.m_reason;
   m_routers.Get(call.pool())
       .AttemptEnded(placement.m_target, call, SignOf(last), Now() - sent,
                     last.m_running);
@@ -308,21 +308,21 @@
 
 Awaitable<void> RequestRunner::SettleClaim(model::Call call,
                                            uint64_t writer,
-                                           CallResult verdict) {
+                                           CallResult result) {
   bool settled = false;
-  if (verdict.m_outcome == Outcome::kRefused) {
+  if (result.m_outcome == Outcome::kRefused) {
     settled = co_await m_claims.Release(call, writer);
   } else {
     RecordedAnswer answer;
-    answer.m_outcome = verdict.m_outcome;
+    answer.m_outcome = result.m_outcome;
     answer.m_request = call.id();
-    answer.m_target = verdict.m_target;
-    answer.m_version = verdict.m_last.m_version;
-    answer.m_reason = verdict.m_reason;
-    const wire::Response& last = verdict.m_last.m_answer;
+    answer.m_target = result.m_target;
+    answer.m_version = result.m_last.m_version;
+    answer.m_reason = result.m_reason;
+    const wire::Response& last = result.m_last.m_answer;
     answer.m_status = last.m_status;
     answer.m_content_type = wire::Get(last.m_headers, "content-type");
-    answer.m_whole = !verdict.m_last.m_answer_started &&
+    answer.m_whole = !result.m_last.m_answer_started &&
                      last.m_body.size() <= kMaxRecordedBody &&
                      IsJsonText(last.m_body);
     if (answer.m_whole)
@@ -337,38 +337,37 @@
 }
 
 Awaitable<void> RequestRunner::Tell(model::Call call,
-                                    CallResult verdict,
+                                    CallResult result,
                                     wire::ResponseWriter& writer) {
-  m_journal.Record(call.id(),
-                   LogLine("outcome")
-                       .With("outcome", ToString(verdict.m_outcome))
-                       .With("target", verdict.m_target)
-                       .With("version", verdict.m_last.m_version)
-                       .With("attempts", uint64_t{verdict.m_attempts})
-                       .With("reason", verdict.m_reason)
-                       .With("call", call.instance()));
-  const AttemptReport& last = verdict.m_last;
+  m_journal.Record(call.id(), LogLine("outcome")
+                                  .With("outcome", ToString(result.m_outcome))
+                                  .With("target", result.m_target)
+                                  .With("version", result.m_last.m_version)
+                                  .With("attempts", uint64_t{result.m_attempts})
+                                  .With("reason", result.m_reason)
+                                  .With("call", call.instance()));
+  const AttemptReport& last = result.m_last;
   if (last.m_answer_started) {
     // The terminator of the chunked encoding is not sent for a stream that was
     // cut short, so that the caller can't take the stream for complete.
-    if (verdict.m_outcome == Outcome::kCompleted) {
+    if (result.m_outcome == Outcome::kCompleted) {
       wire::Headers trailers;
-      trailers[peer::kOutcome] = ToString(verdict.m_outcome);
+      trailers[peer::kOutcome] = ToString(result.m_outcome);
       co_await writer.Finish(std::move(trailers));
     }
     co_return;
   }
-  if (verdict.m_outcome == Outcome::kCompleted) {
+  if (result.m_outcome == Outcome::kCompleted) {
     wire::Response answer = last.m_answer;
-    answer.m_headers[peer::kOutcome] = ToString(verdict.m_outcome);
+    answer.m_headers[peer::kOutcome] = ToString(result.m_outcome);
     co_await writer.Send(std::move(answer));
     co_return;
   }
-  front::Problem problem = MakeProblem(call, verdict.m_outcome,
-                                       verdict.m_reason, verdict.m_retry_after);
-  problem.m_target = verdict.m_target;
+  front::Problem problem = MakeProblem(call, result.m_outcome, result.m_reason,
+                                       result.m_retry_after);
+  problem.m_target = result.m_target;
   problem.m_version = last.m_version;
-  problem.m_attempts = verdict.m_attempts;
+  problem.m_attempts = result.m_attempts;
   co_await writer.Send(front::ToResponse(problem));
 }
 
--- a/src/libverbenalead/daemon/request_runner.h
+++ b/src/libverbenalead/daemon/request_runner.h
@@ -77,19 +77,19 @@
   Awaitable<RoundResult> RunRound(const model::Call& call,
                                   const wire::Request& request,
                                   TimePoint started,
-                                  CallResult& verdict,
+                                  CallResult& result,
                                   wire::ResponseWriter& writer);
   Awaitable<decide::FinishedAttempt> RunOneAttempt(
       const model::Call& call,
       decide::Placement placement,
       const wire::Request& request,
-      CallResult& verdict,
+      CallResult& result,
       wire::ResponseWriter& writer);
   Awaitable<void> SettleClaim(model::Call call,
                               uint64_t writer,
-                              CallResult verdict);
+                              CallResult result);
   Awaitable<void> Tell(model::Call call,
-                       CallResult verdict,
+                       CallResult result,
                        wire::ResponseWriter& writer);
 
   PoolRouters& m_routers;
--- a/src/libverbenalead/daemon/target_peer_api.cc
+++ b/src/libverbenalead/daemon/target_peer_api.cc
@@ -41,7 +41,7 @@
 
 Awaitable<wire::Response> ServeChunk(Context context, wire::Request request) {
   const std::string path = wire::PathOf(request);
-  const Digest whole = DigestAfter(path, kChunk);
+  const Digest weights_digest = DigestAfter(path, kChunk);
   const size_t slash = path.rfind('/');
   decide::UploadRequest upload;
   upload.m_chunk = static_cast<uint32_t>(
@@ -51,10 +51,10 @@
   upload.m_far =
       wire::Get(request.m_headers, kRegionHeader) != context->m_region;
   const WeightsStore::Chunk chunk =
-      context->m_store->Get(whole, upload.m_chunk);
+      context->m_store->Get(weights_digest, upload.m_chunk);
   if (!chunk)
     co_return wire::Response{404, {}, "not here"};
-  co_await context->m_uploads->Take(whole, upload, chunk->size());
+  co_await context->m_uploads->Take(weights_digest, upload, chunk->size());
   co_return wire::Response{200, {}, *chunk};
 }
 
@@ -64,29 +64,31 @@
 Awaitable<void> ServeFollow(Context context,
                             std::string path,
                             wire::ResponseWriter& writer) {
-  const Digest whole = DigestAfter(path, kHave);
+  const Digest weights_digest = DigestAfter(path, kHave);
   bool alive = co_await writer.Start({200, {}});
-  auto manifest = context->m_store->GetManifest(whole);
+  auto manifest = context->m_store->GetManifest(weights_digest);
   const TimePoint wait_end = Now() + kManifestWaitLimit;
   while (alive && !manifest && Now() < wait_end) {
     co_await Sleep(kUpdateSendInterval);
     alive = !writer.gone();
-    manifest = context->m_store->GetManifest(whole);
+    manifest = context->m_store->GetManifest(weights_digest);
   }
   if (!alive || !manifest)
     co_return;
   // The count is read before the bits: a chunk that arrives between the two
   // reads is then sent twice. In the other order it would not be sent at all.
-  size_t sent_count = context->m_store->Arrivals(whole, 0).size();
-  alive = co_await writer.Write(context->m_store->HeldChunkBits(whole));
+  size_t sent_count = context->m_store->Arrivals(weights_digest, 0).size();
+  alive =
+      co_await writer.Write(context->m_store->HeldChunkBits(weights_digest));
   while (alive && sent_count < manifest->chunk_count()) {
     co_await Sleep(kUpdateSendInterval);
     std::string update;
-    for (uint32_t chunk : context->m_store->Arrivals(whole, sent_count)) {
+    for (uint32_t chunk :
+         context->m_store->Arrivals(weights_digest, sent_count)) {
       AppendNumber(update, chunk);
       ++sent_count;
     }
-    if (update.empty() && !context->m_store->GetManifest(whole))
+    if (update.empty() && !context->m_store->GetManifest(weights_digest))
       co_return;
     alive = update.empty() ? !writer.gone() : alive;
     if (!update.empty())
@@ -200,15 +202,16 @@
     co_await writer.Send({404, {}, "unknown path"});
     co_return;
   }
-  const Digest whole = DigestAfter(path, kWeights);
-  const auto manifest = store.GetManifest(whole);
-  if (!manifest || store.HeldChunkCount(whole) != manifest->chunk_count()) {
+  const Digest weights_digest = DigestAfter(path, kWeights);
+  const auto manifest = store.GetManifest(weights_digest);
+  if (!manifest ||
+      store.HeldChunkCount(weights_digest) != manifest->chunk_count()) {
     co_await writer.Send({404, {}, "not whole here"});
     co_return;
   }
   bool alive = co_await writer.Start({200, {}});
   for (uint32_t i = 0; alive && i < manifest->chunk_count(); ++i) {
-    const WeightsStore::Chunk chunk = store.Get(whole, i);
+    const WeightsStore::Chunk chunk = store.Get(weights_digest, i);
     if (!chunk)
       co_return;
     alive = co_await writer.Write(*chunk);
--- a/src/libverbenalead/daemon/version_controller.cc
+++ b/src/libverbenalead/daemon/version_controller.cc
@@ -206,9 +206,10 @@
   });
 }
 
-Awaitable<void> VersionController::WritePermits(decide::LoadPermits board) {
+Awaitable<void> VersionController::WritePermits(decide::LoadPermits permits) {
   const TimePoint sent = Now();
-  const decide::WriteResult result = co_await m_permits.Write(std::move(board));
+  const decide::WriteResult result =
+      co_await m_permits.Write(std::move(permits));
   With([&](decide::RolloutState& state, decide::GateState& gate) {
     decide::PermitsWritten(state, gate, result, sent, Now());
   });
@@ -255,13 +256,13 @@
   });
 }
 
-Awaitable<void> VersionController::QueryEngine(uint64_t doubt) {
+Awaitable<void> VersionController::QueryEngine(uint64_t epoch) {
   auto status = co_await m_engine.Status(Now() + kStatusTimeout);
   const decide::RolloutPlan& plan = Plan();
   const Digest previous =
       With([&](decide::RolloutState& state, decide::GateState& gate) {
         const bool was_open = gate.m_open;
-        decide::EngineStatusReceived(state, gate, plan, DigestOf(status), doubt,
+        decide::EngineStatusReceived(state, gate, plan, DigestOf(status), epoch,
                                      Now());
         if (gate.m_open && !was_open) {
           LogLine("gate_opened")
--- a/src/libverbenalead/daemon/version_controller.h
+++ b/src/libverbenalead/daemon/version_controller.h
@@ -52,10 +52,10 @@
   Awaitable<void> Do(decide::RolloutAction action);
   Awaitable<void> Fetch(Digest digest);
   Awaitable<void> ReadPermits();
-  Awaitable<void> WritePermits(decide::LoadPermits board);
+  Awaitable<void> WritePermits(decide::LoadPermits permits);
   Awaitable<void> MintFencingToken();
   Awaitable<void> Order(Digest digest, uint64_t fence);
-  Awaitable<void> QueryEngine(uint64_t doubt);
+  Awaitable<void> QueryEngine(uint64_t epoch);
 
   /// The following run concurrently with the steps, which may take minutes
   /// each.
--- a/src/libverbenalead/daemon/weights_store.cc
+++ b/src/libverbenalead/daemon/weights_store.cc
@@ -30,13 +30,13 @@
   return {};
 }
 
-Result<void> WeightsStore::Put(const Digest& whole,
+Result<void> WeightsStore::Put(const Digest& weights_digest,
                                uint32_t index,
                                std::string bytes) {
   Digest declared;
   {
     std::lock_guard lock(m_mutex);
-    auto found = m_versions.find(whole);
+    auto found = m_versions.find(weights_digest);
     if (found == m_versions.end() ||
         index >= found->second.m_manifest.chunk_count())
       return Fail(FailureCode::kNotFound, "keep chunk", "no such version");
@@ -47,7 +47,7 @@
     return Fail(FailureCode::kCorrupt, "verify chunk", "wrong digest");
   auto chunk = std::make_shared<const std::string>(std::move(bytes));
   std::lock_guard lock(m_mutex);
-  auto found = m_versions.find(whole);
+  auto found = m_versions.find(weights_digest);
   if (found == m_versions.end())
     return Fail(FailureCode::kNotFound, "keep chunk", "version dropped");
   Version& version = found->second;
@@ -59,34 +59,35 @@
   return {};
 }
 
-WeightsStore::Chunk WeightsStore::Get(const Digest& whole,
+WeightsStore::Chunk WeightsStore::Get(const Digest& weights_digest,
                                       uint32_t index) const {
   std::lock_guard lock(m_mutex);
-  auto found = m_versions.find(whole);
+  auto found = m_versions.find(weights_digest);
   if (found == m_versions.end() || index >= found->second.m_chunks.size())
     return nullptr;
   return found->second.m_chunks[index];
 }
 
 std::optional<model::Manifest> WeightsStore::GetManifest(
-    const Digest& whole) const {
+    const Digest& weights_digest) const {
   std::lock_guard lock(m_mutex);
-  auto found = m_versions.find(whole);
+  auto found = m_versions.find(weights_digest);
   if (found == m_versions.end())
     return std::nullopt;
   return found->second.m_manifest;
 }
 
-std::string WeightsStore::ManifestText(const Digest& whole) const {
+std::string WeightsStore::ManifestText(const Digest& weights_digest) const {
   std::lock_guard lock(m_mutex);
-  auto found = m_versions.find(whole);
+  auto found = m_versions.find(weights_digest);
   return found == m_versions.end() ? std::string() : found->second.m_text;
 }
 
-std::vector<bool> WeightsStore::HeldChunkFlags(const Digest& whole) const {
+std::vector<bool> WeightsStore::HeldChunkFlags(
+    const Digest& weights_digest) const {
   std::lock_guard lock(m_mutex);
   std::vector<bool> have;
-  auto found = m_versions.find(whole);
+  auto found = m_versions.find(weights_digest);
   if (found == m_versions.end())
     return have;
   for (const Chunk& chunk : found->second.m_chunks)
@@ -94,8 +95,8 @@
   return have;
 }
 
-std::string WeightsStore::HeldChunkBits(const Digest& whole) const {
-  const std::vector<bool> have = HeldChunkFlags(whole);
+std::string WeightsStore::HeldChunkBits(const Digest& weights_digest) const {
+  const std::vector<bool> have = HeldChunkFlags(weights_digest);
   std::string bits((have.size() + 7) / 8, '\0');
   for (size_t i = 0; i < have.size(); ++i) {
     if (have[i])
@@ -104,25 +105,25 @@
   return bits;
 }
 
-std::vector<uint32_t> WeightsStore::Arrivals(const Digest& whole,
+std::vector<uint32_t> WeightsStore::Arrivals(const Digest& weights_digest,
                                              size_t first) const {
   std::lock_guard lock(m_mutex);
-  auto found = m_versions.find(whole);
+  auto found = m_versions.find(weights_digest);
   if (found == m_versions.end() || first >= found->second.m_arrivals.size())
     return {};
   const std::vector<uint32_t>& all = found->second.m_arrivals;
   return {all.begin() + static_cast<std::ptrdiff_t>(first), all.end()};
 }
 
-uint32_t WeightsStore::HeldChunkCount(const Digest& whole) const {
+uint32_t WeightsStore::HeldChunkCount(const Digest& weights_digest) const {
   std::lock_guard lock(m_mutex);
-  auto found = m_versions.find(whole);
+  auto found = m_versions.find(weights_digest);
   return found == m_versions.end() ? 0 : found->second.m_held;
 }
 
-void WeightsStore::Drop(const Digest& whole) {
+void WeightsStore::Drop(const Digest& weights_digest) {
   std::lock_guard lock(m_mutex);
-  auto found = m_versions.find(whole);
+  auto found = m_versions.find(weights_digest);
   if (found == m_versions.end())
     return;
   m_reserved -= found->second.m_manifest.size();
--- a/src/libverbenalead/daemon/weights_store.h
+++ b/src/libverbenalead/daemon/weights_store.h
@@ -29,22 +29,26 @@
   Result<void> Begin(const model::Manifest& manifest, std::string text);
   /// Stores a chunk. Fails with kCorrupt, and stores nothing, if the chunk's
   /// digest isn't the one in the manifest.
-  Result<void> Put(const Digest& whole, uint32_t index, std::string bytes);
+  Result<void> Put(const Digest& weights_digest,
+                   uint32_t index,
+                   std::string bytes);
 
   /// Returns null if the store doesn't hold the chunk.
-  Chunk Get(const Digest& whole, uint32_t index) const;
-  std::optional<model::Manifest> GetManifest(const Digest& whole) const;
+  Chunk Get(const Digest& weights_digest, uint32_t index) const;
+  std::optional<model::Manifest> GetManifest(
+      const Digest& weights_digest) const;
   /// Returns "" if the store doesn't hold the version.
-  std::string ManifestText(const Digest& whole) const;
+  std::string ManifestText(const Digest& weights_digest) const;
   /// Returns a bit set of the held chunks; chunk i is bit i % 8 of byte i / 8.
   /// Empty if the store doesn't hold the version.
-  std::string HeldChunkBits(const Digest& whole) const;
+  std::string HeldChunkBits(const Digest& weights_digest) const;
   /// Returns the held chunks in their order of arrival, without the first
   /// `first` ones. Empty if the store doesn't hold the version.
-  std::vector<uint32_t> Arrivals(const Digest& whole, size_t first) const;
-  std::vector<bool> HeldChunkFlags(const Digest& whole) const;
-  uint32_t HeldChunkCount(const Digest& whole) const;
-  void Drop(const Digest& whole);
+  std::vector<uint32_t> Arrivals(const Digest& weights_digest,
+                                 size_t first) const;
+  std::vector<bool> HeldChunkFlags(const Digest& weights_digest) const;
+  uint32_t HeldChunkCount(const Digest& weights_digest) const;
+  void Drop(const Digest& weights_digest);
   std::vector<Digest> Versions() const;
 
  private:
--- a/src/libverbenalead/daemon/weights_store_test.cc
+++ b/src/libverbenalead/daemon/weights_store_test.cc
@@ -39,22 +39,24 @@
 
   void KeepsOnlyVerifiedChunks() {
     WeightsStore store(kBytes.size());
-    const Digest whole = Sha256(kBytes);
+    const Digest weights_digest = Sha256(kBytes);
     CPPUNIT_ASSERT(
         CatchFailure([&] { return store.Begin(MakeManifest(), "{}"); }));
     const auto wrong =
-        CatchFailure([&] { return store.Put(whole, 0, "012X"); });
+        CatchFailure([&] { return store.Put(weights_digest, 0, "012X"); });
     CPPUNIT_ASSERT(!wrong && wrong.error().m_code == FailureCode::kCorrupt);
-    CPPUNIT_ASSERT(store.Get(whole, 0) == nullptr);
+    CPPUNIT_ASSERT(store.Get(weights_digest, 0) == nullptr);
     for (uint32_t chunk : {2, 0, 0}) {
       CPPUNIT_ASSERT(CatchFailure([&] {
-        return store.Put(whole, chunk,
+        return store.Put(weights_digest, chunk,
                          kBytes.substr(chunk * kChunkSize, kChunkSize));
       }));
     }
-    CPPUNIT_ASSERT(store.Arrivals(whole, 0) == std::vector<uint32_t>({2, 0}));
-    CPPUNIT_ASSERT(store.Arrivals(whole, 1) == std::vector<uint32_t>({0}));
-    CPPUNIT_ASSERT(store.Arrivals(whole, 2).empty());
+    CPPUNIT_ASSERT(store.Arrivals(weights_digest, 0) ==
+                   std::vector<uint32_t>({2, 0}));
+    CPPUNIT_ASSERT(store.Arrivals(weights_digest, 1) ==
+                   std::vector<uint32_t>({0}));
+    CPPUNIT_ASSERT(store.Arrivals(weights_digest, 2).empty());
   }
 
   // A stream of held chunks is parsed to the same result however it is split
--- a/src/libverbenalead/model/manifest.cc
+++ b/src/libverbenalead/model/manifest.cc
@@ -28,14 +28,14 @@
 Result<Manifest> ParseManifest(std::string_view text) {
   BOOST_LEAF_AUTO(object, ParseObject(text, "manifest"));
   BOOST_LEAF_AUTO(whole_text, TextField(object, "whole"));
-  BOOST_LEAF_AUTO(whole, ParseDigest(whole_text));
+  BOOST_LEAF_AUTO(weights_digest, ParseDigest(whole_text));
   BOOST_LEAF_AUTO(size, NumberField(object, "size"));
   BOOST_LEAF_AUTO(chunk_size, NumberField(object, "chunk_size"));
   const json::value* chunks = object.if_contains("chunks");
   if (chunks == nullptr || !chunks->is_array())
     return BadField("chunks", "a list of digests");
   ManifestBuilder builder;
-  builder.Whole(whole).Size(size).ChunkSize(chunk_size);
+  builder.Whole(weights_digest).Size(size).ChunkSize(chunk_size);
   for (const json::value& chunk : chunks->get_array()) {
     if (!chunk.is_string())
       return BadField("chunks", "a list of digests");
--- a/src/vlctl/local_commands.cc
+++ b/src/vlctl/local_commands.cc
@@ -15,18 +15,21 @@
 
 Result<model::Manifest> ReadManifest(std::ifstream& file, uint64_t chunk_size) {
   model::ManifestBuilder builder;
-  Sha256Hasher whole;
+  Sha256Hasher hasher;
   uint64_t size = 0;
   std::string chunk(chunk_size, '\0');
   while (file.read(chunk.data(), static_cast<std::streamsize>(chunk_size)) ||
          file.gcount() > 0) {
     const std::string_view bytes(chunk.data(),
                                  static_cast<size_t>(file.gcount()));
-    whole.Update(bytes);
+    hasher.Update(bytes);
     builder.Chunk(Sha256(bytes));
     size += bytes.size();
   }
-  return builder.Whole(whole.Finish()).Size(size).ChunkSize(chunk_size).Build();
+  return builder.Whole(hasher.Finish())
+      .Size(size)
+      .ChunkSize(chunk_size)
+      .Build();
 }
 
 }  // namespace
