--- a/src/libverbenalead/entry/call_attempt.cc
+++ b/src/libverbenalead/entry/call_attempt.cc
@@ -152,11 +152,11 @@
 
 TimePoint CallAttempt::WeightsDeadline(
     const decide::ReplicaState& replica) const {
-  const auto& watches = m_services.m_state.m_weights;
-  const auto watch = watches.find(m_record->m_plan.m_model);
-  if (m_record->m_plan.m_model.empty() || watch == watches.end())
+  const auto& declared_versions = m_services.m_state.m_weights;
+  const auto versions = declared_versions.find(m_record->m_plan.m_model);
+  if (m_record->m_plan.m_model.empty() || versions == declared_versions.end())
     return TimePoint::max();
-  return decide::ForbiddenFrom(watch->second, replica.m_weights);
+  return decide::ForbiddenFrom(versions->second, replica.m_weights);
 }
 
 void CallAttempt::Log(AttemptEnd end, const std::string& reason) const {
--- a/src/libverbenalead/entry/call_run.cc
+++ b/src/libverbenalead/entry/call_run.cc
@@ -247,8 +247,8 @@
     return;
   const std::weak_ptr<CallAttempt> first = m_attempt;
   const auto on_ready = [first] {
-    if (const auto silent = first.lock())
-      silent->Cancel();
+    if (const auto unresponsive = first.lock())
+      unresponsive->Cancel();
   };
   m_hedge = std::make_shared<Hedge>(m_executor, m_services, m_record, on_ready);
   m_hedge->Watch();
--- a/src/libverbenalead/entry/call_server.h
+++ b/src/libverbenalead/entry/call_server.h
@@ -16,8 +16,8 @@
 /// at once with the reason, and never reaches a replica.
 class CallServer {
  public:
-  CallServer(EntryState& state, SlotAllocator& places, wire::Client& http)
-      : m_state(state), m_places(places), m_http(http) {}
+  CallServer(EntryState& state, SlotAllocator& slots, wire::Client& http)
+      : m_state(state), m_places(slots), m_http(http) {}
 
   Awaitable<void> Serve(const wire::Request& request,
                         wire::ResponseWriter& caller);
--- a/src/libverbenalead/entry/entry_registration.cc
+++ b/src/libverbenalead/entry/entry_registration.cc
@@ -83,7 +83,7 @@
     LogLine("entries_not_read").With(parts.error()).Warn();
     co_return false;
   }
-  uint32_t far_entries = 0;
+  uint32_t remote_entries = 0;
   for (const std::string& part : *parts) {
     if (part == m_state.m_options.m_self.m_data_center)
       continue;
@@ -95,13 +95,13 @@
           .Warn();
       co_return false;
     }
-    far_entries += static_cast<uint32_t>(rows->m_rows.size());
+    remote_entries += static_cast<uint32_t>(rows->m_rows.size());
     TakeRows(*rows);
   }
   m_state.m_remote_entries =
-      std::max(m_state.m_remote_entries.value_or(0), far_entries);
+      std::max(m_state.m_remote_entries.value_or(0), remote_entries);
   LogLine("far_entries")
-      .With("entries", uint64_t{far_entries})
+      .With("entries", uint64_t{remote_entries})
       .With("data_centers", static_cast<uint64_t>(parts->size()))
       .Info();
   co_return true;
--- a/src/libverbenalead/entry/row_applier.cc
+++ b/src/libverbenalead/entry/row_applier.cc
@@ -53,17 +53,18 @@
   }
 }
 
-void RowApplier::ApplyOperatorRows(const platform::Rows& rows, bool whole) {
+void RowApplier::ApplyOperatorRows(const platform::Rows& rows,
+                                   bool is_snapshot) {
   const Duration answered_at = decide::AnsweredAt(
       m_state.m_store_clock, rows.m_asked_at, rows.m_store_time);
-  const bool first = whole && !m_operator_rows_read;
+  const bool first = is_snapshot && !m_operator_rows_read;
   const Duration written_at = decide::EarliestWriteTime(
       rows.m_asked_at, answered_at, m_state.m_lease.m_proved_at);
   const Duration age =
       first ? AssumedAge()
             : std::max<Duration>(Duration(), BootNow() - written_at);
   MergeOperatorRows(rows, [age](const platform::Row&) { return age; });
-  if (whole)
+  if (is_snapshot)
     m_operator_rows_read = true;
   m_state.m_operator_confirmed_at = rows.m_store_time;
   m_state.m_operator_answered_at = Now();
@@ -121,8 +122,8 @@
     return;
   }
   m_seen[row.m_key] = BootNow() - age;
-  decide::DeclaredVersions& watch = m_state.m_weights[declared->m_model];
-  if (declared->m_version <= decide::Newest(watch))
+  decide::DeclaredVersions& versions = m_state.m_weights[declared->m_model];
+  if (declared->m_version <= decide::Newest(versions))
     return;
   const Duration binding_in = BindingDelay() - age;
   LogLine("weights_declared")
@@ -131,7 +132,7 @@
       .With("age_ms", ToMilliseconds(age))
       .With("binding_in_ms", ToMilliseconds(binding_in))
       .Info();
-  decide::Declare(watch, declared->m_version, Now() + binding_in);
+  decide::Declare(versions, declared->m_version, Now() + binding_in);
 }
 
 void RowApplier::ApplyReplicaRow(const platform::Row& row) {
@@ -168,17 +169,17 @@
 }
 
 void RowApplier::ApplyReplicaRows(const platform::Rows& rows,
-                                  bool whole,
+                                  bool is_snapshot,
                                   TimePoint regained_at) {
-  if (whole) {
+  if (is_snapshot) {
     std::set<std::string> present;
     for (const platform::Row& row : rows.m_rows)
       present.insert(row.m_key);
-    const auto is_gone = [&](const auto& entry) {
+    const auto is_absent = [&](const auto& entry) {
       return !present.contains(entry.first);
     };
-    std::erase_if(m_replica_rows, is_gone);
-    std::erase_if(m_replicas, is_gone);
+    std::erase_if(m_replica_rows, is_absent);
+    std::erase_if(m_replicas, is_absent);
   }
   const size_t before = m_replicas.size();
   for (const platform::Row& row : rows.m_rows)
--- a/src/libverbenalead/entry/row_applier.h
+++ b/src/libverbenalead/entry/row_applier.h
@@ -19,8 +19,8 @@
   explicit RowApplier(EntryState& state) : m_state(state) {}
 
   /// Applies rows of the operator's table: the configuration and the declared
-  /// versions of weights. `whole`: the rows are all that the table holds.
-  void ApplyOperatorRows(const platform::Rows& rows, bool whole);
+  /// versions of weights. `is_snapshot`: the rows are all that the table holds.
+  void ApplyOperatorRows(const platform::Rows& rows, bool is_snapshot);
   /// Applies the operator's rows as fetched from an entry of the same data
   /// centre. Their proof renews the lease only once the offset of the store's
   /// clock is known, because a proof dated too late would extend the lease.
@@ -34,7 +34,7 @@
   /// Applies rows of the table of replicas. `regained_at`: when the store last
   /// answered again after a failure.
   void ApplyReplicaRows(const platform::Rows& rows,
-                        bool whole,
+                        bool is_snapshot,
                         TimePoint regained_at);
   /// Applies the table of replicas as fetched from an entry of the same data
   /// centre. Returns false, and changes nothing, if it is older than the table
--- a/src/libverbenalead/entry/row_applier_test.cc
+++ b/src/libverbenalead/entry/row_applier_test.cc
@@ -96,11 +96,11 @@
         Rows(7, {DeclarationRow(7)}), {}, std::nullopt};
     relayed.m_max_ages["version/m"] = 3s;
     m_intake->ApplyRelayedOperatorRows(relayed);
-    const decide::DeclaredVersions& watch = m_state->m_weights.at("m");
+    const decide::DeclaredVersions& versions = m_state->m_weights.at("m");
     const Duration left = m_state->m_options.m_weights_bound - 600ms - 3s;
     CPPUNIT_ASSERT_EQUAL(uint64_t{0},
-                         decide::Binding(watch, Now() + left - 500ms));
-    CPPUNIT_ASSERT_EQUAL(uint64_t{2}, decide::Binding(watch, Now() + left));
+                         decide::Binding(versions, Now() + left - 500ms));
+    CPPUNIT_ASSERT_EQUAL(uint64_t{2}, decide::Binding(versions, Now() + left));
   }
 
   // Guards against calls starting on older weights 7 s after their bound: an
@@ -109,8 +109,9 @@
   void ADeclarationOfUnknownAgeBindsSoonAfterAStart() {
     m_intake->ApplyRelayedOperatorRows(
         {Rows(7, {DeclarationRow(7)}), {}, std::nullopt});
-    const decide::DeclaredVersions& watch = m_state->m_weights.at("m");
-    CPPUNIT_ASSERT_EQUAL(uint64_t{2}, decide::Binding(watch, Now() + 2600ms));
+    const decide::DeclaredVersions& versions = m_state->m_weights.at("m");
+    CPPUNIT_ASSERT_EQUAL(uint64_t{2},
+                         decide::Binding(versions, Now() + 2600ms));
   }
 
   // Guards against calls starting on older weights after their bound: this
@@ -120,11 +121,11 @@
     const Duration now = BootNow();
     TakeAnswer(now - 2s, now - 2s, {});
     TakeAnswer(now - 1s, now - 1s, {DeclarationRow(7)});
-    const decide::DeclaredVersions& watch = m_state->m_weights.at("m");
+    const decide::DeclaredVersions& versions = m_state->m_weights.at("m");
     const Duration left = m_state->m_options.m_weights_bound - 600ms - 2s;
     CPPUNIT_ASSERT_EQUAL(uint64_t{0},
-                         decide::Binding(watch, Now() + left - 500ms));
-    CPPUNIT_ASSERT_EQUAL(uint64_t{2}, decide::Binding(watch, Now() + left));
+                         decide::Binding(versions, Now() + left - 500ms));
+    CPPUNIT_ASSERT_EQUAL(uint64_t{2}, decide::Binding(versions, Now() + left));
   }
 
   // Guards against entries treating an old declaration as new when they fetch
@@ -152,11 +153,11 @@
 
  private:
   /// Applies an answer of the store, whose clock is this host's.
-  void TakeAnswer(Duration asked_at,
+  void TakeAnswer(Duration requested_at,
                   Duration answered_at,
                   std::vector<platform::Row> rows) {
     platform::Rows answer = Rows(7, std::move(rows));
-    answer.m_asked_at = asked_at;
+    answer.m_asked_at = requested_at;
     answer.m_store_time = answered_at;
     m_intake->ApplyOperatorRows(answer, m_first_answer);
     m_first_answer = false;
--- a/src/libverbenalead/entry/row_synchroniser.cc
+++ b/src/libverbenalead/entry/row_synchroniser.cc
@@ -50,8 +50,8 @@
           store,
           platform::kOperatorTable,
           [this] { return OperatorPace(); },
-          [this](const platform::Rows& rows, bool whole) {
-            m_intake.ApplyOperatorRows(rows, whole);
+          [this](const platform::Rows& rows, bool is_snapshot) {
+            m_intake.ApplyOperatorRows(rows, is_snapshot);
             m_on_rows();
           }),
       m_replicas(
@@ -59,8 +59,9 @@
           store,
           platform::kReplicaTable,
           [this] { return ReplicaPace(); },
-          [this](const platform::Rows& rows, bool whole) {
-            m_intake.ApplyReplicaRows(rows, whole, m_replicas.regained_at());
+          [this](const platform::Rows& rows, bool is_snapshot) {
+            m_intake.ApplyReplicaRows(rows, is_snapshot,
+                                      m_replicas.regained_at());
             m_on_rows();
           }) {}
 
@@ -87,18 +88,18 @@
 }
 
 links::PollSchedule RowSynchroniser::OperatorPace() {
-  links::PollSchedule pace = kPeerReadsPace;
+  links::PollSchedule schedule = kPeerReadsPace;
   if (m_reading == decide::Reading::kFromStore) {
     // An entry that has just taken over must prove at once that it has the
     // newest revision, so its first request is answered without a wait.
     const bool proved =
         Now() - m_state.m_operator_answered_at < kOperatorLongPoll;
-    pace = {proved ? kOperatorLongPoll : Duration(),
-            decide::RecordRequest(m_operator_pace, Now()), PauseAfterFailure(),
-            false};
+    schedule = {proved ? kOperatorLongPoll : Duration(),
+                decide::RecordRequest(m_operator_pace, Now()),
+                PauseAfterFailure(), false};
   }
-  pace.m_hold = IsReadDeferred(m_state.m_routes != nullptr);
-  return pace;
+  schedule.m_hold = IsReadDeferred(m_state.m_routes != nullptr);
+  return schedule;
 }
 
 Duration RowSynchroniser::PauseAfterFailure() {
@@ -108,18 +109,18 @@
 }
 
 links::PollSchedule RowSynchroniser::ReplicaPace() {
-  links::PollSchedule pace = kPeerReadsPace;
+  links::PollSchedule schedule = kPeerReadsPace;
   if (m_reading == decide::Reading::kFromStore) {
-    pace = kReplicaPace;
-    pace.m_retry_pause = PauseAfterFailure();
+    schedule = kReplicaPace;
+    schedule.m_retry_pause = PauseAfterFailure();
   }
   // While the store answers for neither table, only the operator's table is
   // requested. Requests for both by 98 entries doubled the number of requests,
   // each of which is charged. If only the operator's rows fail, the table of
   // replicas is still requested.
-  pace.m_hold = IsReadDeferred(m_state.m_replicas_known) ||
-                (m_operator.lost() && m_replicas.lost());
-  return pace;
+  schedule.m_hold = IsReadDeferred(m_state.m_replicas_known) ||
+                    (m_operator.lost() && m_replicas.lost());
+  return schedule;
 }
 
 void RowSynchroniser::Compare() {
@@ -171,11 +172,12 @@
   return true;
 }
 
-bool RowSynchroniser::IsDeferred(const Failure& failure, TimePoint& ask_at) {
+bool RowSynchroniser::IsDeferred(const Failure& failure,
+                                 TimePoint& next_request_at) {
   if (failure.m_code != FailureCode::kRefused)
     return false;
   LogLine("rows_put_off").With(failure).Info();
-  ask_at = Now() + decide::DeferralDelay(m_state.m_random);
+  next_request_at = Now() + decide::DeferralDelay(m_state.m_random);
   return true;
 }
 
--- a/src/libverbenalead/entry/row_synchroniser.h
+++ b/src/libverbenalead/entry/row_synchroniser.h
@@ -80,8 +80,8 @@
   /// Whether `bytes` of rows may be sent now in response to `request`.
   bool MaySendRows(const wire::Request& request, uint64_t bytes);
   /// Whether `failure` means that the other entry has deferred the request for
-  /// rows. If so, sets `ask_at` to the time of the next request.
-  bool IsDeferred(const Failure& failure, TimePoint& ask_at);
+  /// rows. If so, sets `next_request_at` to the time of the next request.
+  bool IsDeferred(const Failure& failure, TimePoint& next_request_at);
   Awaitable<void> FetchOperatorRows(Endpoint from);
   Awaitable<void> FetchReplicaRows(Endpoint from);
 
--- a/src/libverbenalead/entry/slot_allocator.cc
+++ b/src/libverbenalead/entry/slot_allocator.cc
@@ -35,10 +35,10 @@
 
 SlotAllocator::SlotAllocator(
     EntryState& state,
-    SlotRequester& asker,
+    SlotRequester& slot_requester,
     std::function<void(const decide::ReplicaState&)> on_change)
     : m_state(state),
-      m_slot_requester(asker),
+      m_slot_requester(slot_requester),
       m_on_change(std::move(on_change)) {
   m_slot_requester.SetGrantHandlers(
       [this](uint64_t reservation) { HandleGrant(reservation); },
--- a/src/libverbenalead/entry/slot_allocator.h
+++ b/src/libverbenalead/entry/slot_allocator.h
@@ -19,11 +19,11 @@
 /// one.
 class SlotAllocator {
  public:
-  /// `asker` confirms each slot with the target of its replica. `on_change` is
-  /// called with each replica at which this entry's calls have changed, so that
-  /// its target can be notified.
+  /// `slot_requester` confirms each slot with the target of its replica.
+  /// `on_change` is called with each replica at which this entry's calls have
+  /// changed, so that its target can be notified.
   SlotAllocator(EntryState& state,
-                SlotRequester& asker,
+                SlotRequester& slot_requester,
                 std::function<void(const decide::ReplicaState&)> on_change);
 
   /// Obtains a slot for `call` and returns the replica of `service`; nothing if
--- a/src/libverbenalead/entry/slot_requester.cc
+++ b/src/libverbenalead/entry/slot_requester.cc
@@ -61,9 +61,9 @@
   decide::NoteSlotRequestDone(pool, replica, call.m_prompt_tokens);
   if (pending->m_answered)
     co_return pending->m_granted;
-  const auto silent = pool.m_replicas.find(replica);
-  if (silent != pool.m_replicas.end())
-    silent->second.m_unresponsive_until = Now() + kSilentTargetHoldOff;
+  const auto unresponsive = pool.m_replicas.find(replica);
+  if (unresponsive != pool.m_replicas.end())
+    unresponsive->second.m_unresponsive_until = Now() + kSilentTargetHoldOff;
   m_state.m_metrics.Count("targets_silent_total", "");
   LogLine("target_silent").With("replica", replica).Info();
   co_return true;
--- a/src/libverbenalead/entry/update_sender.cc
+++ b/src/libverbenalead/entry/update_sender.cc
@@ -85,7 +85,7 @@
   SendFollowRequests(false);
 }
 
-void UpdateSender::SendFollowRequests(bool near) {
+void UpdateSender::SendFollowRequests(bool same_data_center) {
   for (const auto& [name, service] : m_state.m_services) {
     if (!IsEngineService(m_state, name))
       continue;
@@ -97,7 +97,7 @@
       request.m_replicas_hash = m_state.m_replicas_hash;
       request.m_near = replica.m_replica.m_data_center ==
                        m_state.m_options.m_self.m_data_center;
-      if (request.m_near == near)
+      if (request.m_near == same_data_center)
         m_datagrams.Send(TargetOf(replica), request);
     }
   }
--- a/src/libverbenalead/entry/update_sender.h
+++ b/src/libverbenalead/entry/update_sender.h
@@ -46,9 +46,9 @@
 
  private:
   void Broadcast(const links::EntryUpdate& update);
-  /// Sends a subscription request to the targets of this data centre (`near`)
-  /// or to those of all others.
-  void SendFollowRequests(bool near);
+  /// Sends a subscription request to the targets of this data centre
+  /// (`same_data_center`) or to those of all others.
+  void SendFollowRequests(bool same_data_center);
   Endpoint TargetOf(const decide::ReplicaState& replica) const;
 
   EntryState& m_state;
--- a/src/libverbenalead/http/disconnect_monitor.cc
+++ b/src/libverbenalead/http/disconnect_monitor.cc
@@ -18,8 +18,8 @@
 
 }  // namespace
 
-void DisconnectMonitor::Begin(std::function<void()> on_gone) {
-  m_on_disconnect = std::move(on_gone);
+void DisconnectMonitor::Begin(std::function<void()> on_disconnect) {
+  m_on_disconnect = std::move(on_disconnect);
   if (!m_armed)
     WaitForReadable();
 }
--- a/src/libverbenalead/http/disconnect_monitor.h
+++ b/src/libverbenalead/http/disconnect_monitor.h
@@ -18,8 +18,9 @@
   explicit DisconnectMonitor(boost::asio::ip::tcp::socket& socket)
       : m_socket(socket), m_timer(socket.get_executor()) {}
 
-  /// Calls `on_gone` once if the caller closes its connection before End().
-  void Begin(std::function<void()> on_gone);
+  /// Calls `on_disconnect` once if the caller closes its connection before
+  /// End().
+  void Begin(std::function<void()> on_disconnect);
   void End();
   /// Must be called before the socket is destroyed.
   void Detach();
--- a/src/libverbenalead/http/http1_writer.h
+++ b/src/libverbenalead/http/http1_writer.h
@@ -90,8 +90,8 @@
   /// OnDisconnect().
   void RecordDisconnect() {
     m_disconnected = true;
-    if (const auto on_gone = std::exchange(m_on_disconnect, nullptr))
-      on_gone();
+    if (const auto on_disconnect = std::exchange(m_on_disconnect, nullptr))
+      on_disconnect();
   }
 
   /// True if the whole response has been written.
--- a/src/libverbenalead/links/message.cc
+++ b/src/libverbenalead/links/message.cc
@@ -180,8 +180,8 @@
   update.m_replicas_age = std::chrono::milliseconds(age);
   BOOST_LEAF_ASSIGN(update.m_crashes, DecodeCrashes(object));
   if (object.contains("far_entries")) {
-    BOOST_LEAF_AUTO(far_entries, model::NumberField(object, "far_entries"));
-    update.m_remote_entries = static_cast<uint32_t>(far_entries);
+    BOOST_LEAF_AUTO(remote_entries, model::NumberField(object, "far_entries"));
+    update.m_remote_entries = static_cast<uint32_t>(remote_entries);
   }
   return update;
 }
--- a/src/libverbenalead/links/table_follower.cc
+++ b/src/libverbenalead/links/table_follower.cc
@@ -22,11 +22,11 @@
 TableFollower::TableFollower(const boost::asio::any_io_executor& executor,
                              platform::Store& store,
                              std::string table,
-                             std::function<PollSchedule()> pace,
+                             std::function<PollSchedule()> schedule,
                              OnRows on_rows)
     : m_store(store),
       m_table(std::move(table)),
-      m_pace(std::move(pace)),
+      m_pace(std::move(schedule)),
       m_on_rows(std::move(on_rows)),
       m_timer(executor),
       m_random(std::random_device{}()) {}
@@ -34,18 +34,18 @@
 Awaitable<void> TableFollower::Run() {
   while (true) {
     const TimePoint requested_at = Now();
-    const PollSchedule pace = m_pace();
-    if (pace.m_hold) {
+    const PollSchedule schedule = m_pace();
+    if (schedule.m_hold) {
       co_await WaitUntil(requested_at + kHoldPollInterval);
       continue;
     }
     m_poll_requested = false;
-    const bool answered = co_await Ask(pace.m_wait);
+    const bool answered = co_await Ask(schedule.m_wait);
     if (m_poll_requested)
       continue;
     const TimePoint next =
-        answered ? requested_at + pace.m_interval
-                 : Now() + std::max(pace.m_retry_pause, RetryPause());
+        answered ? requested_at + schedule.m_interval
+                 : Now() + std::max(schedule.m_retry_pause, RetryPause());
     if (next > Now())
       co_await WaitUntil(next);
   }
@@ -64,14 +64,14 @@
 }
 
 Awaitable<bool> TableFollower::Ask(Duration wait) {
-  const bool whole = m_revision == 0;
+  const bool is_snapshot = m_revision == 0;
   AsyncResult<platform::Rows> rows = Failure();
-  if (whole)
+  if (is_snapshot)
     rows = co_await m_store.ReadTable(m_table);
   else
     rows = co_await m_store.ReadChanges(m_table, m_revision, wait);
   if (!rows) {
-    if (rows.error().m_code == FailureCode::kNotFound && !whole) {
+    if (rows.error().m_code == FailureCode::kNotFound && !is_snapshot) {
       LogLine("history_gone").With("table", m_table).Warn();
       m_revision = 0;
       co_return false;
@@ -81,7 +81,7 @@
   }
   NoteSuccess();
   m_revision = std::max(m_revision, rows->m_revision);
-  m_on_rows(*rows, whole);
+  m_on_rows(*rows, is_snapshot);
   co_return true;
 }
 
--- a/src/libverbenalead/links/table_follower.h
+++ b/src/libverbenalead/links/table_follower.h
@@ -19,14 +19,15 @@
 /// changes, the whole table is read again.
 class TableFollower {
  public:
-  /// `whole`: the rows are the whole table rather than changes.
-  using OnRows = std::function<void(const platform::Rows& rows, bool whole)>;
+  /// `is_snapshot`: the rows are the whole table rather than changes.
+  using OnRows =
+      std::function<void(const platform::Rows& rows, bool is_snapshot)>;
 
-  /// `pace` is called before each request to the store.
+  /// `schedule` is called before each request to the store.
   TableFollower(const boost::asio::any_io_executor& executor,
                 platform::Store& store,
                 std::string table,
-                std::function<PollSchedule()> pace,
+                std::function<PollSchedule()> schedule,
                 OnRows on_rows);
 
   /// Follows the table; never returns.
--- a/src/libverbenalead/peer/stream.cc
+++ b/src/libverbenalead/peer/stream.cc
@@ -6,17 +6,17 @@
 
 namespace verbenalead::peer {
 
-void Stream::Close(const std::string& reason, bool whole) {
+void Stream::Close(const std::string& reason, bool complete) {
   m_closed = true;
   m_closed_reason = reason;
-  if (!whole)
+  if (!complete)
     m_ended = false;
   m_inbound_event.cancel();
   m_outbound_event.cancel();
-  const bool sent = whole && m_outbound_finished;
-  const auto on_gone = std::exchange(m_on_disconnect, nullptr);
-  if (on_gone && !sent)
-    on_gone();
+  const bool sent = complete && m_outbound_finished;
+  const auto on_disconnect = std::exchange(m_on_disconnect, nullptr);
+  if (on_disconnect && !sent)
+    on_disconnect();
 }
 
 Awaitable<void> WaitForEvent(boost::asio::steady_timer& event,
--- a/src/libverbenalead/peer/stream.h
+++ b/src/libverbenalead/peer/stream.h
@@ -46,8 +46,8 @@
   std::function<void()> m_on_disconnect;
 
   /// Marks the stream closed, and wakes the coroutines that wait for it.
-  /// `whole` is false if data may be missing.
-  void Close(const std::string& reason, bool whole);
+  /// `complete` is false if data may be missing.
+  void Close(const std::string& reason, bool complete);
 };
 
 /// Waits until `event` is cancelled or `deadline` passes.
--- a/src/libverbenalead/platform/origin_client.cc
+++ b/src/libverbenalead/platform/origin_client.cc
@@ -49,10 +49,10 @@
     co_return response.error();
   if (response->m_status == kOk)
     co_return std::move(response->m_body);
-  const bool gone =
+  const bool not_found =
       response->m_status == kNotFound || response->m_status == kGone;
-  co_return Failure{gone ? FailureCode::kNotFound : FailureCode::kRefused, step,
-                    ToString(origin),
+  co_return Failure{not_found ? FailureCode::kNotFound : FailureCode::kRefused,
+                    step, ToString(origin),
                     "status " + std::to_string(response->m_status)};
 }
 
--- a/src/libverbenalead/platform/store.cc
+++ b/src/libverbenalead/platform/store.cc
@@ -193,7 +193,7 @@
   wire::Request request;
   request.m_path = std::move(path);
   const std::string step = "GET " + wire::PathOf(request);
-  const Duration asked_at = BootNow();
+  const Duration requested_at = BootNow();
   const wire::ProgressTimeouts timeouts = {
       wait + kAnswerTimeout, kAnswerTimeout, wait + kTotalTimeout};
   auto response = co_await wire::FetchByProgress(m_http, m_endpoint,
@@ -207,7 +207,7 @@
     co_return Failure{FailureCode::kCorrupt, step, ToString(m_endpoint),
                       "the answer is no list of rows"};
   }
-  page->m_rows.m_asked_at = asked_at;
+  page->m_rows.m_asked_at = requested_at;
   *has_more = page->m_has_more;
   co_return std::move(page->m_rows);
 }
--- a/src/libverbenalead/target/chunk_fetcher.cc
+++ b/src/libverbenalead/target/chunk_fetcher.cc
@@ -180,35 +180,36 @@
   return {hosts.begin(), hosts.end()};
 }
 
-void ChunkFetcher::TakeNews(const links::ChunkUpdate& news) {
-  if (!m_state.m_engine || news.m_model != m_state.m_engine->m_model)
+void ChunkFetcher::TakeNews(const links::ChunkUpdate& update) {
+  if (!m_state.m_engine || update.m_model != m_state.m_engine->m_model)
     return;
   for (const auto& transfer : {m_transfer, m_ahead}) {
-    if (!transfer || transfer->m_version != news.m_version)
+    if (!transfer || transfer->m_version != update.m_version)
       continue;
-    decide::RecordNeighbourChunks(transfer->m_core, news.m_host, news.m_chunks,
-                                  Now());
+    decide::RecordNeighbourChunks(transfer->m_core, update.m_host,
+                                  update.m_chunks, Now());
     transfer->m_wake.cancel();
   }
 }
 
-void ChunkFetcher::HandleOriginFetches(const links::OriginFetchUpdate& news) {
-  if (!m_state.m_engine || news.m_model != m_state.m_engine->m_model)
+void ChunkFetcher::HandleOriginFetches(const links::OriginFetchUpdate& update) {
+  if (!m_state.m_engine || update.m_model != m_state.m_engine->m_model)
     return;
-  if (!decide::HasOnlyKnownChunks(news.m_report, m_state.m_engine->m_chunks)) {
+  if (!decide::HasOnlyKnownChunks(update.m_report,
+                                  m_state.m_engine->m_chunks)) {
     LogLine("bad_draw_news")
-        .With("peer", news.m_report.m_host)
-        .With("version", news.m_version)
+        .With("peer", update.m_report.m_host)
+        .With("version", update.m_version)
         .With("reason", "chunk number out of range for the version")
         .Warn();
     return;
   }
   for (const auto& transfer : {m_transfer, m_ahead}) {
-    if (!transfer || transfer->m_version != news.m_version)
+    if (!transfer || transfer->m_version != update.m_version)
       continue;
-    decide::RecordOriginFetches(transfer->m_core, news.m_report, Now());
+    decide::RecordOriginFetches(transfer->m_core, update.m_report, Now());
     // A fetch has ended, so the next one may start on the origin's link.
-    if (!news.m_report.m_origin_fetched.empty())
+    if (!update.m_report.m_origin_fetched.empty())
       transfer->m_wake.cancel();
   }
 }
@@ -234,7 +235,7 @@
 }
 
 void ChunkFetcher::AnnounceOriginFetches(Transfer& transfer,
-                                         std::vector<uint32_t> drawn) {
+                                         std::vector<uint32_t> fetched) {
   links::OriginFetchUpdate update;
   update.m_model = m_state.m_engine->m_model;
   update.m_version = transfer.m_version;
@@ -243,9 +244,9 @@
     if (fetch.m_source.IsOrigin())
       update.m_report.m_under_way.push_back(chunk);
   }
-  if (update.m_report.m_under_way.empty() && drawn.empty())
+  if (update.m_report.m_under_way.empty() && fetched.empty())
     return;
-  update.m_report.m_origin_fetched = std::move(drawn);
+  update.m_report.m_origin_fetched = std::move(fetched);
   m_announce_origin_fetches(update);
   transfer.m_next_announcement = Now() + kAnnouncementInterval;
 }
--- a/src/libverbenalead/target/chunk_fetcher.h
+++ b/src/libverbenalead/target/chunk_fetcher.h
@@ -49,9 +49,9 @@
   /// stalled.
   bool is_progressing() const;
   /// Handles an update from another host about the chunks that it holds.
-  void TakeNews(const links::ChunkUpdate& news);
+  void TakeNews(const links::ChunkUpdate& update);
   /// Handles an announcement of another host's origin fetches.
-  void HandleOriginFetches(const links::OriginFetchUpdate& news);
+  void HandleOriginFetches(const links::OriginFetchUpdate& update);
   /// A staged chunk of `version` was found to be corrupt and has to be fetched
   /// again.
   void RecordCorruptChunk(uint64_t version, uint32_t chunk);
@@ -83,8 +83,8 @@
   void End(const std::shared_ptr<Transfer>& transfer);
   static void StopTransfer(std::shared_ptr<Transfer>& transfer);
   /// Announces to the other hosts which chunks this host is fetching from the
-  /// origin, and which ones it has just fetched from there (`drawn`).
-  void AnnounceOriginFetches(Transfer& transfer, std::vector<uint32_t> drawn);
+  /// origin, and which ones it has just fetched from there (`fetched`).
+  void AnnounceOriginFetches(Transfer& transfer, std::vector<uint32_t> fetched);
   /// Records and logs whether the origin answers. `reason`: the failure if not.
   void RecordOriginState(bool answers, const std::string& reason);
   bool IsNear(const std::string& host) const;
--- a/src/libverbenalead/target/chunk_stager.cc
+++ b/src/libverbenalead/target/chunk_stager.cc
@@ -77,7 +77,7 @@
       m_state.m_cache.Staged(version))
     co_return true;
   const std::string model = m_state.m_engine->m_model;
-  uint64_t spoilt = 0;
+  uint64_t invalid_chunks = 0;
   for (uint32_t chunk = 0; chunk < m_state.m_engine->m_chunks; ++chunk) {
     auto bytes = co_await m_engine.ReadStaged(model, chunk);
     if (bytes && m_state.m_cache.VerifyStaged(version, chunk, *bytes))
@@ -90,10 +90,13 @@
       co_return false;
     }
     m_state.m_cache.RecordUnstaged(version, chunk);
-    ++spoilt;
+    ++invalid_chunks;
   }
-  LogLine("staged").With("version", version).With("spoilt", spoilt).Info();
-  co_return spoilt == 0;
+  LogLine("staged")
+      .With("version", version)
+      .With("spoilt", invalid_chunks)
+      .Info();
+  co_return invalid_chunks == 0;
 }
 
 void ChunkStager::ForgetAll() {
--- a/src/libverbenalead/target/engine_controller.cc
+++ b/src/libverbenalead/target/engine_controller.cc
@@ -72,12 +72,12 @@
 EngineController::EngineController(TargetState& state,
                                    platform::EngineClient& engine,
                                    ChunkFetcher& fetcher,
-                                   std::function<void()> tell,
+                                   std::function<void()> notify,
                                    std::function<double()> fullness)
     : m_state(state),
       m_engine(engine),
       m_fetcher(fetcher),
-      m_tell(std::move(tell)),
+      m_tell(std::move(notify)),
       m_get_utilisation(std::move(fullness)),
       m_stager(state, engine) {}
 
@@ -156,10 +156,10 @@
     const Duration needed =
         std::max(SpreadTime(m_state),
                  std::chrono::duration_cast<Duration>(times.m_transfer * left));
-    const auto whole = m_version_complete_at.find(version);
-    declared[version] = {when, whole == m_version_complete_at.end()
+    const auto complete_at = m_version_complete_at.find(version);
+    declared[version] = {when, complete_at == m_version_complete_at.end()
                                    ? Now() + needed
-                                   : whole->second};
+                                   : complete_at->second};
   }
   if (auto plan = decide::PlanLoad(times, declared, Loaded()))
     return plan;
--- a/src/libverbenalead/target/engine_controller.h
+++ b/src/libverbenalead/target/engine_controller.h
@@ -20,13 +20,13 @@
 /// weights.
 class EngineController {
  public:
-  /// `tell` is called when the result of `News` has changed, and repeatedly
+  /// `notify` is called when the result of `News` has changed, and repeatedly
   /// while the engine loads. `fullness` returns the share of the slots of the
   /// service that are in use, 0 to 1.
   EngineController(TargetState& state,
                    platform::EngineClient& engine,
                    ChunkFetcher& fetcher,
-                   std::function<void()> tell,
+                   std::function<void()> notify,
                    std::function<double()> fullness);
 
   /// Doesn't return.
--- a/src/libverbenalead/target/row_source.cc
+++ b/src/libverbenalead/target/row_source.cc
@@ -54,8 +54,8 @@
           store,
           platform::kReplicaTable,
           [this] { return Pace(); },
-          [this](const platform::Rows& rows, bool whole) {
-            ApplyReplicaRows(m_state, rows, whole);
+          [this](const platform::Rows& rows, bool is_snapshot) {
+            ApplyReplicaRows(m_state, rows, is_snapshot);
           }),
       m_start_jitter(
           std::uniform_real_distribution<double>(0, 1)(state.m_random)) {}
@@ -68,11 +68,11 @@
 }
 
 links::PollSchedule RowSource::Pace() const {
-  links::PollSchedule pace;
-  pace.m_interval = decide::kUnannouncedReadInterval;
-  pace.m_hold =
+  links::PollSchedule schedule;
+  schedule.m_interval = decide::kUnannouncedReadInterval;
+  schedule.m_hold =
       IsIdle() || decide::DefersStoreRead(m_changes, m_start_jitter, Now());
-  return pace;
+  return schedule;
 }
 
 bool RowSource::IsIdle() const {
--- a/src/libverbenalead/target/slot_granter.cc
+++ b/src/libverbenalead/target/slot_granter.cc
@@ -29,9 +29,9 @@
   answer.m_ticket = request.m_ticket;
   answer.m_news = UpdateFor(follower);
   if (!answer.m_news.m_loading) {
-    const auto verdict = decide::Ask(m_queue, slot_request, Load(), now);
-    answer.m_granted = verdict == decide::SlotVerdict::kGranted;
-    answer.m_queued = verdict == decide::SlotVerdict::kQueued;
+    const auto decision = decide::Ask(m_queue, slot_request, Load(), now);
+    answer.m_granted = decision == decide::SlotVerdict::kGranted;
+    answer.m_queued = decision == decide::SlotVerdict::kQueued;
   }
   follower.m_slot_denied = !answer.m_granted && !answer.m_queued;
   if (answer.m_granted)
@@ -65,9 +65,9 @@
 }
 
 void SlotGranter::HandleCallReport(const Endpoint& entry,
-                                   const links::CallUpdate& news) {
+                                   const links::CallUpdate& update) {
   EntrySubscription& follower = m_entries[entry];
-  follower.m_calls = news.m_calls;
+  follower.m_calls = update.m_calls;
   follower.m_calls_reported_at = Now();
   GrantWaiting();
   // Entries that were denied a slot may have calls waiting, so they are
--- a/src/libverbenalead/target/slot_granter.h
+++ b/src/libverbenalead/target/slot_granter.h
@@ -17,13 +17,13 @@
 /// use the same slot. Not safe for concurrent use.
 class SlotGranter {
  public:
-  /// `engine_news` returns the state of the replica, without its calls.
+  /// `engine_update` returns the state of the replica, without its calls.
   SlotGranter(TargetState& state,
               links::DatagramSocket& datagrams,
-              std::function<links::ReplicaUpdate()> engine_news)
+              std::function<links::ReplicaUpdate()> engine_update)
       : m_state(state),
         m_datagrams(datagrams),
-        m_engine_news(std::move(engine_news)) {}
+        m_engine_news(std::move(engine_update)) {}
 
   /// Answers a request for a slot: granted if the replica can take one more
   /// call, else queued or denied.
@@ -31,7 +31,7 @@
   /// Cancels a queued request for a slot.
   void Withdraw(const Endpoint& entry, uint64_t ticket);
   /// Records the current calls of an entry at the replica.
-  void HandleCallReport(const Endpoint& entry, const links::CallUpdate& news);
+  void HandleCallReport(const Endpoint& entry, const links::CallUpdate& update);
   /// Subscribes `entry` to updates until `until`.
   void Follow(const Endpoint& entry, TimePoint until);
 
--- a/src/libverbenalead/target/target_rows.cc
+++ b/src/libverbenalead/target/target_rows.cc
@@ -104,8 +104,8 @@
 
 void ApplyReplicaRows(TargetState& state,
                       const platform::Rows& rows,
-                      bool whole) {
-  if (whole)
+                      bool is_snapshot) {
+  if (is_snapshot)
     state.m_listed.clear();
   for (const platform::Row& row : rows.m_rows) {
     state.m_listed.erase(row.m_key);
--- a/src/libverbenalead/target/target_rows.h
+++ b/src/libverbenalead/target/target_rows.h
@@ -19,11 +19,11 @@
 /// `rows`.
 bool HasEngine(const TargetState& state, const platform::Rows& rows);
 
-/// Applies rows of replicas to `state`. `whole`: `rows` is the complete table
-/// and replaces all that is known; else it holds changes only.
+/// Applies rows of replicas to `state`. `is_snapshot`: `rows` is the complete
+/// table and replaces all that is known; else it holds changes only.
 void ApplyReplicaRows(TargetState& state,
                       const platform::Rows& rows,
-                      bool whole);
+                      bool is_snapshot);
 
 }  // namespace verbenalead::target
 
--- a/src/libverbenalead/wire/recording_writer.h
+++ b/src/libverbenalead/wire/recording_writer.h
@@ -42,8 +42,8 @@
   /// Simulates that the caller closes its connection.
   void Leave() {
     m_disconnected = true;
-    if (const auto on_gone = std::exchange(m_on_disconnect, nullptr))
-      on_gone();
+    if (const auto on_disconnect = std::exchange(m_on_disconnect, nullptr))
+      on_disconnect();
   }
 
   /// Number of heads sent. A correct response has exactly one; a Send() after a
