--- a/src/libverbenalead/base/pacer.cc
+++ b/src/libverbenalead/base/pacer.cc
@@ -6,7 +6,7 @@
 
 namespace verbenalead {
 
-Awaitable<void> Pacer::Take(uint64_t bytes) {
+Awaitable<void> Pacer::Acquire(uint64_t bytes) {
   if (m_rate == 0)
     co_return;
   TimePoint until;
--- a/src/libverbenalead/base/pacer.h
+++ b/src/libverbenalead/base/pacer.h
@@ -19,7 +19,7 @@
 
   /// Suspends the caller until `bytes` more may be sent within the rate. Calls
   /// are served in order of arrival.
-  Awaitable<void> Take(uint64_t bytes);
+  Awaitable<void> Acquire(uint64_t bytes);
 
  private:
   const uint64_t m_rate;
--- a/src/libverbenalead/daemon/answer_checksum.cc
+++ b/src/libverbenalead/daemon/answer_checksum.cc
@@ -10,7 +10,7 @@
   m_length += piece.size();
 }
 
-void AnswerChecksum::Fill(wire::Headers& trailers) {
+void AnswerChecksum::WriteTrailers(wire::Headers& trailers) {
   trailers[peer::kLength] = std::to_string(m_length);
   trailers[peer::kSha256] = ToString(m_hasher.Finish());
 }
--- a/src/libverbenalead/daemon/answer_checksum.h
+++ b/src/libverbenalead/daemon/answer_checksum.h
@@ -18,7 +18,7 @@
   void Add(const std::string& piece);
   /// Writes length and digest of the added pieces to `trailers`. To be called
   /// once, at the end of the answer.
-  void Fill(wire::Headers& trailers);
+  void WriteTrailers(wire::Headers& trailers);
   /// True if length and digest of the added pieces are those in `trailers`. To
   /// be called once, at the end of the answer.
   bool MatchesTrailers(const wire::Headers& trailers);
--- a/src/libverbenalead/daemon/attempt_runner.cc
+++ b/src/libverbenalead/daemon/attempt_runner.cc
@@ -22,7 +22,7 @@
 constexpr size_t kMaxBufferedAnswer = size_t{16} << 20;
 /// Time limit of a request that makes an attempt void.
 constexpr Duration kVoidTimeout = 2s;
-constexpr char kCallerGone[] = "caller_gone";
+constexpr char kCallerDisconnected[] = "caller_gone";
 
 wire::Request MakeAttemptRequest(const model::Call& call,
                                  const decide::Placement& placement,
@@ -101,10 +101,10 @@
 
   /// Nothing more can be sent to a caller that has disconnected. Marking the
   /// answer as begun prevents a retry.
-  void RecordCallerGone() {
+  void RecordCallerDisconnect() {
     m_caller_connected = false;
     m_report.m_answer_started = true;
-    m_report.m_reason = kCallerGone;
+    m_report.m_reason = kCallerDisconnected;
   }
 };
 
@@ -114,8 +114,8 @@
                                             wire::Request request,
                                             wire::ResponseWriter& writer) {
   Attempt attempt{call, placement, number, writer};
-  if (call.idempotent() && writer.gone()) {
-    attempt.RecordCallerGone();
+  if (call.idempotent() && writer.disconnected()) {
+    attempt.RecordCallerDisconnect();
     co_return std::move(attempt.m_report);
   }
   wire::Request message =
@@ -138,16 +138,16 @@
   const bool in_time = Now() < call.deadline();
   if (decide::NeedsVoidRequest(attempt.m_evidence) &&
       (in_time || !call.idempotent()))
-    attempt.m_evidence.m_void = co_await MakeVoid(attempt);
+    attempt.m_evidence.m_void = co_await RequestVoid(attempt);
   attempt.m_report.m_end = decide::Judge(attempt.m_evidence);
-  co_await BreakOff(attempt);
+  co_await EndWithErrorEvent(attempt);
   co_return std::move(attempt.m_report);
 }
 
 void AttemptRunner::RecordTransportFailure(Attempt& attempt,
                                            const Failure& failure) {
   if (failure.m_code == FailureCode::kCancelled) {
-    attempt.RecordCallerGone();
+    attempt.RecordCallerDisconnect();
     return;
   }
   attempt.m_report.m_reason = ToString(failure);
@@ -235,7 +235,7 @@
   if (connected)
     connected = co_await attempt.m_writer.Write(std::move(piece));
   if (!connected)
-    attempt.RecordCallerGone();
+    attempt.RecordCallerDisconnect();
 }
 
 void AttemptRunner::EvaluateEnd(const wire::Headers& trailers,
@@ -247,8 +247,8 @@
     return;
   }
   attempt.m_evidence.m_reported_success = true;
-  attempt.m_evidence.m_whole = attempt.m_check.MatchesTrailers(trailers);
-  if (!attempt.m_evidence.m_whole) {
+  attempt.m_evidence.m_intact = attempt.m_check.MatchesTrailers(trailers);
+  if (!attempt.m_evidence.m_intact) {
     report.m_reason = "the answer's length or digest is wrong";
     report.m_target_faulty = true;
     return;
@@ -258,7 +258,7 @@
                      std::move(attempt.m_buffered_body)};
 }
 
-Awaitable<void> AttemptRunner::BreakOff(Attempt& attempt) {
+Awaitable<void> AttemptRunner::EndWithErrorEvent(Attempt& attempt) {
   const AttemptReport& report = attempt.m_report;
   if (!report.m_answer_started || !attempt.m_caller_connected ||
       report.m_end == AttemptEnd::kCompleted)
@@ -267,7 +267,7 @@
   co_await attempt.m_writer.Write(std::move(event));
 }
 
-Awaitable<VoidReply> AttemptRunner::MakeVoid(const Attempt& attempt) {
+Awaitable<VoidReply> AttemptRunner::RequestVoid(const Attempt& attempt) {
   wire::Request request;
   request.m_method = "POST";
   request.m_path = "/v1/void";
--- a/src/libverbenalead/daemon/attempt_runner.h
+++ b/src/libverbenalead/daemon/attempt_runner.h
@@ -59,10 +59,10 @@
   /// Writes an error event with the outcome to a stream that is cut short. The
   /// terminator of the chunked encoding is not sent, so that the caller can't
   /// take the stream for complete.
-  Awaitable<void> BreakOff(Attempt& attempt);
+  Awaitable<void> EndWithErrorEvent(Attempt& attempt);
   /// After an attempt that may or may not have started: requests that the
   /// target make it void, over a working connection.
-  Awaitable<decide::VoidReply> MakeVoid(const Attempt& attempt);
+  Awaitable<decide::VoidReply> RequestVoid(const Attempt& attempt);
   static void RecordTransportFailure(Attempt& attempt, const Failure& failure);
   static void EvaluateEnd(const wire::Headers& trailers, Attempt& attempt);
 
--- a/src/libverbenalead/daemon/attempt_server.cc
+++ b/src/libverbenalead/daemon/attempt_server.cc
@@ -145,7 +145,7 @@
                        .With("digest", ToString(admitted.m_digest)));
   co_await Forward(admitted, std::move(request), writer);
   m_gate.With([&](decide::GateState& gate) {
-    decide::Leave(gate, attempt, Now());
+    decide::EndAttempt(gate, attempt, Now());
     return 0;
   });
 }
@@ -205,10 +205,10 @@
   co_await ForwardAnswer(admitted, **opened, std::move(*head), writer);
 }
 
-bool AttemptServer::Passes(const AdmittedAttempt& admitted,
-                           const Digest& reported) {
+bool AttemptServer::MayForwardAnswer(const AdmittedAttempt& admitted,
+                                     const Digest& reported) {
   return m_gate.With([&](decide::GateState& gate) {
-    return decide::MayPass(gate, admitted.m_generation, reported);
+    return decide::MayForward(gate, admitted.m_generation, reported);
   });
 }
 
@@ -237,7 +237,7 @@
     // Checked before each piece: if a load has begun since, or if the engine
     // answers with another version, the answer ends as failed. Otherwise it
     // could mix the output of two versions.
-    if (!exempt && !Passes(admitted, reported)) {
+    if (!exempt && !MayForwardAnswer(admitted, reported)) {
       reason = "version_changed";
       break;
     }
@@ -253,7 +253,7 @@
     alive = co_await writer.Write(std::move(**piece));
   }
   wire::Headers trailers;
-  check.Fill(trailers);
+  check.WriteTrailers(trailers);
   trailers[peer::kOutcome] = reason.empty() ? "completed" : "failed";
   trailers[peer::kReason] = reason;
   m_journal.Record(admitted.m_request,
@@ -267,7 +267,7 @@
   co_await writer.Finish(std::move(trailers));
 }
 
-wire::Response AttemptServer::MakeVoid(const wire::Request& request) {
+wire::Response AttemptServer::HandleVoid(const wire::Request& request) {
   const decide::Attempt attempt = AttemptOf(request);
   const std::string request_id = wire::Get(request.m_headers, peer::kRequestId);
   const uint64_t incarnation = NumberIn(request.m_headers, peer::kIncarnation);
--- a/src/libverbenalead/daemon/attempt_server.h
+++ b/src/libverbenalead/daemon/attempt_server.h
@@ -32,7 +32,7 @@
   /// socket.
   int serving() const { return m_serving; }
   /// Answers POST /v1/void.
-  wire::Response MakeVoid(const wire::Request& request);
+  wire::Response HandleVoid(const wire::Request& request);
 
  private:
   struct AdmittedAttempt;
@@ -49,7 +49,8 @@
   Awaitable<void> Refuse(AdmittedAttempt admitted,
                          std::string reason,
                          wire::ResponseWriter& writer);
-  bool Passes(const AdmittedAttempt& admitted, const Digest& reported);
+  bool MayForwardAnswer(const AdmittedAttempt& admitted,
+                        const Digest& reported);
 
   const std::string m_host;
   GuardedGate& m_gate;
--- a/src/libverbenalead/daemon/attempt_server_test.cc
+++ b/src/libverbenalead/daemon/attempt_server_test.cc
@@ -25,7 +25,7 @@
   void EngineMayPauseUntilCallDeadline() {
     const TimePoint start = Now();
     const wire::RecordingWriter caller = Serve(kTimeLeft, "");
-    CPPUNIT_ASSERT(caller.m_whole);
+    CPPUNIT_ASSERT(caller.m_complete);
     CPPUNIT_ASSERT_EQUAL(std::string("answer"), caller.m_body);
     for (const TimePoint deadline : m_client.m_body_deadlines) {
       CPPUNIT_ASSERT(deadline >= start + kTimeLeft);
--- a/src/libverbenalead/daemon/claim_result.h
+++ b/src/libverbenalead/daemon/claim_result.h
@@ -11,14 +11,14 @@
 /// Result of claiming the idempotency key of a call.
 struct ClaimResult {
   enum class Kind {
-    kOurs,      ///< Claimed: this call, and no other, may run.
+    kClaimed,   ///< Claimed: this call, and no other, may run.
     kAnswered,  ///< An earlier call with the key has ended: see m_answer.
     /// An earlier call with the key is still running, or its outcome was lost.
     kHeld,
     kUnavailable,  ///< The table gave no result: the call must not run.
   };
   Kind m_kind = Kind::kUnavailable;
-  /// With kOurs: identifies this claim when it is recorded or released.
+  /// With kClaimed: identifies this claim when it is recorded or released.
   uint64_t m_writer = 0;
   RecordedAnswer m_answer;
   std::string m_reason;
--- a/src/libverbenalead/daemon/claim_store.cc
+++ b/src/libverbenalead/daemon/claim_store.cc
@@ -83,7 +83,7 @@
   ClaimResult result;
   switch (end.m_end) {
     case ClaimEnd::kDone:
-      result.m_kind = ClaimResult::Kind::kOurs;
+      result.m_kind = ClaimResult::Kind::kClaimed;
       result.m_writer = writer;
       return result;
     case ClaimEnd::kHeld:
--- a/src/libverbenalead/daemon/config_capacity_bench.cc
+++ b/src/libverbenalead/daemon/config_capacity_bench.cc
@@ -117,20 +117,21 @@
   const size_t before = HeapBytes();
   decide::TargetSelectionState state;
   for (size_t i = 0; i < targets; ++i)
-    decide::Report(state, ReportOf(i), TimePoint());
+    decide::ApplyReport(state, ReportOf(i), TimePoint());
   const size_t bytes = HeapBytes() - before;
   const std::string text = ToJson(ReportOf(1));
   const double report = Cost(5000, [&](int i) {
     auto parsed = CatchFailure([&] { return model::ParseTargetReport(text); });
     parsed->m_running = static_cast<uint32_t>(i % 8);
-    decide::Report(state, *parsed, TimePoint());
+    decide::ApplyReport(state, *parsed, TimePoint());
   });
   const double write = Cost(5000, [&](int) { ToJson(ReportOf(1)); });
   const model::Call call =
       model::CallBuilder().Id("r-1").Organisation("acme").Build();
   decide::Random random(kSeed);
   const double placement = Cost(2000, [&](int) {
-    decide::Place(state, call, {}, Duration::zero(), TimePoint(), random);
+    decide::ChooseTarget(state, call, {}, Duration::zero(), TimePoint(),
+                         random);
   });
   fmt::print(
       "bench=capacity role=entry what=placement targets={} state_bytes={} "
--- a/src/libverbenalead/daemon/config_follower.cc
+++ b/src/libverbenalead/daemon/config_follower.cc
@@ -74,7 +74,7 @@
 
 }  // namespace
 
-std::vector<std::string> ConfigFollower::Ranked() const {
+std::vector<std::string> ConfigFollower::RankedEntries() const {
   std::vector<std::string> names;
   for (const model::Host& host : m_hosts.Hosts(model::HostRole::kEntry))
     names.push_back(host.name());
@@ -87,7 +87,7 @@
 }
 
 size_t ConfigFollower::OtherEntries() const {
-  const auto ranked = Ranked();
+  const auto ranked = RankedEntries();
   return ranked.size() -
          static_cast<size_t>(std::count(ranked.begin(), ranked.end(), m_self));
 }
@@ -117,7 +117,7 @@
   ConfigStore learned(nullptr);
   size_t answers = 0;
   size_t contacted = 0;
-  for (const std::string& entry : Ranked()) {
+  for (const std::string& entry : RankedEntries()) {
     if (entry == m_self || contacted == kMaxPeersContacted)
       continue;
     ++contacted;
@@ -140,7 +140,7 @@
   co_return answers >= required ? answers : 0;
 }
 
-Awaitable<bool> ConfigFollower::Learn() {
+Awaitable<bool> ConfigFollower::Initialise() {
   if (m_role == model::HostRole::kEntry) {
     auto read = co_await m_config.CatchUp();
     if (read)
@@ -151,7 +151,7 @@
 }
 
 Awaitable<void> ConfigFollower::Run() {
-  while (!co_await Learn())
+  while (!co_await Initialise())
     co_await Sleep(Jittered(kRetryInterval * 3));
   RecordContact(0);
   m_initialised = true;
@@ -160,16 +160,16 @@
       .Info();
   const auto executor = co_await asio::this_coro::executor;
   for (size_t slot = 0; slot < decide::kConfigStreams; ++slot)
-    SpawnLoop(executor, Listen(slot), "listen");
+    SpawnLoop(executor, FollowParent(slot), "listen");
   if (m_role == model::HostRole::kEntry)
-    SpawnLoop(executor, ReadTable(), "read_table");
+    SpawnLoop(executor, PollTable(), "read_table");
   co_await CatchUpWhenBehind();
 }
 
-Awaitable<void> ConfigFollower::Listen(size_t slot) {
+Awaitable<void> ConfigFollower::FollowParent(size_t slot) {
   uint64_t failures = 0;
   while (true) {
-    const auto ranked = Ranked();
+    const auto ranked = RankedEntries();
     const std::string parent =
         m_role == model::HostRole::kEntry
             ? decide::ParentOfEntry(ranked, m_self, slot, failures)
@@ -194,11 +194,11 @@
   }
 }
 
-Awaitable<void> ConfigFollower::ReadTable() {
+Awaitable<void> ConfigFollower::PollTable() {
   Duration pause = m_poll;
   while (true) {
     co_await Sleep(pause);
-    const auto ranked = Ranked();
+    const auto ranked = RankedEntries();
     const TimePoint fetched_at{
         TimePoint::duration(m_last_parent_answer_at.load())};
     const bool without_parent = Now() - fetched_at > kHold + kParentTimeout;
@@ -223,9 +223,9 @@
 
 Awaitable<void> ConfigFollower::CatchUpWhenBehind() {
   for (uint64_t attempt = 0;; co_await Sleep(kCatchUpInterval)) {
-    if (m_config.heard() <= m_config.current()->m_revision)
+    if (m_config.observed_revision() <= m_config.current()->m_revision)
       continue;
-    const auto ranked = Ranked();
+    const auto ranked = RankedEntries();
     if (ranked.empty())
       continue;
     const std::string entry =
@@ -244,7 +244,7 @@
   size_t contacted = 0;
   // The table readers rank first, since the configuration tree spreads the
   // changes that they hold to all processes.
-  for (const std::string& entry : Ranked()) {
+  for (const std::string& entry : RankedEntries()) {
     if (entry == m_self || contacted == kMaxPeersContacted)
       continue;
     ++contacted;
--- a/src/libverbenalead/daemon/config_follower.h
+++ b/src/libverbenalead/daemon/config_follower.h
@@ -51,12 +51,12 @@
   size_t OtherEntries() const;
 
  private:
-  std::vector<std::string> Ranked() const;
+  std::vector<std::string> RankedEntries() const;
   Endpoint AddressOf(const std::string& entry) const;
-  Awaitable<bool> Learn();
+  Awaitable<bool> Initialise();
   Awaitable<size_t> FetchInitialConfig();
-  Awaitable<void> Listen(size_t slot);
-  Awaitable<void> ReadTable();
+  Awaitable<void> FollowParent(size_t slot);
+  Awaitable<void> PollTable();
   Awaitable<void> CatchUpWhenBehind();
 
   const std::string m_self;
--- a/src/libverbenalead/daemon/config_messages.cc
+++ b/src/libverbenalead/daemon/config_messages.cc
@@ -23,7 +23,7 @@
   return json::serialize(json::object{{"changes", std::move(list)}});
 }
 
-Result<void> TakeConfig(ConfigStore& store, std::string_view text) {
+Result<void> ApplyConfig(ConfigStore& store, std::string_view text) {
   BOOST_LEAF_AUTO(object, model::ParseObject(text, "configuration"));
   if (object.contains("state")) {
     BOOST_LEAF_AUTO(state_text, model::TextField(object, "state"));
@@ -65,7 +65,7 @@
                       ToString(endpoint), response->m_body};
   }
   auto applied =
-      CatchFailure([&] { return TakeConfig(store, response->m_body); });
+      CatchFailure([&] { return ApplyConfig(store, response->m_body); });
   if (!applied)
     co_return applied.error();
   co_return !wire::Get(response->m_headers, peer::kFromTable).empty();
--- a/src/libverbenalead/daemon/config_messages.h
+++ b/src/libverbenalead/daemon/config_messages.h
@@ -17,7 +17,7 @@
 
 /// Parses a message that SerialiseConfigAfter() wrote and applies it to
 /// `store`.
-Result<void> TakeConfig(ConfigStore& store, std::string_view json);
+Result<void> ApplyConfig(ConfigStore& store, std::string_view json);
 
 /// Fetches the changes that `store` lacks from the process at `endpoint` and
 /// applies them. While there are none, that process may delay its answer by up
--- a/src/libverbenalead/daemon/config_store.cc
+++ b/src/libverbenalead/daemon/config_store.cc
@@ -192,17 +192,17 @@
 
 void ConfigStore::RecordObservedRevision(uint64_t revision) {
   std::lock_guard lock(m_mutex);
-  m_heard = std::max(m_heard, revision);
+  m_observed_revision = std::max(m_observed_revision, revision);
 }
 
-TimePoint ConfigStore::read_at() const {
+TimePoint ConfigStore::last_read_at() const {
   std::lock_guard lock(m_mutex);
-  return m_read_at;
+  return m_last_read_at;
 }
 
-uint64_t ConfigStore::heard() const {
+uint64_t ConfigStore::observed_revision() const {
   std::lock_guard lock(m_mutex);
-  return m_heard;
+  return m_observed_revision;
 }
 
 std::optional<std::vector<model::Change>> ConfigStore::ChangesAfter(
@@ -285,7 +285,7 @@
     ApplyChanges(changes);
     if (items->size() < kPageSize) {
       std::lock_guard lock(m_mutex);
-      m_read_at = Now();
+      m_last_read_at = Now();
       co_return true;
     }
   }
--- a/src/libverbenalead/daemon/config_store.h
+++ b/src/libverbenalead/daemon/config_store.h
@@ -46,13 +46,14 @@
   /// Waits until a revision above `revision` is in force, or until `deadline`.
   Awaitable<void> WaitForRevisionAfter(uint64_t revision, TimePoint deadline);
 
-  /// Records that another process has `revision` in force. While heard() is
-  /// above the revision in force here, this process is behind.
+  /// Records that another process has `revision` in force. While
+  /// observed_revision() is above the revision in force here, this process is
+  /// behind.
   void RecordObservedRevision(uint64_t revision);
-  uint64_t heard() const;
+  uint64_t observed_revision() const;
 
   /// Time at which CatchUp() last reached the end of the log.
-  TimePoint read_at() const;
+  TimePoint last_read_at() const;
   /// Reads the changes after the revision in force from the table and applies
   /// them.
   Awaitable<AsyncResult<bool>> CatchUp();
@@ -90,9 +91,9 @@
   const Pause m_pause;
   mutable std::mutex m_mutex;
   State m_state;
-  uint64_t m_heard = 0;
+  uint64_t m_observed_revision = 0;
   uint64_t m_snapshot_revision = 0;
-  TimePoint m_read_at{};
+  TimePoint m_last_read_at{};
   std::deque<model::Change> m_recent_changes;
   std::vector<std::shared_ptr<Waiter>> m_waiters;
 };
--- a/src/libverbenalead/daemon/config_store_test.cc
+++ b/src/libverbenalead/daemon/config_store_test.cc
@@ -326,7 +326,7 @@
         fleet.m_messages[random / 256 % fleet.m_messages.size()];
     ConfigStore& store = *fleet.m_daemons[message.first];
     auto applied =
-        CatchFailure([&] { return TakeConfig(store, message.second); });
+        CatchFailure([&] { return ApplyConfig(store, message.second); });
     RC_ASSERT(applied.has_value());
   }
 }
--- a/src/libverbenalead/daemon/crash_record_exchange.cc
+++ b/src/libverbenalead/daemon/crash_record_exchange.cc
@@ -31,12 +31,12 @@
 constexpr size_t kMaxPending = 1000;
 
 /// The crash records that one entry has not confirmed yet.
-struct PendingNotes {
-  std::vector<decide::CrashRecord> m_notes;
+struct PendingRecords {
+  std::vector<decide::CrashRecord> m_records;
   bool m_sending = false;
 };
 
-using PendingNotesByEntry = std::map<std::string, PendingNotes>;
+using PendingRecordsByEntry = std::map<std::string, PendingRecords>;
 
 wire::Request MakeMessage(const std::vector<decide::CrashRecord>& records) {
   wire::Request request;
@@ -46,32 +46,33 @@
   return request;
 }
 
-Awaitable<void> Tell(std::shared_ptr<PendingNotesByEntry> pending,
-                     wire::Client& peers,
-                     model::Host entry) {
+Awaitable<void> SendRecords(std::shared_ptr<PendingRecordsByEntry> pending,
+                            wire::Client& peers,
+                            model::Host entry) {
   std::vector<decide::CrashRecord> records =
-      std::exchange((*pending)[entry.name()].m_notes, {});
+      std::exchange((*pending)[entry.name()].m_records, {});
   wire::Request message = MakeMessage(records);
   auto response = co_await wire::Fetch(peers, entry.peer(), std::move(message),
                                        Now() + kTimeout);
-  PendingNotes& remaining = (*pending)[entry.name()];
+  PendingRecords& remaining = (*pending)[entry.name()];
   remaining.m_sending = false;
   if (!response || response->m_status != 200)
-    remaining.m_notes.insert(remaining.m_notes.begin(), records.begin(),
-                             records.end());
+    remaining.m_records.insert(remaining.m_records.begin(), records.begin(),
+                               records.end());
 }
 
 /// Adds `new_records` to the crash records pending for an entry. If there are
 /// then more than kMaxPending, the oldest are dropped.
-void Add(PendingNotes& pending,
+void Add(PendingRecords& pending,
          const std::vector<decide::CrashRecord>& new_records) {
-  auto& records = pending.m_notes;
+  auto& records = pending.m_records;
   records.insert(records.end(), new_records.begin(), new_records.end());
   if (records.size() > kMaxPending)
     records.erase(records.begin(), records.end() - kMaxPending);
 }
 
-Result<decide::CrashRecord> ReadNote(const json::value& value, TimePoint now) {
+Result<decide::CrashRecord> ReadRecord(const json::value& value,
+                                       TimePoint now) {
   if (!value.is_object())
     return model::BadField("notes", "a list of objects");
   const json::object& object = value.get_object();
@@ -95,7 +96,7 @@
   auto records =
       CatchFailure([&] { return ParseCrashRecords(request.m_body, Now()); });
   if (records)
-    quarantine.Merge(*records);
+    quarantine.MergeCrashRecords(*records);
   co_await writer.Send(wire::Response{records ? 200 : 400, {}, ""});
 }
 
@@ -121,7 +122,7 @@
     return model::BadField("notes", "a list");
   std::vector<decide::CrashRecord> records;
   for (const json::value& value : list->get_array()) {
-    BOOST_LEAF_AUTO(record, ReadNote(value, now));
+    BOOST_LEAF_AUTO(record, ReadRecord(value, now));
     records.push_back(std::move(record));
   }
   return records;
@@ -140,7 +141,7 @@
                                  wire::Client& peers,
                                  std::string self) {
   const auto executor = co_await boost::asio::this_coro::executor;
-  auto pending = std::make_shared<PendingNotesByEntry>();
+  auto pending = std::make_shared<PendingRecordsByEntry>();
   auto wake = std::make_shared<boost::asio::steady_timer>(executor);
   // New crash records wake the loop. Polling every 50 ms was too slow: a caller
   // that retries at one entry after the other needs only a few milliseconds for
@@ -150,16 +151,17 @@
   };
   quarantine.SetOnNewRecords(on_new_records);
   while (true) {
-    const std::vector<decide::CrashRecord> new_records = quarantine.News();
+    const std::vector<decide::CrashRecord> new_records =
+        quarantine.TakeCrashRecords();
     for (const model::Host& entry : hosts.Hosts(model::HostRole::kEntry)) {
-      PendingNotes& known = (*pending)[entry.name()];
+      PendingRecords& known = (*pending)[entry.name()];
       if (entry.name() == self)
         continue;
       Add(known, new_records);
-      if (known.m_notes.empty() || known.m_sending)
+      if (known.m_records.empty() || known.m_sending)
         continue;
       known.m_sending = true;
-      Spawn(executor, Tell(pending, peers, entry), "tell");
+      Spawn(executor, SendRecords(pending, peers, entry), "tell");
     }
     wake->expires_after(kRetryInterval);
     boost::system::error_code ignored;
--- a/src/libverbenalead/daemon/entry_access.cc
+++ b/src/libverbenalead/daemon/entry_access.cc
@@ -25,23 +25,23 @@
     m_tls = std::make_shared<http::ReloadableTlsContext>(
         http::TlsFiles{certificate, settings.Text("tls.key_file"),
                        settings.Text("tls.min_version")});
-    m_read = m_tls->Load();
+    m_load_result = m_tls->Load();
   }
   const std::string path = settings.Text("operators.token_file");
   if (path.empty()) {
-    if (m_read)
-      m_read = CheckOpenListener(settings);
+    if (m_load_result)
+      m_load_result = CheckOpenListener(settings);
     return;
   }
   auto tokens = ReadSecrets(path);
   if (tokens)
     m_tokens = std::move(*tokens);
   else
-    m_read = tokens.error();
+    m_load_result = tokens.error();
 }
 
 AsyncResult<bool> EntryAccess::Check() const {
-  return m_read;
+  return m_load_result;
 }
 
 AsyncResult<bool> EntryAccess::Reload() {
--- a/src/libverbenalead/daemon/entry_access.h
+++ b/src/libverbenalead/daemon/entry_access.h
@@ -30,7 +30,7 @@
  private:
   std::shared_ptr<http::ReloadableTlsContext> m_tls;
   std::vector<std::string> m_tokens;
-  AsyncResult<bool> m_read = true;
+  AsyncResult<bool> m_load_result = true;
 };
 
 }  // namespace verbenalead::daemon
--- a/src/libverbenalead/daemon/entry_daemon.cc
+++ b/src/libverbenalead/daemon/entry_daemon.cc
@@ -139,7 +139,7 @@
       co_return change.error();
     front::CommittedChange accepted;
     accepted.m_received_by = co_await m_follower.Replicate(change->m_revision);
-    accepted.m_others = m_follower.OtherEntries();
+    accepted.m_other_entries = m_follower.OtherEntries();
     accepted.m_change = std::move(*change);
     co_return accepted;
   }
@@ -241,8 +241,8 @@
     // neither while it is received nor while the end of its answer is sent.
     do {
       co_await Sleep(kStopPollInterval);
-    } while (Now() < deadline && m_callers.busy() > 0);
-    LogLine("stopped").With("cut_off", m_callers.busy()).Info();
+    } while (Now() < deadline && m_callers.requests_in_progress() > 0);
+    LogLine("stopped").With("cut_off", m_callers.requests_in_progress()).Info();
     m_threads.Stop();
   }
 
--- a/src/libverbenalead/daemon/entry_peer_api.cc
+++ b/src/libverbenalead/daemon/entry_peer_api.cc
@@ -28,7 +28,8 @@
                                     wire::Request request) {
   const uint64_t after = NumberIn(request, "after");
   const bool must_be_current = NumberIn(request, "fresh") != 0;
-  if (must_be_current && Now() - context.m_config->read_at() >= kMaxReadAge) {
+  if (must_be_current &&
+      Now() - context.m_config->last_read_at() >= kMaxReadAge) {
     auto ignored = co_await context.m_config->CatchUp();
     (void)ignored;
   }
@@ -45,7 +46,7 @@
   // A read less than kMaxReadAge ago counts as current. So when all processes
   // start at once, each entry that they query reads the table at most twice a
   // second.
-  if (Now() - context.m_config->read_at() < kMaxReadAge)
+  if (Now() - context.m_config->last_read_at() < kMaxReadAge)
     response.m_headers[peer::kFromTable] = "true";
   co_return response;
 }
@@ -53,7 +54,7 @@
 wire::Response PostConfig(const EntryPeerContext& context,
                           const wire::Request& request) {
   auto applied = CatchFailure(
-      [&] { return TakeConfig(*context.m_config, request.m_body); });
+      [&] { return ApplyConfig(*context.m_config, request.m_body); });
   const uint64_t revision = context.m_config->current()->m_revision;
   // A process that has not fetched the newest configuration yet applies the
   // changes too, but answers 503, so that the sender doesn't count it among the
--- a/src/libverbenalead/daemon/fencing_token_minter.cc
+++ b/src/libverbenalead/daemon/fencing_token_minter.cc
@@ -17,7 +17,7 @@
       m_owner("{\"owner\":\"" + std::to_string(owner) + "-" + NewId() + "\"}"),
       m_table(table) {}
 
-Awaitable<AsyncResult<uint64_t>> FencingTokenMinter::Mint() {
+Awaitable<AsyncResult<uint64_t>> FencingTokenMinter::IssueToken() {
   using Condition = backends::TableWrite::Condition;
   auto item = co_await m_table.Get(kPartition, m_host);
   if (!item)
--- a/src/libverbenalead/daemon/fencing_token_minter.h
+++ b/src/libverbenalead/daemon/fencing_token_minter.h
@@ -20,7 +20,7 @@
 
   /// Issues the next token. kConflict: this process has been superseded, which
   /// is final. Any other failure may be retried.
-  Awaitable<AsyncResult<uint64_t>> Mint();
+  Awaitable<AsyncResult<uint64_t>> IssueToken();
 
  private:
   const std::string m_host;
--- a/src/libverbenalead/daemon/leaving_entries.cc
+++ b/src/libverbenalead/daemon/leaving_entries.cc
@@ -28,13 +28,14 @@
 
 void LeavingEntries::Add(const std::string& host) {
   std::lock_guard lock(m_mutex);
-  m_since[host] = Now();
+  m_announced_at[host] = Now();
 }
 
 bool LeavingEntries::Contains(const std::string& host) const {
   std::lock_guard lock(m_mutex);
-  auto found = m_since.find(host);
-  return found != m_since.end() && Now() - found->second < kNoticeLifetime;
+  auto found = m_announced_at.find(host);
+  return found != m_announced_at.end() &&
+         Now() - found->second < kNoticeLifetime;
 }
 
 wire::Handler WithLeavingNotices(LeavingEntries& leaving,
--- a/src/libverbenalead/daemon/leaving_entries.h
+++ b/src/libverbenalead/daemon/leaving_entries.h
@@ -24,7 +24,7 @@
 
  private:
   mutable std::mutex m_mutex;
-  std::map<std::string, TimePoint> m_since;
+  std::map<std::string, TimePoint> m_announced_at;
 };
 
 /// Returns a handler that serves POST /v1/leaving, by which an entry announces
--- a/src/libverbenalead/daemon/locked_quarantine.h
+++ b/src/libverbenalead/daemon/locked_quarantine.h
@@ -30,21 +30,21 @@
     if (m_on_new_records)
       m_on_new_records();
   }
-  void NoteSuccess(uint64_t key) {
+  void RecordSuccess(uint64_t key) {
     std::lock_guard lock(m_mutex);
-    decide::NoteSuccess(m_state, key, Now());
+    decide::RecordSuccess(m_state, key, Now());
   }
   bool IsQuarantined(uint64_t key) const {
     std::lock_guard lock(m_mutex);
     return decide::IsQuarantined(m_state, key, Now());
   }
-  std::vector<decide::CrashRecord> News() {
+  std::vector<decide::CrashRecord> TakeCrashRecords() {
     std::lock_guard lock(m_mutex);
-    return decide::News(m_state);
+    return decide::TakeCrashRecords(m_state);
   }
-  void Merge(const std::vector<decide::CrashRecord>& records) {
+  void MergeCrashRecords(const std::vector<decide::CrashRecord>& records) {
     std::lock_guard lock(m_mutex);
-    decide::Merge(m_state, records, Now());
+    decide::MergeCrashRecords(m_state, records, Now());
   }
 
  private:
--- a/src/libverbenalead/daemon/pool_router.cc
+++ b/src/libverbenalead/daemon/pool_router.cc
@@ -44,8 +44,9 @@
     const uint64_t ticket = ++m_last_ticket;
     m_waiters[ticket] = waiter;
     decide::CountFirstAttempt(m_budget);
-    Deliver(decide::Tick(m_admit, decide::UsableCapacity(m_place, now), now));
-    Deliver(decide::Arrive(m_admit, ticket, call, now));
+    Deliver(decide::UpdateCapacity(
+        m_admit, decide::UsableCapacity(m_selection, now), now));
+    Deliver(decide::CallArrived(m_admit, ticket, call, now));
     start_sweep = TryStartSweep();
   }
   if (start_sweep)
@@ -91,18 +92,20 @@
 void PoolRouter::Finish(const model::Call& call,
                         std::optional<Duration> elapsed) {
   std::lock_guard lock(m_mutex);
-  Deliver(decide::Finish(m_admit, decide::WorkUnits(call), elapsed, Now()));
+  Deliver(
+      decide::CallFinished(m_admit, decide::WorkUnits(call), elapsed, Now()));
 }
 
-std::optional<decide::Placement> PoolRouter::Place(
+std::optional<decide::Placement> PoolRouter::ChooseTarget(
     const model::Call& call,
     const std::set<std::string>& tried,
     Duration waited) {
   std::lock_guard lock(m_mutex);
   const TimePoint now = Now();
-  auto placement = decide::Place(m_place, call, tried, waited, now, m_random);
+  auto placement =
+      decide::ChooseTarget(m_selection, call, tried, waited, now, m_random);
   if (placement)
-    decide::AttemptSent(m_place, placement->m_target, call, now);
+    decide::AttemptSent(m_selection, placement->m_target, call, now);
   return placement;
 }
 
@@ -113,9 +116,9 @@
                               std::optional<uint32_t> running) {
   std::lock_guard lock(m_mutex);
   const TimePoint now = Now();
-  decide::AttemptEnded(m_place, target, call, feedback, elapsed, now);
+  decide::AttemptEnded(m_selection, target, call, feedback, elapsed, now);
   if (running)
-    decide::LoadObserved(m_place, target, *running, now);
+    decide::LoadObserved(m_selection, target, *running, now);
 }
 
 decide::RetryDecision PoolRouter::DecideRetry(
@@ -129,29 +132,30 @@
   std::lock_guard lock(m_mutex);
   const TimePoint now = Now();
   decide::LowerConcurrencyLimit(m_admit, now);
-  return decide::UsableCapacity(m_place, now) > 0;
+  return decide::UsableCapacity(m_selection, now) > 0;
 }
 
-void PoolRouter::Report(const model::TargetReport& report) {
+void PoolRouter::ApplyReport(const model::TargetReport& report) {
   std::lock_guard lock(m_mutex);
-  decide::Report(m_place, report, Now());
+  decide::ApplyReport(m_selection, report, Now());
 }
 
 void PoolRouter::RemoveTarget(const std::string& target) {
   std::lock_guard lock(m_mutex);
-  decide::RemoveTarget(m_place, target);
+  decide::RemoveTarget(m_selection, target);
 }
 
 void PoolRouter::Tick() {
   std::lock_guard lock(m_mutex);
   const TimePoint now = Now();
-  Deliver(decide::Tick(m_admit, decide::UsableCapacity(m_place, now), now));
+  Deliver(decide::UpdateCapacity(
+      m_admit, decide::UsableCapacity(m_selection, now), now));
 }
 
 std::vector<model::TargetReport> PoolRouter::Targets() const {
   std::lock_guard lock(m_mutex);
   std::vector<model::TargetReport> reports;
-  for (const decide::TargetView& target : m_place.m_targets)
+  for (const decide::TargetView& target : m_selection.m_targets)
     reports.push_back(target.m_report);
   return reports;
 }
--- a/src/libverbenalead/daemon/pool_router.h
+++ b/src/libverbenalead/daemon/pool_router.h
@@ -29,15 +29,16 @@
   /// Waits until `call` is admitted or refused. After kStart, Finish() has to
   /// be called once; otherwise the call's capacity is never released.
   Awaitable<decide::AdmissionAction> Admit(model::Call call);
-  /// `elapsed`: as for decide::Finish().
+  /// `elapsed`: as for decide::CallFinished().
   void Finish(const model::Call& call, std::optional<Duration> elapsed);
 
   /// Chooses a target and counts the attempt as sent to it. AttemptEnded() has
   /// to be called once afterwards. `waited` is the time since target selection
   /// for the call began. Returns nullopt if no target can take the call.
-  std::optional<decide::Placement> Place(const model::Call& call,
-                                         const std::set<std::string>& tried,
-                                         Duration waited);
+  std::optional<decide::Placement> ChooseTarget(
+      const model::Call& call,
+      const std::set<std::string>& tried,
+      Duration waited);
   /// `running`: the number of running attempts that the target reported, if
   /// any.
   void AttemptEnded(const std::string& target,
@@ -52,7 +53,7 @@
   /// useless.
   bool RecordTargetsFull();
 
-  void Report(const model::TargetReport& report);
+  void ApplyReport(const model::TargetReport& report);
   void RemoveTarget(const std::string& target);
   /// Updates the capacity and handles waiting calls. To be called a few times
   /// per second.
@@ -75,7 +76,7 @@
 
   mutable std::mutex m_mutex;
   decide::AdmissionState m_admit;
-  decide::TargetSelectionState m_place;
+  decide::TargetSelectionState m_selection;
   decide::RetryBudget m_budget;
   decide::Random m_random;
   uint64_t m_last_ticket = 0;
--- a/src/libverbenalead/daemon/pool_router_test.cc
+++ b/src/libverbenalead/daemon/pool_router_test.cc
@@ -38,7 +38,7 @@
            !counts.m_max_concurrent.compare_exchange_weak(max_concurrent,
                                                           concurrent)) {
     }
-    const auto placement = router.Place(call, {}, {});
+    const auto placement = router.ChooseTarget(call, {}, {});
     co_await Sleep(1ms);
     if (placement)
       router.AttemptEnded(placement->m_target, call,
@@ -70,7 +70,7 @@
     report.m_incarnation = 1;
     report.m_capacity = 8;
     report.m_open = true;
-    router.Report(report);
+    router.ApplyReport(report);
     Counts counts;
     for (int i = 0; i < kCalls; ++i) {
       boost::asio::co_spawn(threads.Next(),
@@ -89,7 +89,7 @@
   static Awaitable<void> ReportAndTick(PoolRouter& router,
                                        model::TargetReport report) {
     while (true) {
-      router.Report(report);
+      router.ApplyReport(report);
       router.Tick();
       router.Targets();
       co_await Sleep(1ms);
--- a/src/libverbenalead/daemon/recorded_answer.cc
+++ b/src/libverbenalead/daemon/recorded_answer.cc
@@ -19,7 +19,7 @@
                                       {"status", answer.m_status},
                                       {"content_type", answer.m_content_type},
                                       {"body", answer.m_body},
-                                      {"whole", answer.m_whole},
+                                      {"whole", answer.m_has_body},
                                       {"request", answer.m_request},
                                       {"target", answer.m_target},
                                       {"version", answer.m_version},
@@ -36,7 +36,8 @@
   BOOST_LEAF_ASSIGN(answer.m_content_type,
                     model::TextField(object, "content_type"));
   BOOST_LEAF_ASSIGN(answer.m_body, model::TextField(object, "body"));
-  BOOST_LEAF_ASSIGN(answer.m_whole, model::FlagFieldOr(object, "whole", false));
+  BOOST_LEAF_ASSIGN(answer.m_has_body,
+                    model::FlagFieldOr(object, "whole", false));
   BOOST_LEAF_ASSIGN(answer.m_request, model::TextField(object, "request"));
   BOOST_LEAF_ASSIGN(answer.m_target, model::TextField(object, "target"));
   BOOST_LEAF_ASSIGN(answer.m_version, model::TextField(object, "version"));
--- a/src/libverbenalead/daemon/recorded_answer.h
+++ b/src/libverbenalead/daemon/recorded_answer.h
@@ -18,7 +18,7 @@
   std::string m_body;
   /// Whether m_body holds the answer. False if the answer was streamed, too
   /// long or not text; m_body must then not be returned as the answer.
-  bool m_whole = false;
+  bool m_has_body = false;
   std::string m_request;
   std::string m_target;
   std::string m_version;
--- a/src/libverbenalead/daemon/request_runner.cc
+++ b/src/libverbenalead/daemon/request_runner.cc
@@ -92,7 +92,7 @@
     problem.m_version = answer.m_version;
     return front::ToResponse(problem);
   }
-  if (!answer.m_whole) {
+  if (!answer.m_has_body) {
     front::Problem problem =
         MakeProblem(call, answer.m_outcome, "answer_not_kept", {});
     problem.m_status = kConflictStatus;
@@ -140,7 +140,7 @@
     result.m_retry_after = admitted.m_retry_after;
   } else {
     const TimePoint started = Now();
-    result = co_await Attempt(call, std::move(request), writer);
+    result = co_await SendAttempts(call, std::move(request), writer);
     std::optional<Duration> elapsed;
     if (result.m_outcome == Outcome::kCompleted)
       elapsed = Now() - started;
@@ -148,7 +148,7 @@
   }
   if (claim)
     co_await SettleClaim(call, *claim, result);
-  co_await Tell(std::move(call), std::move(result), writer);
+  co_await ReportOutcome(std::move(call), std::move(result), writer);
 }
 
 Awaitable<void> RequestRunner::RefuseQuarantined(model::Call call,
@@ -169,7 +169,7 @@
   using Kind = ClaimResult::Kind;
   LogLine line("claim");
   line.With("key", call.idempotency_key()).With("reason", claim.m_reason);
-  if (claim.m_kind == Kind::kOurs) {
+  if (claim.m_kind == Kind::kClaimed) {
     m_journal.Record(call.id(), line.With("result", "ours"));
     co_return claim.m_writer;
   }
@@ -194,7 +194,7 @@
   co_return std::nullopt;
 }
 
-Awaitable<RequestRunner::CallResult> RequestRunner::Attempt(
+Awaitable<RequestRunner::CallResult> RequestRunner::SendAttempts(
     model::Call call,
     wire::Request request,
     wire::ResponseWriter& writer) {
@@ -234,7 +234,7 @@
   std::set<std::string> tried;
   RoundResult end_without_target = RoundResult::kFull;
   while (true) {
-    auto placement = router.Place(call, tried, Now() - started);
+    auto placement = router.ChooseTarget(call, tried, Now() - started);
     if (!placement)
       co_return end_without_target;
     tried.insert(placement->m_target);
@@ -249,7 +249,7 @@
                      LogLine("attempt_ended")
                          .With("attempt", uint64_t{result.m_attempts})
                          .With("target", result.m_target)
-                         .With("version", result.m_last.m_version)
+                         .With("version", result.m_last_attempt.m_version)
                          .With("result", ToString(decision.m_outcome))
                          .With("retry", decision.m_retry)
                          .With("over_budget", decision.m_over_budget)
@@ -285,9 +285,9 @@
     line.With("max_running", uint64_t{placement.m_max_running});
   m_journal.Record(call.id(), line);
   const TimePoint sent = Now();
-  result.m_last = co_await m_attempts.Run(call, placement, result.m_attempts,
-                                          request, writer);
-  const AttemptReport& last = result.m_last;
+  result.m_last_attempt = co_await m_attempts.Run(
+      call, placement, result.m_attempts, request, writer);
+  const AttemptReport& last = result.m_last_attempt;
   result.m_reason = last.m_reason;
   m_routers.Get(call.pool())
       .AttemptEnded(placement.m_target, call, SignOf(last), Now() - sent,
@@ -298,7 +298,7 @@
         call.id(), LogLine("crashed_under").With("target", placement.m_target));
   }
   if (last.m_end == decide::AttemptEnd::kCompleted)
-    m_quarantine.NoteSuccess(call.fingerprint());
+    m_quarantine.RecordSuccess(call.fingerprint());
   decide::FinishedAttempt ended;
   ended.m_end = last.m_end;
   ended.m_answer_started = last.m_answer_started;
@@ -317,15 +317,15 @@
     answer.m_outcome = result.m_outcome;
     answer.m_request = call.id();
     answer.m_target = result.m_target;
-    answer.m_version = result.m_last.m_version;
+    answer.m_version = result.m_last_attempt.m_version;
     answer.m_reason = result.m_reason;
-    const wire::Response& last = result.m_last.m_answer;
+    const wire::Response& last = result.m_last_attempt.m_answer;
     answer.m_status = last.m_status;
     answer.m_content_type = wire::Get(last.m_headers, "content-type");
-    answer.m_whole = !result.m_last.m_answer_started &&
-                     last.m_body.size() <= kMaxRecordedBody &&
-                     IsJsonText(last.m_body);
-    if (answer.m_whole)
+    answer.m_has_body = !result.m_last_attempt.m_answer_started &&
+                        last.m_body.size() <= kMaxRecordedBody &&
+                        IsJsonText(last.m_body);
+    if (answer.m_has_body)
       answer.m_body = last.m_body;
     settled = co_await m_claims.Record(call, writer, std::move(answer));
   }
@@ -336,17 +336,18 @@
   }
 }
 
-Awaitable<void> RequestRunner::Tell(model::Call call,
-                                    CallResult result,
-                                    wire::ResponseWriter& writer) {
-  m_journal.Record(call.id(), LogLine("outcome")
-                                  .With("outcome", ToString(result.m_outcome))
-                                  .With("target", result.m_target)
-                                  .With("version", result.m_last.m_version)
-                                  .With("attempts", uint64_t{result.m_attempts})
-                                  .With("reason", result.m_reason)
-                                  .With("call", call.instance()));
-  const AttemptReport& last = result.m_last;
+Awaitable<void> RequestRunner::ReportOutcome(model::Call call,
+                                             CallResult result,
+                                             wire::ResponseWriter& writer) {
+  m_journal.Record(call.id(),
+                   LogLine("outcome")
+                       .With("outcome", ToString(result.m_outcome))
+                       .With("target", result.m_target)
+                       .With("version", result.m_last_attempt.m_version)
+                       .With("attempts", uint64_t{result.m_attempts})
+                       .With("reason", result.m_reason)
+                       .With("call", call.instance()));
+  const AttemptReport& last = result.m_last_attempt;
   if (last.m_answer_started) {
     // The terminator of the chunked encoding is not sent for a stream that was
     // cut short, so that the caller can't take the stream for complete.
--- a/src/libverbenalead/daemon/request_runner.h
+++ b/src/libverbenalead/daemon/request_runner.h
@@ -54,7 +54,7 @@
     /// An attempt may have run. A later attempt that did not run doesn't change
     /// this.
     bool m_in_doubt = false;
-    AttemptReport m_last;
+    AttemptReport m_last_attempt;
   };
 
   /// Refuses a request that is quarantined because targets crashed while they
@@ -68,9 +68,9 @@
   /// Sends attempts until `call` has run, can't be retried, or has reached its
   /// deadline. A call that finds all targets full keeps its admission slot and
   /// starts another round after a pause.
-  Awaitable<CallResult> Attempt(model::Call call,
-                                wire::Request request,
-                                wire::ResponseWriter& writer);
+  Awaitable<CallResult> SendAttempts(model::Call call,
+                                     wire::Request request,
+                                     wire::ResponseWriter& writer);
   /// The result of one round of attempts, each at another target. kDone: the
   /// result of the call is final.
   enum class RoundResult { kDone, kFull, kRefusedByTargets };
@@ -88,9 +88,9 @@
   Awaitable<void> SettleClaim(model::Call call,
                               uint64_t writer,
                               CallResult result);
-  Awaitable<void> Tell(model::Call call,
-                       CallResult result,
-                       wire::ResponseWriter& writer);
+  Awaitable<void> ReportOutcome(model::Call call,
+                                CallResult result,
+                                wire::ResponseWriter& writer);
 
   PoolRouters& m_routers;
   AttemptRunner m_attempts;
--- a/src/libverbenalead/daemon/target_daemon.cc
+++ b/src/libverbenalead/daemon/target_daemon.cc
@@ -194,10 +194,10 @@
     report.m_peer_bytes = m_counters.m_peer_bytes;
     const VersionProgress progress = m_versions.progress();
     report.m_version = progress.m_active_version;
-    report.m_loading = progress.m_loading;
+    report.m_loading_version = progress.m_loading_version;
     report.m_stage = progress.m_stage;
     report.m_reason = progress.m_reason;
-    if (!progress.m_loading.empty()) {
+    if (!progress.m_loading_version.empty()) {
       const auto manifest = m_store.GetManifest(progress.m_loading_digest);
       report.m_chunks_total = manifest ? manifest->chunk_count() : 0;
       report.m_chunks_held = m_store.HeldChunkCount(progress.m_loading_digest);
@@ -253,7 +253,7 @@
     while (true) {
       co_await Sleep(kAttemptCleanupInterval);
       m_gate.With([](decide::GateState& gate) {
-        decide::Forget(gate, Now());
+        decide::EraseOldAttempts(gate, Now());
         return 0;
       });
     }
--- a/src/libverbenalead/daemon/target_directory.cc
+++ b/src/libverbenalead/daemon/target_directory.cc
@@ -27,18 +27,18 @@
     if (round % kPollsPerHostList == 0) {
       co_await m_hosts.Refresh();
       std::vector<model::Host> hosts = m_hosts.All();
-      if (hosts != m_listed)
+      if (hosts != m_listed_hosts)
         decide::SetHosts(m_members, hosts);
-      m_listed = std::move(hosts);
+      m_listed_hosts = std::move(hosts);
     }
     for (const model::Host& host : decide::TargetsToWatch(m_members, Now())) {
       if (host.leaving())
         MarkLeaving(host);
-      bool& request_pending = m_known[host.name()].m_request_pending;
+      bool& request_pending = m_watched[host.name()].m_request_pending;
       if (request_pending)
         continue;
       request_pending = true;
-      Spawn(executor, AskTarget(host), "ask_target");
+      Spawn(executor, RequestReport(host), "ask_target");
     }
     for (PoolRouter* router : m_routers.All())
       router->Tick();
@@ -50,28 +50,28 @@
 /// target may show it later, since its answer may be delayed; meanwhile no new
 /// calls must be sent there.
 void TargetDirectory::MarkLeaving(const model::Host& host) {
-  Known& known = m_known[host.name()];
+  WatchedTarget& known = m_watched[host.name()];
   if (known.m_report.m_name.empty() || known.m_report.m_leaving)
     return;
   known.m_report.m_leaving = true;
-  m_routers.Get(known.m_report.m_pool).Report(known.m_report);
+  m_routers.Get(known.m_report.m_pool).ApplyReport(known.m_report);
 }
 
-Awaitable<void> TargetDirectory::AskTarget(model::Host host) {
+Awaitable<void> TargetDirectory::RequestReport(model::Host host) {
   wire::Request request;
   request.m_path =
       "/v1/status?hold_ms=" + std::to_string(ToMilliseconds(kHold)) +
-      "&seen=" + m_known[host.name()].m_seen;
+      "&seen=" + m_watched[host.name()].m_report_mark;
   auto response = co_await wire::Fetch(m_peers, host.peer(), std::move(request),
                                        Now() + kHold + kReportTimeout);
-  m_known[host.name()].m_request_pending = false;
+  m_watched[host.name()].m_request_pending = false;
   if (response) {
     HandleReport(host, *response);
     co_return;
   }
   // Without a mark the target answers the next request at once. A delayed
   // answer would not show in time whether the target is alive.
-  m_known[host.name()].m_seen.clear();
+  m_watched[host.name()].m_report_mark.clear();
   LogLine("target_silent")
       .With("target", host.name())
       .With(response.error())
@@ -80,7 +80,7 @@
 
 void TargetDirectory::HandleReport(const model::Host& host,
                                    const wire::Response& response) {
-  Known& known = m_known[host.name()];
+  WatchedTarget& known = m_watched[host.name()];
   if (response.m_status != kUnchanged) {
     auto report =
         CatchFailure([&] { return model::ParseTargetReport(response.m_body); });
@@ -92,7 +92,7 @@
       return;
     }
     known.m_report = std::move(*report);
-    known.m_seen = wire::Get(response.m_headers, peer::kReportMark);
+    known.m_report_mark = wire::Get(response.m_headers, peer::kReportMark);
   }
   known.m_report.m_leaving |= host.leaving();
   // The address comes from the host list: the target only has the address that
@@ -100,7 +100,7 @@
   known.m_report.m_peer = host.peer();
   decide::RecordAnswer(m_members, host.name(), Now());
   m_config.RecordContact(known.m_report.m_revision);
-  m_routers.Get(known.m_report.m_pool).Report(known.m_report);
+  m_routers.Get(known.m_report.m_pool).ApplyReport(known.m_report);
 }
 
 }  // namespace verbenalead::daemon
--- a/src/libverbenalead/daemon/target_directory.h
+++ b/src/libverbenalead/daemon/target_directory.h
@@ -41,16 +41,16 @@
 
  private:
   /// The last report of a target.
-  struct Known {
+  struct WatchedTarget {
     /// Whether a status request to the target is in progress.
     bool m_request_pending = false;
     model::TargetReport m_report;
     /// The mark by which the target identifies that report; sent with the next
     /// status request, so that the target answers when its report differs.
-    std::string m_seen;
+    std::string m_report_mark;
   };
 
-  Awaitable<void> AskTarget(model::Host host);
+  Awaitable<void> RequestReport(model::Host host);
   void HandleReport(const model::Host& host, const wire::Response& response);
   void MarkLeaving(const model::Host& host);
 
@@ -61,8 +61,8 @@
   const Duration m_poll;
   // Used only by the thread that runs Run().
   decide::TargetWatchState m_members;
-  std::vector<model::Host> m_listed;
-  std::map<std::string, Known> m_known;
+  std::vector<model::Host> m_listed_hosts;
+  std::map<std::string, WatchedTarget> m_watched;
 };
 
 }  // namespace verbenalead::daemon
--- a/src/libverbenalead/daemon/target_peer_api.cc
+++ b/src/libverbenalead/daemon/target_peer_api.cc
@@ -41,20 +41,20 @@
 
 Awaitable<wire::Response> ServeChunk(Context context, wire::Request request) {
   const std::string path = wire::PathOf(request);
-  const Digest weights_digest = DigestAfter(path, kChunk);
+  const Digest digest = DigestAfter(path, kChunk);
   const size_t slash = path.rfind('/');
   decide::UploadRequest upload;
   upload.m_chunk = static_cast<uint32_t>(
       std::strtoul(path.c_str() + slash + 1, nullptr, 10));
-  upload.m_held = static_cast<uint32_t>(std::strtoul(
+  upload.m_chunk_count = static_cast<uint32_t>(std::strtoul(
       wire::Get(request.m_headers, kHeldHeader).c_str(), nullptr, 10));
-  upload.m_far =
+  upload.m_other_region =
       wire::Get(request.m_headers, kRegionHeader) != context->m_region;
   const WeightsStore::Chunk chunk =
-      context->m_store->Get(weights_digest, upload.m_chunk);
+      context->m_store->Get(digest, upload.m_chunk);
   if (!chunk)
     co_return wire::Response{404, {}, "not here"};
-  co_await context->m_uploads->Take(weights_digest, upload, chunk->size());
+  co_await context->m_uploads->WaitForTurn(digest, upload, chunk->size());
   co_return wire::Response{200, {}, *chunk};
 }
 
@@ -64,33 +64,31 @@
 Awaitable<void> ServeFollow(Context context,
                             std::string path,
                             wire::ResponseWriter& writer) {
-  const Digest weights_digest = DigestAfter(path, kHave);
+  const Digest digest = DigestAfter(path, kHave);
   bool alive = co_await writer.Start({200, {}});
-  auto manifest = context->m_store->GetManifest(weights_digest);
+  auto manifest = context->m_store->GetManifest(digest);
   const TimePoint wait_end = Now() + kManifestWaitLimit;
   while (alive && !manifest && Now() < wait_end) {
     co_await Sleep(kUpdateSendInterval);
-    alive = !writer.gone();
-    manifest = context->m_store->GetManifest(weights_digest);
+    alive = !writer.disconnected();
+    manifest = context->m_store->GetManifest(digest);
   }
   if (!alive || !manifest)
     co_return;
   // The count is read before the bits: a chunk that arrives between the two
   // reads is then sent twice. In the other order it would not be sent at all.
-  size_t sent_count = context->m_store->Arrivals(weights_digest, 0).size();
-  alive =
-      co_await writer.Write(context->m_store->HeldChunkBits(weights_digest));
+  size_t sent_count = context->m_store->ArrivalsSince(digest, 0).size();
+  alive = co_await writer.Write(context->m_store->HeldChunkBits(digest));
   while (alive && sent_count < manifest->chunk_count()) {
     co_await Sleep(kUpdateSendInterval);
     std::string update;
-    for (uint32_t chunk :
-         context->m_store->Arrivals(weights_digest, sent_count)) {
+    for (uint32_t chunk : context->m_store->ArrivalsSince(digest, sent_count)) {
       AppendNumber(update, chunk);
       ++sent_count;
     }
-    if (update.empty() && !context->m_store->GetManifest(weights_digest))
+    if (update.empty() && !context->m_store->GetManifest(digest))
       co_return;
-    alive = update.empty() ? !writer.gone() : alive;
+    alive = update.empty() ? !writer.disconnected() : alive;
     if (!update.empty())
       alive = co_await writer.Write(std::move(update));
   }
@@ -129,7 +127,7 @@
   while (true) {
     const model::TargetReport report = context->m_report();
     const std::string mark = decide::ReportMarkOf(report);
-    const ReportChange change = decide::NewsOf(mark, seen);
+    const ReportChange change = decide::CompareMarks(mark, seen);
     const bool ended = Now() >= wait_end;
     if (change == ReportChange::kUrgent ||
         (change == ReportChange::kDeferrable && ended)) {
@@ -148,7 +146,7 @@
   if (path == "/v1/status")
     co_return co_await ServeStatus(context, std::move(request));
   if (path == "/v1/void")
-    co_return context->m_attempts->MakeVoid(request);
+    co_return context->m_attempts->HandleVoid(request);
   if (path == "/v1/drain") {
     context->m_drain();
     co_return wire::Response{200, {}, "leaving"};
@@ -202,16 +200,15 @@
     co_await writer.Send({404, {}, "unknown path"});
     co_return;
   }
-  const Digest weights_digest = DigestAfter(path, kWeights);
-  const auto manifest = store.GetManifest(weights_digest);
-  if (!manifest ||
-      store.HeldChunkCount(weights_digest) != manifest->chunk_count()) {
+  const Digest digest = DigestAfter(path, kWeights);
+  const auto manifest = store.GetManifest(digest);
+  if (!manifest || store.HeldChunkCount(digest) != manifest->chunk_count()) {
     co_await writer.Send({404, {}, "not whole here"});
     co_return;
   }
   bool alive = co_await writer.Start({200, {}});
   for (uint32_t i = 0; alive && i < manifest->chunk_count(); ++i) {
-    const WeightsStore::Chunk chunk = store.Get(weights_digest, i);
+    const WeightsStore::Chunk chunk = store.Get(digest, i);
     if (!chunk)
       co_return;
     alive = co_await writer.Write(*chunk);
--- a/src/libverbenalead/daemon/upload_scheduler.cc
+++ b/src/libverbenalead/daemon/upload_scheduler.cc
@@ -34,31 +34,31 @@
   bool m_granted = false;
 };
 
-Awaitable<void> UploadScheduler::Take(Digest weights_digest,
-                                      decide::UploadRequest request,
-                                      uint64_t bytes) {
+Awaitable<void> UploadScheduler::WaitForTurn(Digest digest,
+                                             decide::UploadRequest request,
+                                             uint64_t bytes) {
   const auto executor = co_await asio::this_coro::executor;
   auto waiter = std::make_shared<Waiter>(executor, request);
-  Enqueue(weights_digest, waiter);
+  Enqueue(digest, waiter);
   while (!waiter->m_granted) {
     boost::system::error_code cancelled;
     co_await waiter->m_timer.async_wait(
         asio::redirect_error(asio::use_awaitable, cancelled));
   }
-  co_await m_link.Take(bytes);
+  co_await m_link.Acquire(bytes);
   Release();
 }
 
-void UploadScheduler::Enqueue(const Digest& weights_digest,
+void UploadScheduler::Enqueue(const Digest& digest,
                               std::shared_ptr<Waiter> waiter) {
   std::lock_guard lock(m_mutex);
-  if (!m_queues.contains(weights_digest) && m_queues.size() >= kMaxQueues) {
+  if (!m_queues.contains(digest) && m_queues.size() >= kMaxQueues) {
     std::erase_if(m_queues, [](const auto& each) {
       return each.second.m_waiting.empty();
     });
   }
   waiter->m_request.m_id = ++m_next_id;
-  decide::EnqueueUpload(m_queues[weights_digest], waiter->m_request);
+  decide::EnqueueUpload(m_queues[digest], waiter->m_request);
   m_waiters[m_next_id] = std::move(waiter);
   Grant();
 }
@@ -70,7 +70,7 @@
 }
 
 void UploadScheduler::Grant() {
-  for (auto& [weights_digest, queue] : m_queues) {
+  for (auto& [digest, queue] : m_queues) {
     while (m_busy < kMaxConcurrentUploads) {
       const auto next = decide::DequeueUpload(queue);
       if (!next)
--- a/src/libverbenalead/daemon/upload_scheduler.h
+++ b/src/libverbenalead/daemon/upload_scheduler.h
@@ -21,14 +21,14 @@
 
   /// Waits until it is the request's turn and the link's rate limit permits
   /// `bytes`.
-  Awaitable<void> Take(Digest weights_digest,
-                       decide::UploadRequest request,
-                       uint64_t bytes);
+  Awaitable<void> WaitForTurn(Digest digest,
+                              decide::UploadRequest request,
+                              uint64_t bytes);
 
  private:
   struct Waiter;
 
-  void Enqueue(const Digest& weights_digest, std::shared_ptr<Waiter> waiter);
+  void Enqueue(const Digest& digest, std::shared_ptr<Waiter> waiter);
   void Release();
   /// Starts the next requests while the link has capacity. Called with m_mutex
   /// held.
--- a/src/libverbenalead/daemon/version_controller.cc
+++ b/src/libverbenalead/daemon/version_controller.cc
@@ -82,8 +82,8 @@
     progress.m_stage = decide::ToString(state.m_stage);
     progress.m_reason = state.m_reason;
     if (state.m_stage != decide::RolloutStage::kInForce) {
-      progress.m_loading = name_of(m_wanted);
-      progress.m_loading_digest = m_wanted;
+      progress.m_loading_version = name_of(m_declared_digest);
+      progress.m_loading_digest = m_declared_digest;
     }
     return progress;
   });
@@ -100,7 +100,7 @@
         With([&](decide::RolloutState& state, decide::GateState& gate) {
           const decide::RolloutStage before = m_logged_stage;
           const bool was_open = gate.m_open;
-          m_wanted = plan.m_digest;
+          m_declared_digest = plan.m_digest;
           decide::RolloutAction next =
               decide::NextStep(state, gate, plan, Now());
           if (was_open && !gate.m_open)
@@ -120,12 +120,12 @@
       co_await Sleep(kStepInterval);
       continue;
     }
-    co_await Do(std::move(action));
+    co_await Execute(std::move(action));
     co_await Sleep(kActionDelay);
   }
 }
 
-Awaitable<void> VersionController::Do(decide::RolloutAction action) {
+Awaitable<void> VersionController::Execute(decide::RolloutAction action) {
   switch (action.m_kind) {
     case Kind::kNone:
       break;
@@ -165,7 +165,7 @@
   std::function<bool()> still_wanted = [this, digest] {
     return Plan().m_digest == digest &&
            With([](decide::RolloutState& state, decide::GateState& gate) {
-             return state.m_settled == gate.m_status_epoch;
+             return state.m_resolved_epoch == gate.m_status_epoch;
            });
   };
   auto fetched = co_await m_fetcher.Fetch(*version, still_wanted);
@@ -216,7 +216,7 @@
 }
 
 Awaitable<void> VersionController::MintFencingToken() {
-  auto fence = co_await m_fences.Mint();
+  auto fence = co_await m_fences.IssueToken();
   if (fence) {
     With([&](decide::RolloutState& state, decide::GateState&) {
       decide::FencingTokenMinted(state, *fence);
--- a/src/libverbenalead/daemon/version_controller.h
+++ b/src/libverbenalead/daemon/version_controller.h
@@ -49,7 +49,7 @@
   }
 
   const decide::RolloutPlan& Plan();
-  Awaitable<void> Do(decide::RolloutAction action);
+  Awaitable<void> Execute(decide::RolloutAction action);
   Awaitable<void> Fetch(Digest digest);
   Awaitable<void> ReadPermits();
   Awaitable<void> WritePermits(decide::LoadPermits permits);
@@ -86,7 +86,7 @@
   uint64_t m_plan_revision = 0;
   mutable decide::RolloutState m_state;
   /// The version that is declared for the pool, for progress().
-  Digest m_wanted;
+  Digest m_declared_digest;
   decide::RolloutStage m_logged_stage = decide::RolloutStage::kIdle;
   /// Names of all versions that this process has seen declared, by digest.
   std::map<Digest, std::string> m_version_names;
--- a/src/libverbenalead/daemon/version_progress.h
+++ b/src/libverbenalead/daemon/version_progress.h
@@ -11,7 +11,7 @@
 struct VersionProgress {
   std::string m_active_version;
   /// Name of the version being fetched or loaded; empty if there is none.
-  std::string m_loading;
+  std::string m_loading_version;
   Digest m_loading_digest;
   /// fetching, waiting, loading, in force, failed, idle or deposed.
   std::string m_stage;
--- a/src/libverbenalead/daemon/weights_fetcher.cc
+++ b/src/libverbenalead/daemon/weights_fetcher.cc
@@ -40,8 +40,8 @@
 
 }  // namespace
 
-struct WeightsFetcher::Run {
-  explicit Run(const asio::any_io_executor& executor) : m_wake(executor) {}
+struct WeightsFetcher::Transfer {
+  explicit Transfer(const asio::any_io_executor& executor) : m_wake(executor) {}
 
   /// Cancelled when a fetch has ended, so that the next step starts at once.
   asio::steady_timer m_wake;
@@ -85,7 +85,7 @@
   auto manifest = co_await FetchManifest(version);
   if (!manifest)
     co_return manifest.error();
-  auto run = std::make_shared<Run>(co_await asio::this_coro::executor);
+  auto run = std::make_shared<Transfer>(co_await asio::this_coro::executor);
   run->m_version = version;
   run->m_manifest = *manifest;
   decide::TransferLinks links = m_options.m_links;
@@ -94,7 +94,7 @@
       links, m_options.m_preference, m_options.m_origin_budget_percent);
   run->m_transfer = decide::StartTransfer(
       m_options.m_self, manifest->chunk_count(), limits, Now());
-  for (uint32_t chunk : m_store.Arrivals(manifest->whole(), 0))
+  for (uint32_t chunk : m_store.ArrivalsSince(manifest->digest(), 0))
     decide::RecordChunkArrival(run->m_transfer, chunk, Now());
   const auto executor = co_await asio::this_coro::executor;
   const TimePoint start = Now();
@@ -117,7 +117,7 @@
   co_return still_wanted;
 }
 
-void WeightsFetcher::DoStep(std::shared_ptr<Run> run,
+void WeightsFetcher::DoStep(std::shared_ptr<Transfer> run,
                             const asio::any_io_executor& executor) {
   const decide::TransferActions actions =
       decide::Step(run->m_transfer, Now(), m_random);
@@ -133,7 +133,7 @@
   for (const std::string& name : actions.m_follows) {
     auto cancelled = std::make_shared<bool>(false);
     run->m_follows[name] = cancelled;
-    Spawn(executor, Follow(run, name, cancelled), "follow");
+    Spawn(executor, FollowHost(run, name, cancelled), "follow");
   }
   for (const decide::FetchChunk& fetch : actions.m_fetches) {
     auto cancelled = std::make_shared<bool>(false);
@@ -147,7 +147,7 @@
   }
 }
 
-void WeightsFetcher::UpdateMembers(Run& run) {
+void WeightsFetcher::UpdateMembers(Transfer& run) {
   if (Now() < run.m_next_members)
     return;
   run.m_next_members = Now() + kMembersInterval;
@@ -163,21 +163,22 @@
   decide::SetMembers(run.m_transfer, std::move(members), Now(), m_random);
 }
 
-Awaitable<void> WeightsFetcher::Follow(std::shared_ptr<Run> run,
-                                       std::string name,
-                                       std::shared_ptr<const bool> cancelled) {
+Awaitable<void> WeightsFetcher::FollowHost(
+    std::shared_ptr<Transfer> run,
+    std::string name,
+    std::shared_ptr<const bool> cancelled) {
   const bool ended = co_await ReadAnnouncements(run, name, cancelled);
   if (!ended && !*cancelled)
     decide::RecordNeighbourLoss(run->m_transfer, name, Now(), m_random);
 }
 
 Awaitable<bool> WeightsFetcher::ReadAnnouncements(
-    std::shared_ptr<Run> run,
+    std::shared_ptr<Transfer> run,
     std::string name,
     std::shared_ptr<const bool> cancelled) {
   wire::Request request;
   request.m_path =
-      "/v1/have/" + ToString(run->m_manifest.whole()) + "?follow=1";
+      "/v1/have/" + ToString(run->m_manifest.digest()) + "?follow=1";
   auto opened = co_await m_peers.Open(
       run->m_endpoints[name], std::move(request), Now() + kPeerRequestTimeout);
   if (!opened)
@@ -203,7 +204,7 @@
 }
 
 Awaitable<AsyncResult<std::string>> WeightsFetcher::ReadFromOrigin(
-    std::shared_ptr<Run> run,
+    std::shared_ptr<Transfer> run,
     uint32_t chunk) {
   const model::Manifest& manifest = run->m_manifest;
   auto bytes = co_await m_origin.GetRange(run->m_version.m_weights,
@@ -215,14 +216,14 @@
 }
 
 Awaitable<AsyncResult<std::string>> WeightsFetcher::ReadFromPeer(
-    std::shared_ptr<Run> run,
+    std::shared_ptr<Transfer> run,
     decide::FetchChunk fetch,
     std::shared_ptr<const bool> cancelled) {
   const std::string& name = fetch.m_source.m_host;
   const uint64_t length = run->m_manifest.ChunkLength(fetch.m_chunk);
   wire::Request request;
   request.m_priority = wire::Priority::kBulk;
-  request.m_path = "/v1/chunk/" + ToString(run->m_manifest.whole()) + "/" +
+  request.m_path = "/v1/chunk/" + ToString(run->m_manifest.digest()) + "/" +
                    std::to_string(fetch.m_chunk);
   request.m_headers[kHeldHeader] = std::to_string(run->m_transfer.m_have_count);
   request.m_headers[kRegionHeader] = m_options.m_self.m_region;
@@ -264,7 +265,7 @@
 }
 
 Awaitable<void> WeightsFetcher::FetchChunk(
-    std::shared_ptr<Run> run,
+    std::shared_ptr<Transfer> run,
     decide::FetchChunk fetch,
     std::shared_ptr<const bool> cancelled) {
   AsyncResult<std::string> bytes = std::string();
@@ -274,9 +275,9 @@
     bytes = co_await ReadFromPeer(run, fetch, cancelled);
   AsyncResult<void> kept;
   if (bytes) {
-    co_await m_download.Take(bytes->size());
+    co_await m_download.Acquire(bytes->size());
     kept = CatchFailure([&] {
-      return m_store.Put(run->m_manifest.whole(), fetch.m_chunk,
+      return m_store.Put(run->m_manifest.digest(), fetch.m_chunk,
                          std::move(*bytes));
     });
   } else {
@@ -352,11 +353,12 @@
     auto manifest = CatchFailure([&] { return model::ParseManifest(*text); });
     if (!manifest)
       co_return manifest.error();
-    if (manifest->whole() != version.m_digest) {
+    if (manifest->digest() != version.m_digest) {
       co_return Failure{FailureCode::kCorrupt, "check manifest", version.m_name,
                         "it is of another version"};
     }
-    auto stored = CatchFailure([&] { return m_store.Begin(*manifest, *text); });
+    auto stored =
+        CatchFailure([&] { return m_store.Reserve(*manifest, *text); });
     if (!stored)
       co_return stored.error();
     co_return *manifest;
--- a/src/libverbenalead/daemon/weights_fetcher.h
+++ b/src/libverbenalead/daemon/weights_fetcher.h
@@ -52,33 +52,34 @@
                                      std::function<bool()> wanted);
 
  private:
-  struct Run;
+  struct Transfer;
 
   Awaitable<AsyncResult<model::Manifest>> FetchManifest(
       model::VersionSpec version);
   Awaitable<AsyncResult<std::string>> ManifestFromPeers(
       model::VersionSpec version);
   /// Runs one step of the transfer state machine and executes its actions.
-  void DoStep(std::shared_ptr<Run> run,
+  void DoStep(std::shared_ptr<Transfer> run,
               const boost::asio::any_io_executor& executor);
-  Awaitable<void> FetchChunk(std::shared_ptr<Run> run,
+  Awaitable<void> FetchChunk(std::shared_ptr<Transfer> run,
                              decide::FetchChunk fetch,
                              std::shared_ptr<const bool> cancelled);
   Awaitable<AsyncResult<std::string>> ReadFromPeer(
-      std::shared_ptr<Run> run,
+      std::shared_ptr<Transfer> run,
       decide::FetchChunk fetch,
       std::shared_ptr<const bool> cancelled);
-  Awaitable<AsyncResult<std::string>> ReadFromOrigin(std::shared_ptr<Run> run,
-                                                     uint32_t chunk);
-  Awaitable<void> Follow(std::shared_ptr<Run> run,
-                         std::string name,
-                         std::shared_ptr<const bool> cancelled);
+  Awaitable<AsyncResult<std::string>> ReadFromOrigin(
+      std::shared_ptr<Transfer> run,
+      uint32_t chunk);
+  Awaitable<void> FollowHost(std::shared_ptr<Transfer> run,
+                             std::string name,
+                             std::shared_ptr<const bool> cancelled);
   /// Reads announcements of chunks from a host until their stream ends. Returns
   /// false if the stream failed.
-  Awaitable<bool> ReadAnnouncements(std::shared_ptr<Run> run,
+  Awaitable<bool> ReadAnnouncements(std::shared_ptr<Transfer> run,
                                     std::string name,
                                     std::shared_ptr<const bool> cancelled);
-  void UpdateMembers(Run& run);
+  void UpdateMembers(Transfer& run);
 
   const Options m_options;
   WeightsStore& m_store;
--- a/src/libverbenalead/daemon/weights_store.cc
+++ b/src/libverbenalead/daemon/weights_store.cc
@@ -11,10 +11,10 @@
 
 }  // namespace
 
-Result<void> WeightsStore::Begin(const model::Manifest& manifest,
-                                 std::string text) {
+Result<void> WeightsStore::Reserve(const model::Manifest& manifest,
+                                   std::string text) {
   std::lock_guard lock(m_mutex);
-  if (m_versions.contains(manifest.whole()))
+  if (m_versions.contains(manifest.digest()))
     return {};
   if (m_reserved + manifest.size() > m_max_bytes) {
     return Fail(FailureCode::kRefused, "hold weights",
@@ -23,20 +23,20 @@
                     std::to_string(m_max_bytes));
   }
   m_reserved += manifest.size();
-  Version& version = m_versions[manifest.whole()];
+  Version& version = m_versions[manifest.digest()];
   version.m_manifest = manifest;
   version.m_text = std::move(text);
   version.m_chunks.resize(manifest.chunk_count());
   return {};
 }
 
-Result<void> WeightsStore::Put(const Digest& weights_digest,
+Result<void> WeightsStore::Put(const Digest& digest,
                                uint32_t index,
                                std::string bytes) {
   Digest declared;
   {
     std::lock_guard lock(m_mutex);
-    auto found = m_versions.find(weights_digest);
+    auto found = m_versions.find(digest);
     if (found == m_versions.end() ||
         index >= found->second.m_manifest.chunk_count())
       return Fail(FailureCode::kNotFound, "keep chunk", "no such version");
@@ -47,47 +47,46 @@
     return Fail(FailureCode::kCorrupt, "verify chunk", "wrong digest");
   auto chunk = std::make_shared<const std::string>(std::move(bytes));
   std::lock_guard lock(m_mutex);
-  auto found = m_versions.find(weights_digest);
+  auto found = m_versions.find(digest);
   if (found == m_versions.end())
     return Fail(FailureCode::kNotFound, "keep chunk", "version dropped");
   Version& version = found->second;
   if (!version.m_chunks[index]) {
     version.m_chunks[index] = std::move(chunk);
-    ++version.m_held;
+    ++version.m_held_count;
     version.m_arrivals.push_back(index);
   }
   return {};
 }
 
-WeightsStore::Chunk WeightsStore::Get(const Digest& weights_digest,
+WeightsStore::Chunk WeightsStore::Get(const Digest& digest,
                                       uint32_t index) const {
   std::lock_guard lock(m_mutex);
-  auto found = m_versions.find(weights_digest);
+  auto found = m_versions.find(digest);
   if (found == m_versions.end() || index >= found->second.m_chunks.size())
     return nullptr;
   return found->second.m_chunks[index];
 }
 
 std::optional<model::Manifest> WeightsStore::GetManifest(
-    const Digest& weights_digest) const {
+    const Digest& digest) const {
   std::lock_guard lock(m_mutex);
-  auto found = m_versions.find(weights_digest);
+  auto found = m_versions.find(digest);
   if (found == m_versions.end())
     return std::nullopt;
   return found->second.m_manifest;
 }
 
-std::string WeightsStore::ManifestText(const Digest& weights_digest) const {
+std::string WeightsStore::ManifestText(const Digest& digest) const {
   std::lock_guard lock(m_mutex);
-  auto found = m_versions.find(weights_digest);
+  auto found = m_versions.find(digest);
   return found == m_versions.end() ? std::string() : found->second.m_text;
 }
 
-std::vector<bool> WeightsStore::HeldChunkFlags(
-    const Digest& weights_digest) const {
+std::vector<bool> WeightsStore::HeldChunkFlags(const Digest& digest) const {
   std::lock_guard lock(m_mutex);
   std::vector<bool> have;
-  auto found = m_versions.find(weights_digest);
+  auto found = m_versions.find(digest);
   if (found == m_versions.end())
     return have;
   for (const Chunk& chunk : found->second.m_chunks)
@@ -95,8 +94,8 @@
   return have;
 }
 
-std::string WeightsStore::HeldChunkBits(const Digest& weights_digest) const {
-  const std::vector<bool> have = HeldChunkFlags(weights_digest);
+std::string WeightsStore::HeldChunkBits(const Digest& digest) const {
+  const std::vector<bool> have = HeldChunkFlags(digest);
   std::string bits((have.size() + 7) / 8, '\0');
   for (size_t i = 0; i < have.size(); ++i) {
     if (have[i])
@@ -105,25 +104,25 @@
   return bits;
 }
 
-std::vector<uint32_t> WeightsStore::Arrivals(const Digest& weights_digest,
-                                             size_t first) const {
+std::vector<uint32_t> WeightsStore::ArrivalsSince(const Digest& digest,
+                                                  size_t first) const {
   std::lock_guard lock(m_mutex);
-  auto found = m_versions.find(weights_digest);
+  auto found = m_versions.find(digest);
   if (found == m_versions.end() || first >= found->second.m_arrivals.size())
     return {};
   const std::vector<uint32_t>& all = found->second.m_arrivals;
   return {all.begin() + static_cast<std::ptrdiff_t>(first), all.end()};
 }
 
-uint32_t WeightsStore::HeldChunkCount(const Digest& weights_digest) const {
+uint32_t WeightsStore::HeldChunkCount(const Digest& digest) const {
   std::lock_guard lock(m_mutex);
-  auto found = m_versions.find(weights_digest);
-  return found == m_versions.end() ? 0 : found->second.m_held;
+  auto found = m_versions.find(digest);
+  return found == m_versions.end() ? 0 : found->second.m_held_count;
 }
 
-void WeightsStore::Drop(const Digest& weights_digest) {
+void WeightsStore::Drop(const Digest& digest) {
   std::lock_guard lock(m_mutex);
-  auto found = m_versions.find(weights_digest);
+  auto found = m_versions.find(digest);
   if (found == m_versions.end())
     return;
   m_reserved -= found->second.m_manifest.size();
--- a/src/libverbenalead/daemon/weights_store.h
+++ b/src/libverbenalead/daemon/weights_store.h
@@ -26,29 +26,25 @@
   /// Reserves memory for the version of `manifest`. Fails with kRefused if the
   /// total would exceed the limit. `text` is the manifest document, which is
   /// served to other hosts.
-  Result<void> Begin(const model::Manifest& manifest, std::string text);
+  Result<void> Reserve(const model::Manifest& manifest, std::string text);
   /// Stores a chunk. Fails with kCorrupt, and stores nothing, if the chunk's
   /// digest isn't the one in the manifest.
-  Result<void> Put(const Digest& weights_digest,
-                   uint32_t index,
-                   std::string bytes);
+  Result<void> Put(const Digest& digest, uint32_t index, std::string bytes);
 
   /// Returns null if the store doesn't hold the chunk.
-  Chunk Get(const Digest& weights_digest, uint32_t index) const;
-  std::optional<model::Manifest> GetManifest(
-      const Digest& weights_digest) const;
+  Chunk Get(const Digest& digest, uint32_t index) const;
+  std::optional<model::Manifest> GetManifest(const Digest& digest) const;
   /// Returns "" if the store doesn't hold the version.
-  std::string ManifestText(const Digest& weights_digest) const;
+  std::string ManifestText(const Digest& digest) const;
   /// Returns a bit set of the held chunks; chunk i is bit i % 8 of byte i / 8.
   /// Empty if the store doesn't hold the version.
-  std::string HeldChunkBits(const Digest& weights_digest) const;
+  std::string HeldChunkBits(const Digest& digest) const;
   /// Returns the held chunks in their order of arrival, without the first
   /// `first` ones. Empty if the store doesn't hold the version.
-  std::vector<uint32_t> Arrivals(const Digest& weights_digest,
-                                 size_t first) const;
-  std::vector<bool> HeldChunkFlags(const Digest& weights_digest) const;
-  uint32_t HeldChunkCount(const Digest& weights_digest) const;
-  void Drop(const Digest& weights_digest);
+  std::vector<uint32_t> ArrivalsSince(const Digest& digest, size_t first) const;
+  std::vector<bool> HeldChunkFlags(const Digest& digest) const;
+  uint32_t HeldChunkCount(const Digest& digest) const;
+  void Drop(const Digest& digest);
   std::vector<Digest> Versions() const;
 
  private:
@@ -56,7 +52,7 @@
     model::Manifest m_manifest;
     std::string m_text;
     std::vector<Chunk> m_chunks;
-    uint32_t m_held = 0;
+    uint32_t m_held_count = 0;
     std::vector<uint32_t> m_arrivals;
   };
 
--- a/src/libverbenalead/daemon/weights_store_test.cc
+++ b/src/libverbenalead/daemon/weights_store_test.cc
@@ -14,7 +14,9 @@
 
 model::Manifest MakeManifest() {
   model::ManifestBuilder builder;
-  builder.Whole(Sha256(kBytes)).Size(kBytes.size()).ChunkSize(kChunkSize);
+  builder.WeightsDigest(Sha256(kBytes))
+      .Size(kBytes.size())
+      .ChunkSize(kChunkSize);
   for (size_t offset = 0; offset < kBytes.size(); offset += kChunkSize)
     builder.Chunk(Sha256(kBytes.substr(offset, kChunkSize)));
   return *CatchFailure([&] { return builder.Build(); });
@@ -31,7 +33,7 @@
   void RefusesVersionOverMemoryLimit() {
     WeightsStore store(kBytes.size() - 1);
     const auto begun =
-        CatchFailure([&] { return store.Begin(MakeManifest(), "{}"); });
+        CatchFailure([&] { return store.Reserve(MakeManifest(), "{}"); });
     CPPUNIT_ASSERT(!begun);
     CPPUNIT_ASSERT(begun.error().m_code == FailureCode::kRefused);
     CPPUNIT_ASSERT(begun.error().m_reason.find("limit") != std::string::npos);
@@ -39,24 +41,24 @@
 
   void KeepsOnlyVerifiedChunks() {
     WeightsStore store(kBytes.size());
-    const Digest weights_digest = Sha256(kBytes);
+    const Digest digest = Sha256(kBytes);
     CPPUNIT_ASSERT(
-        CatchFailure([&] { return store.Begin(MakeManifest(), "{}"); }));
+        CatchFailure([&] { return store.Reserve(MakeManifest(), "{}"); }));
     const auto wrong =
-        CatchFailure([&] { return store.Put(weights_digest, 0, "012X"); });
+        CatchFailure([&] { return store.Put(digest, 0, "012X"); });
     CPPUNIT_ASSERT(!wrong && wrong.error().m_code == FailureCode::kCorrupt);
-    CPPUNIT_ASSERT(store.Get(weights_digest, 0) == nullptr);
+    CPPUNIT_ASSERT(store.Get(digest, 0) == nullptr);
     for (uint32_t chunk : {2, 0, 0}) {
       CPPUNIT_ASSERT(CatchFailure([&] {
-        return store.Put(weights_digest, chunk,
+        return store.Put(digest, chunk,
                          kBytes.substr(chunk * kChunkSize, kChunkSize));
       }));
     }
-    CPPUNIT_ASSERT(store.Arrivals(weights_digest, 0) ==
+    CPPUNIT_ASSERT(store.ArrivalsSince(digest, 0) ==
                    std::vector<uint32_t>({2, 0}));
-    CPPUNIT_ASSERT(store.Arrivals(weights_digest, 1) ==
+    CPPUNIT_ASSERT(store.ArrivalsSince(digest, 1) ==
                    std::vector<uint32_t>({0}));
-    CPPUNIT_ASSERT(store.Arrivals(weights_digest, 2).empty());
+    CPPUNIT_ASSERT(store.ArrivalsSince(digest, 2).empty());
   }
 
   // A stream of held chunks is parsed to the same result however it is split
--- a/src/libverbenalead/decide/admission.cc
+++ b/src/libverbenalead/decide/admission.cc
@@ -225,10 +225,10 @@
 
 }  // namespace
 
-std::vector<AdmissionAction> Arrive(AdmissionState& state,
-                                    uint64_t ticket,
-                                    const model::Call& call,
-                                    TimePoint now) {
+std::vector<AdmissionAction> CallArrived(AdmissionState& state,
+                                         uint64_t ticket,
+                                         const model::Call& call,
+                                         TimePoint now) {
   if (state.m_capacity == 0)
     return {Refuse(ticket, "no_usable_target", kRetryAfterNoTarget)};
   DecayRates(state, now);
@@ -261,10 +261,10 @@
   return actions;
 }
 
-std::vector<AdmissionAction> Finish(AdmissionState& state,
-                                    double units,
-                                    std::optional<Duration> elapsed,
-                                    TimePoint now) {
+std::vector<AdmissionAction> CallFinished(AdmissionState& state,
+                                          double units,
+                                          std::optional<Duration> elapsed,
+                                          TimePoint now) {
   if (elapsed) {
     DecayRates(state, now);
     state.m_served += units;
@@ -289,9 +289,9 @@
   BoundLimit(state);
 }
 
-std::vector<AdmissionAction> Tick(AdmissionState& state,
-                                  uint32_t capacity,
-                                  TimePoint now) {
+std::vector<AdmissionAction> UpdateCapacity(AdmissionState& state,
+                                            uint32_t capacity,
+                                            TimePoint now) {
   // Added capacity is used at once; targets refuse calls beyond their capacity.
   if (capacity > state.m_capacity)
     state.m_limit += capacity - state.m_capacity;
@@ -312,7 +312,7 @@
   return actions;
 }
 
-void Abandon(AdmissionState& state, uint64_t ticket) {
+void CallAbandoned(AdmissionState& state, uint64_t ticket) {
   auto organisation = state.m_tickets.find(ticket);
   if (organisation == state.m_tickets.end())
     return;
--- a/src/libverbenalead/decide/admission.h
+++ b/src/libverbenalead/decide/admission.h
@@ -80,17 +80,17 @@
 
 /// Handles the arrival of a call, which starts, waits or is refused at once.
 /// `ticket` identifies the call and must be unique.
-std::vector<AdmissionAction> Arrive(AdmissionState& state,
-                                    uint64_t ticket,
-                                    const model::Call& call,
-                                    TimePoint now);
+std::vector<AdmissionAction> CallArrived(AdmissionState& state,
+                                         uint64_t ticket,
+                                         const model::Call& call,
+                                         TimePoint now);
 /// Handles the end of a started call. `elapsed` is the time to its complete
 /// answer; nullopt means that there was none, so that the call is no sample of
 /// the service time.
-std::vector<AdmissionAction> Finish(AdmissionState& state,
-                                    double units,
-                                    std::optional<Duration> elapsed,
-                                    TimePoint now);
+std::vector<AdmissionAction> CallFinished(AdmissionState& state,
+                                          double units,
+                                          std::optional<Duration> elapsed,
+                                          TimePoint now);
 /// Lowers the limit after a started call has found all targets full: the
 /// entries together run more calls than the pool has slots. The call still
 /// counts as running, and the router retries it after kFullTargetPause.
@@ -98,11 +98,11 @@
 /// Sets the capacity, starts the calls that now fit, and refuses calls that can
 /// no longer meet their deadline. Called periodically and when capacity
 /// changes.
-std::vector<AdmissionAction> Tick(AdmissionState& state,
-                                  uint32_t capacity,
-                                  TimePoint now);
+std::vector<AdmissionAction> UpdateCapacity(AdmissionState& state,
+                                            uint32_t capacity,
+                                            TimePoint now);
 /// Removes a waiting call whose caller has disconnected.
-void Abandon(AdmissionState& state, uint64_t ticket);
+void CallAbandoned(AdmissionState& state, uint64_t ticket);
 
 }  // namespace verbenalead::decide
 
--- a/src/libverbenalead/decide/admission_action.h
+++ b/src/libverbenalead/decide/admission_action.h
@@ -12,7 +12,7 @@
 struct AdmissionAction {
   enum class Kind { kStart, kRefuse };
   Kind m_kind = Kind::kStart;
-  /// The ticket of the call, as passed to Arrive().
+  /// The ticket of the call, as passed to CallArrived().
   uint64_t m_ticket = 0;
   /// Set for kRefuse, as is m_retry_after: the reason that the response gives.
   std::string m_reason;
--- a/src/libverbenalead/decide/announcement_tracker.cc
+++ b/src/libverbenalead/decide/announcement_tracker.cc
@@ -32,7 +32,7 @@
                         bool same_data_center,
                         uint64_t revision,
                         TimePoint now) {
-  tracker.m_told_at = now;
+  tracker.m_announced_at = now;
   if (same_data_center)
     tracker.m_local_announced_at = now;
   if (tracker.m_known && revision <= tracker.m_weights_revision)
@@ -44,14 +44,16 @@
 bool DefersStoreRead(const AnnouncementTracker& tracker,
                      double spread,
                      TimePoint now) {
-  if (IsRecent(tracker.m_told_at, kAnnouncementTimeout, now) && tracker.m_known)
+  if (IsRecent(tracker.m_announced_at, kAnnouncementTimeout, now) &&
+      tracker.m_known)
     return true;
   const auto read_delay =
       kMinReadDelay + std::chrono::duration_cast<Duration>(
                           (kMaxReadDelay - kMinReadDelay) * spread);
   const TimePoint awaited_at = std::min<TimePoint>(
       tracker.m_rows_missing_at, tracker.m_started + kMaxAwaitTime);
-  return now - std::max({tracker.m_started, tracker.m_told_at, awaited_at}) <
+  return now -
+             std::max({tracker.m_started, tracker.m_announced_at, awaited_at}) <
          read_delay;
 }
 
--- a/src/libverbenalead/decide/announcement_tracker.h
+++ b/src/libverbenalead/decide/announcement_tracker.h
@@ -26,7 +26,7 @@
   uint64_t m_weights_revision = 0;
   /// When an entry last announced its revision; m_local_announced_at is the
   /// same for entries of this data centre only.
-  TimePoint m_told_at{};
+  TimePoint m_announced_at{};
   /// When an entry last answered that it has no rows yet.
   TimePoint m_rows_missing_at{};
   TimePoint m_local_announced_at{};
--- a/src/libverbenalead/decide/attempt_fuzz_test.cc
+++ b/src/libverbenalead/decide/attempt_fuzz_test.cc
@@ -243,7 +243,7 @@
     Message message = target.m_running[index];
     target.m_running.erase(target.m_running.begin() +
                            static_cast<ptrdiff_t>(index));
-    Leave(target.m_gate, AttemptOf(message), m_now);
+    EndAttempt(target.m_gate, AttemptOf(message), m_now);
     message.m_kind = Kind::kAnswer;
     AttemptObservations& evidence = message.m_evidence;
     evidence.m_was_admitted = true;
@@ -251,7 +251,7 @@
     // Some answers are truncated or have a wrong digest.
     evidence.m_reported_success =
         !evidence.m_reported_failure && pick % 13 != 0;
-    evidence.m_whole = pick % 17 != 0;
+    evidence.m_intact = pick % 17 != 0;
     m_network.push_back(message);
   }
 
--- a/src/libverbenalead/decide/attempt_gate.cc
+++ b/src/libverbenalead/decide/attempt_gate.cc
@@ -7,7 +7,7 @@
                         uint64_t incarnation,
                         const Digest& wanted,
                         TimePoint now) {
-  const AdmitResult result = Enter(gate, attempt, incarnation, wanted, now);
+  const AdmitResult result = Admit(gate, attempt, incarnation, wanted, now);
   if (result != AdmitResult::kAdmitted && result != AdmitResult::kDuplicate)
     VoidAttempt(gate, attempt, now);
   return result;
--- a/src/libverbenalead/decide/attempt_judge.cc
+++ b/src/libverbenalead/decide/attempt_judge.cc
@@ -18,7 +18,7 @@
     return AttemptEnd::kFailed;
   // A wrong length or digest means that the answer was truncated or corrupted
   // in transit.
-  return evidence.m_reported_success && evidence.m_whole
+  return evidence.m_reported_success && evidence.m_intact
              ? AttemptEnd::kCompleted
              : AttemptEnd::kInDoubt;
 }
--- a/src/libverbenalead/decide/attempt_judge.h
+++ b/src/libverbenalead/decide/attempt_judge.h
@@ -25,7 +25,7 @@
   /// The target reported failure of the run at the end of the answer.
   bool m_reported_failure = false;
   /// Length and digest of the received answer match those that the target sent.
-  bool m_whole = false;
+  bool m_intact = false;
   VoidReply m_void = VoidReply::kNone;
 };
 
--- a/src/libverbenalead/decide/call_policy.cc
+++ b/src/libverbenalead/decide/call_policy.cc
@@ -63,12 +63,13 @@
 }
 
 bool MayRetry(const CallProgress& progress, AttemptEnd end) {
-  if (progress.m_sent >= kMaxAttemptsSent)
+  if (progress.m_sent_attempts >= kMaxAttemptsSent)
     return false;
-  if (progress.m_runs == 0)
+  if (progress.m_possible_runs == 0)
     return end == AttemptEnd::kNotRun || end == AttemptEnd::kWrongReplica ||
            end == AttemptEnd::kUnreachable;
-  return IsRerunSafe(progress) && progress.m_runs < progress.m_max_attempts &&
+  return IsRerunSafe(progress) &&
+         progress.m_possible_runs < progress.m_max_attempts &&
          end != AttemptEnd::kGood && end != AttemptEnd::kAbandoned;
 }
 
--- a/src/libverbenalead/decide/call_policy.h
+++ b/src/libverbenalead/decide/call_policy.h
@@ -41,7 +41,7 @@
   bool m_can_be_on_time = true;
   /// Time within which the call's prompt, and all prompts queued before it,
   /// must be read for that.
-  Duration m_read{};
+  Duration m_read_within{};
 };
 
 /// Wait limit of a call whose caller began `elapsed` ago.
@@ -89,7 +89,7 @@
 
 /// How long a retried call may wait for a slot, by whether it may have run.
 inline Duration RetryWait(const CallProgress& progress) {
-  return progress.m_runs > 0 ? kRetryWaitAfterRun : kRetryWait;
+  return progress.m_possible_runs > 0 ? kRetryWaitAfterRun : kRetryWait;
 }
 
 /// Adjusts `call`, whose last attempt was cut off or rejected, before it is
--- a/src/libverbenalead/decide/call_policy_test.cc
+++ b/src/libverbenalead/decide/call_policy_test.cc
@@ -94,12 +94,12 @@
       progress.m_max_attempts = 3;
       AttemptEnd end = AnyEnd();
       do {
-        ++progress.m_sent;
+        ++progress.m_sent_attempts;
         if (end == AttemptEnd::kBroken || end == AttemptEnd::kFailed)
-          ++progress.m_runs;
-        RC_ASSERT(progress.m_runs <= 1u);
+          ++progress.m_possible_runs;
+        RC_ASSERT(progress.m_possible_runs <= 1u);
         const bool may_retry = MayRetry(progress, end);
-        RC_ASSERT(!may_retry || progress.m_runs == 0u);
+        RC_ASSERT(!may_retry || progress.m_possible_runs == 0u);
         if (!may_retry)
           break;
         end = AnyEnd();
@@ -115,10 +115,10 @@
       progress.m_max_attempts = *rc::gen::inRange<uint32_t>(1, 4);
       AttemptEnd end = AnyEnd();
       do {
-        ++progress.m_sent;
+        ++progress.m_sent_attempts;
         if (end == AttemptEnd::kBroken || end == AttemptEnd::kFailed)
-          ++progress.m_runs;
-        RC_ASSERT(progress.m_runs <= progress.m_max_attempts);
+          ++progress.m_possible_runs;
+        RC_ASSERT(progress.m_possible_runs <= progress.m_max_attempts);
         if (!MayRetry(progress, end))
           break;
         end = AnyEnd();
--- a/src/libverbenalead/decide/call_progress.h
+++ b/src/libverbenalead/decide/call_progress.h
@@ -14,13 +14,13 @@
   bool m_resumable = false;
   uint32_t m_max_attempts = 1;
   /// Attempts that were sent to a replica.
-  uint32_t m_sent = 0;
+  uint32_t m_sent_attempts = 0;
   /// Attempts that may have run, because nothing proves that they did not.
-  uint32_t m_runs = 0;
+  uint32_t m_possible_runs = 0;
   /// The replica of the current attempt has begun its answer. While false, the
-  /// attempt is still on its way to the replica and not included in `m_sent`
-  /// and `m_runs`.
-  bool m_begun = false;
+  /// attempt is still on its way to the replica and not included in
+  /// `m_sent_attempts` and `m_possible_runs`.
+  bool m_answer_begun = false;
 };
 
 }  // namespace verbenalead::decide
--- a/src/libverbenalead/decide/chunk_buckets.cc
+++ b/src/libverbenalead/decide/chunk_buckets.cc
@@ -9,7 +9,7 @@
     Erase(chunk);
   }
   m_copies[chunk] = static_cast<uint8_t>(copies);
-  m_places[chunk] = static_cast<uint32_t>(m_buckets[copies].size());
+  m_positions[chunk] = static_cast<uint32_t>(m_buckets[copies].size());
   m_buckets[copies].push_back(chunk);
 }
 
@@ -18,10 +18,10 @@
     return;
   std::vector<uint32_t>& bucket = m_buckets[m_copies[chunk]];
   const uint32_t last = bucket.back();
-  bucket[m_places[chunk]] = last;
-  m_places[last] = m_places[chunk];
+  bucket[m_positions[chunk]] = last;
+  m_positions[last] = m_positions[chunk];
   bucket.pop_back();
-  m_places[chunk] = kNowhere;
+  m_positions[chunk] = kNotContained;
 }
 
 }  // namespace verbenalead::decide
--- a/src/libverbenalead/decide/chunk_buckets.h
+++ b/src/libverbenalead/decide/chunk_buckets.h
@@ -16,9 +16,11 @@
   explicit ChunkBuckets(uint32_t chunk_count)
       : m_buckets(kMaxCopies + 1),
         m_copies(chunk_count),
-        m_places(chunk_count, kNowhere) {}
+        m_positions(chunk_count, kNotContained) {}
 
-  bool Contains(uint32_t chunk) const { return m_places[chunk] != kNowhere; }
+  bool Contains(uint32_t chunk) const {
+    return m_positions[chunk] != kNotContained;
+  }
   /// Moves `chunk` to the bucket of `copies`, whether or not it was in one.
   void Put(uint32_t chunk, uint32_t copies);
   void Erase(uint32_t chunk);
@@ -27,11 +29,11 @@
   }
 
  private:
-  static constexpr uint32_t kNowhere = ~uint32_t{0};
+  static constexpr uint32_t kNotContained = ~uint32_t{0};
 
   std::vector<std::vector<uint32_t>> m_buckets;
   std::vector<uint8_t> m_copies;
-  std::vector<uint32_t> m_places;
+  std::vector<uint32_t> m_positions;
 };
 
 }  // namespace verbenalead::decide
--- a/src/libverbenalead/decide/claim_batch.cc
+++ b/src/libverbenalead/decide/claim_batch.cc
@@ -38,7 +38,7 @@
             std::string value,
             Actions& actions) {
   auto operation = state.m_pending_operations.extract(id);
-  if (operation.mapped().m_silent)
+  if (operation.mapped().m_unattended)
     return;
   ClaimAction action;
   action.m_kind = ClaimAction::Kind::kReportResult;
@@ -58,7 +58,7 @@
                    TimePoint now) {
   operation.m_kind = Kind::kRelease;
   operation.m_value.clear();
-  operation.m_silent = true;
+  operation.m_unattended = true;
   operation.m_deadline = now + kFenceOffTimeout;
   Submit(state, std::move(operation));
 }
--- a/src/libverbenalead/decide/claim_operation.h
+++ b/src/libverbenalead/decide/claim_operation.h
@@ -33,7 +33,7 @@
   /// A write was sent whose answer was lost; it may still take effect.
   bool m_in_doubt = false;
   /// No caller waits for the result, so no kReportResult action is issued.
-  bool m_silent = false;
+  bool m_unattended = false;
 };
 
 /// Returns an operation that claims `key` for `writer`.
--- a/src/libverbenalead/decide/cold_start.h
+++ b/src/libverbenalead/decide/cold_start.h
@@ -26,8 +26,8 @@
   TimePoint m_started{};
   /// When the other entries became known, and how many of the same data centre
   /// rank before this one.
-  std::optional<TimePoint> m_known_at;
-  size_t m_before = 0;
+  std::optional<TimePoint> m_rank_known_at;
+  size_t m_rank = 0;
 };
 
 /// Time to learn of the other entries, which takes one small response of the
@@ -44,19 +44,18 @@
 /// Records that the other entries are known and that `rank` of those in this
 /// data centre rank before this one. Only the first call has an effect.
 inline void RecordRank(ColdStart& start, size_t rank, TimePoint now) {
-  if (start.m_known_at)
+  if (start.m_rank_known_at)
     return;
-  start.m_known_at = now;
-  start.m_before = rank;
+  start.m_rank_known_at = now;
+  start.m_rank = rank;
 }
 
 inline bool MayReadStore(const ColdStart& start, TimePoint now) {
-  if (!start.m_known_at)
+  if (!start.m_rank_known_at)
     return now - start.m_started >= kDiscoveryTimeout;
-  const Duration wait =
-      std::min<Duration>(kMaxStartupReadDelay,
-                         kReadStagger * static_cast<int64_t>(start.m_before));
-  return now - *start.m_known_at >= wait;
+  const Duration wait = std::min<Duration>(
+      kMaxStartupReadDelay, kReadStagger * static_cast<int64_t>(start.m_rank));
+  return now - *start.m_rank_known_at >= wait;
 }
 
 }  // namespace verbenalead::decide
--- a/src/libverbenalead/decide/config.cc
+++ b/src/libverbenalead/decide/config.cc
@@ -28,7 +28,7 @@
 
 ApplyResult Apply(ConfigState& state, const model::Change& change) {
   if (change.m_revision <= state.m_revision)
-    return ApplyResult::kOld;
+    return ApplyResult::kAlreadyApplied;
   if (change.m_revision != state.m_revision + 1)
     return ApplyResult::kMissingRevision;
   if (change.m_deleted) {
--- a/src/libverbenalead/decide/config.h
+++ b/src/libverbenalead/decide/config.h
@@ -36,7 +36,7 @@
 
 enum class ApplyResult {
   kApplied,
-  kOld,              ///< Already in force; nothing was changed.
+  kAlreadyApplied,   ///< Already in force; nothing was changed.
   kMissingRevision,  ///< A change before it is missing; nothing was changed.
 };
 
--- a/src/libverbenalead/decide/config_lease.h
+++ b/src/libverbenalead/decide/config_lease.h
@@ -34,7 +34,9 @@
       std::max(lease.m_proved_at.value_or(proved_at), proved_at);
 }
 
-inline bool Holds(const ConfigLease& lease, Duration length, Duration now) {
+inline bool IsLeaseValid(const ConfigLease& lease,
+                         Duration length,
+                         Duration now) {
   return lease.m_proved_at && now - *lease.m_proved_at < length;
 }
 
--- a/src/libverbenalead/decide/config_lease_test.cc
+++ b/src/libverbenalead/decide/config_lease_test.cc
@@ -24,17 +24,17 @@
  public:
   void IsValidForItsLengthOnly() {
     ConfigLease lease;
-    CPPUNIT_ASSERT(!Holds(lease, kLength, 0s));
+    CPPUNIT_ASSERT(!IsLeaseValid(lease, kLength, 0s));
     RenewLease(lease, 10s);
-    CPPUNIT_ASSERT(Holds(lease, kLength, 14499ms));
-    CPPUNIT_ASSERT(!Holds(lease, kLength, 14500ms));
+    CPPUNIT_ASSERT(IsLeaseValid(lease, kLength, 14499ms));
+    CPPUNIT_ASSERT(!IsLeaseValid(lease, kLength, 14500ms));
   }
 
   void OlderProofDoesNotExtendLease() {
     ConfigLease lease;
     RenewLease(lease, 10s);
     RenewLease(lease, 8s);
-    CPPUNIT_ASSERT(!Holds(lease, kLength, 14500ms));
+    CPPUNIT_ASSERT(!IsLeaseValid(lease, kLength, 14500ms));
   }
 
   void StoreClockDatesDelayedAnswer() {
@@ -73,7 +73,8 @@
                      AnsweredAt(clock, requested_at, answered_at - offset));
         }
         const Duration sent = now - latency;
-        const bool admitted = !removal_known && Holds(lease, kLength, now);
+        const bool admitted =
+            !removal_known && IsLeaseValid(lease, kLength, now);
         if (admitted)
           RC_ASSERT(sent <= removed + kBound);
       }
--- a/src/libverbenalead/decide/earliest_write.h
+++ b/src/libverbenalead/decide/earliest_write.h
@@ -11,7 +11,7 @@
 /// If the store has not confirmed for longer than this that the rows of a data
 /// centre are up to date, the store counts as unavailable. When an entry takes
 /// over the store queries of another entry, the gap is shorter.
-constexpr Duration kOutage = 3s;
+constexpr Duration kMaxUnprovedTime = 3s;
 
 /// Earliest time at which a row that is new in an answer of the store may have
 /// been written. All times are on one clock that also counts while the system
@@ -37,7 +37,7 @@
     return answered_at;
   const Duration time_without_query =
       std::max<Duration>(Duration(), requested_at - *proved_at);
-  if (time_without_query > kOutage)
+  if (time_without_query > kMaxUnprovedTime)
     return answered_at;
   return std::max(*proved_at, answered_at - time_without_query);
 }
--- a/src/libverbenalead/decide/fake_fleet.h
+++ b/src/libverbenalead/decide/fake_fleet.h
@@ -188,7 +188,7 @@
     });
     if (Place(number))
       return;
-    Wait(m_entries[call.m_entry], PoolCallOf(number));
+    AddWaitingCall(m_entries[call.m_entry], PoolCallOf(number));
     if (m_load.m_queue_at_targets)
       Reserve(number, until);
   }
@@ -201,17 +201,18 @@
                                      PoolCallOf(number), m_now, m_random);
     if (!replica)
       return false;
-    AskTarget(number, std::stoul(*replica));
+    RequestSlotAtTarget(number, std::stoul(*replica));
     return true;
   }
 
-  void AskTarget(uint64_t number, size_t replica) {
+  void RequestSlotAtTarget(uint64_t number, size_t replica) {
     CallAt(number).m_waits = false;
     Schedule(m_now + kNetworkDelay, [this, number, replica] {
       Target& target = m_targets[replica];
-      const SlotRequest request = WishOf(number, m_now);
-      const bool granted = Ask(target.m_queue, request, target.m_load, m_now) ==
-                           SlotVerdict::kGranted;
+      const SlotRequest slot_request = SlotRequestOf(number, m_now);
+      const bool granted =
+          RequestSlot(target.m_queue, slot_request, target.m_load, m_now) ==
+          SlotVerdict::kGranted;
       if (granted)
         CountGranted(number, replica);
       Schedule(m_now + kNetworkDelay, [this, number, replica, granted] {
@@ -220,20 +221,20 @@
     });
   }
 
-  SlotRequest WishOf(uint64_t number, TimePoint until) const {
+  SlotRequest SlotRequestOf(uint64_t number, TimePoint until) const {
     const PoolCall call = PoolCallOf(number);
-    SlotRequest request;
-    request.m_entry = EntryAddress(m_calls[number].m_entry);
-    request.m_ticket = number;
-    request.m_prompt_tokens = call.m_prompt_tokens;
-    request.m_can_be_on_time =
+    SlotRequest slot_request;
+    slot_request.m_entry = EntryAddress(m_calls[number].m_entry);
+    slot_request.m_ticket = number;
+    slot_request.m_prompt_tokens = call.m_prompt_tokens;
+    slot_request.m_can_be_on_time =
         call.m_can_be_on_time || !m_load.m_queue_at_targets;
-    request.m_read_deadline =
-        request.m_can_be_on_time ? call.m_read_deadline : m_now;
-    if (request.m_read_deadline == TimePoint::max())
-      request.m_read_deadline = m_now + std::chrono::hours(1);
-    request.m_until = until;
-    return request;
+    slot_request.m_read_deadline =
+        slot_request.m_can_be_on_time ? call.m_read_deadline : m_now;
+    if (slot_request.m_read_deadline == TimePoint::max())
+      slot_request.m_read_deadline = m_now + std::chrono::hours(1);
+    slot_request.m_until = until;
+    return slot_request;
   }
 
   void CountGranted(uint64_t number, size_t replica) {
@@ -251,7 +252,7 @@
       return;
     }
     NotePromptRead(pool, Name(replica), call.m_prompt_tokens);
-    Release(pool, Name(replica), AttemptEnd::kNotRun, m_now);
+    ReleaseSlot(pool, Name(replica), AttemptEnd::kNotRun, m_now);
     const TimePoint until = call.m_tries == 1 ? call.m_started_at + kObjective -
                                                     kSlack - PrefillTime(call)
                                               : m_now;
@@ -267,7 +268,7 @@
     });
     if (Place(number))
       return;
-    Wait(pool, PoolCallOf(number));
+    AddWaitingCall(pool, PoolCallOf(number));
     if (m_load.m_queue_at_targets)
       Reserve(number, until);
   }
@@ -283,8 +284,8 @@
         Target& target = m_targets[index];
         if (!m_calls[number].m_waits)
           return;  // It was withdrawn.
-        if (Ask(target.m_queue, WishOf(number, until), target.m_load, m_now) ==
-            SlotVerdict::kGranted)
+        if (RequestSlot(target.m_queue, SlotRequestOf(number, until),
+                        target.m_load, m_now) == SlotVerdict::kGranted)
           SendGrant(number, index);
       });
     }
@@ -298,7 +299,7 @@
       if (!call.m_waits) {
         // The call has a slot elsewhere: release this one.
         Schedule(m_now + kNetworkDelay, [this, number, replica] {
-          ReleaseSlot(replica, m_calls[number].m_prompt_tokens);
+          ReleaseReplicaSlot(replica, m_calls[number].m_prompt_tokens);
         });
         return;
       }
@@ -309,7 +310,7 @@
     });
   }
 
-  void ReleaseSlot(size_t replica, uint32_t unread) {
+  void ReleaseReplicaSlot(size_t replica, uint32_t unread) {
     Target& target = m_targets[replica];
     --target.m_load.m_calls;
     target.m_load.m_unread_tokens -= unread;
@@ -318,9 +319,9 @@
 
   void GrantWaiting(size_t replica) {
     Target& target = m_targets[replica];
-    for (const SlotRequest& request :
-         Grant(target.m_queue, target.m_load, m_now))
-      SendGrant(request.m_ticket, replica);
+    for (const SlotRequest& slot_request :
+         GrantSlots(target.m_queue, target.m_load, m_now))
+      SendGrant(slot_request.m_ticket, replica);
   }
 
   void Start(uint64_t number, size_t replica) {
@@ -367,10 +368,10 @@
     if (run.m_events_left > 0)
       return;
     call.m_answered = true;
-    Release(pool, Name(replica), AttemptEnd::kGood, m_now);
+    ReleaseSlot(pool, Name(replica), AttemptEnd::kGood, m_now);
     const size_t entry = call.m_entry;
     Schedule(m_now + kNetworkDelay,
-             [this, replica] { ReleaseSlot(replica, 0); });
+             [this, replica] { ReleaseReplicaSlot(replica, 0); });
     // The entry of the call is updated at once, the others after two network
     // delays.
     Wake(entry);
@@ -393,14 +394,14 @@
     state.m_other_entries_unread_tokens =
         target.m_load.m_unread_tokens -
         std::min(target.m_load.m_unread_tokens, state.m_unread_tokens);
-    state.m_waiting =
+    state.m_queued_calls =
         static_cast<uint32_t>(target.m_queue.m_slot_requests.size());
   }
 
   void Wake(size_t entry) {
     for (const StartedCall& start :
          StartWaitingCalls(m_entries[entry], m_now, m_random))
-      AskTarget(start.m_ticket, std::stoul(start.m_replica));
+      RequestSlotAtTarget(start.m_ticket, std::stoul(start.m_replica));
   }
 
   /// Refuses the call. Its caller retries once.
@@ -409,7 +410,7 @@
     call.m_waits = false;
     RemoveWaitingCall(m_entries[call.m_entry], number);
     for (Target& target : m_targets)
-      Withdraw(target.m_queue, EntryAddress(call.m_entry), number);
+      WithdrawRequest(target.m_queue, EntryAddress(call.m_entry), number);
     if (call.m_tries > 1)
       return;
     NoteOnTimeRefusal(m_late[call.m_entry], m_now);
--- a/src/libverbenalead/decide/fake_pool.h
+++ b/src/libverbenalead/decide/fake_pool.h
@@ -110,7 +110,7 @@
     }
     for (uint32_t i = 0; i < settings.m_targets; ++i) {
       for (uint32_t e = 0; e < settings.m_entries; ++e)
-        Report(m_entries[e].m_place, MakeReport(i), m_now);
+        ApplyReport(m_entries[e].m_selection, MakeReport(i), m_now);
       Schedule(m_now + settings.m_report_every * i / settings.m_targets,
                [this, i] { SendReports(i); });
     }
@@ -170,7 +170,7 @@
   };
   struct Entry {
     AdmissionState m_admit;
-    TargetSelectionState m_place;
+    TargetSelectionState m_selection;
     RetryBudget m_budget;
     Random m_random;
     size_t m_next_target = 0;
@@ -215,7 +215,7 @@
       const model::TargetReport report = MakeReport(target);
       Schedule(m_now + m_settings.m_report_lag, [this, report] {
         for (Entry& entry : m_entries)
-          Report(entry.m_place, report, m_now);
+          ApplyReport(entry.m_selection, report, m_now);
       });
     }
     Schedule(m_now + m_settings.m_report_every,
@@ -224,8 +224,8 @@
 
   void TickEntries() {
     for (size_t e = 0; e < m_entries.size(); ++e) {
-      const uint32_t capacity = UsableCapacity(m_entries[e].m_place, m_now);
-      ApplyActions(e, Tick(m_entries[e].m_admit, capacity, m_now));
+      const uint32_t capacity = UsableCapacity(m_entries[e].m_selection, m_now);
+      ApplyActions(e, UpdateCapacity(m_entries[e].m_admit, capacity, m_now));
     }
     m_worst_overdue = std::max(m_worst_overdue, overdue());
     Schedule(m_now + kDeadlineScanInterval, [this] { TickEntries(); });
@@ -243,7 +243,7 @@
       builder.Organisation("all").Deadline(arriving.deadline());
       arriving = builder.ExpectedTokens(arriving.expected_tokens()).Build();
     }
-    ApplyActions(e, Arrive(m_entries[e].m_admit, call, arriving, m_now));
+    ApplyActions(e, CallArrived(m_entries[e].m_admit, call, arriving, m_now));
   }
 
   void ApplyActions(size_t e, const std::vector<AdmissionAction>& actions) {
@@ -268,17 +268,18 @@
     StartAttempt(call, e, tried, 1, m_now);
   }
 
-  std::optional<Placement> ChooseTarget(const model::Call& call,
-                                        Entry& entry,
-                                        const std::set<std::string>& tried,
-                                        Duration waited) {
+  std::optional<Placement> ChooseByPolicy(const model::Call& call,
+                                          Entry& entry,
+                                          const std::set<std::string>& tried,
+                                          Duration waited) {
     if (m_settings.m_policy == Policy::kVerbenalead)
-      return Place(entry.m_place, call, tried, waited, m_now, entry.m_random);
+      return ChooseTarget(entry.m_selection, call, tried, waited, m_now,
+                          entry.m_random);
     if (m_settings.m_policy == Policy::kOracle)
       return ChooseByOracle(call, tried);
     std::vector<size_t> usable;
     for (size_t i = 0; i < m_targets.size(); ++i) {
-      const TargetView& view = entry.m_place.m_targets[i];
+      const TargetView& view = entry.m_selection.m_targets[i];
       if (m_now - view.m_reported_at <= kMaxReportAge &&
           !tried.contains(view.m_report.m_name))
         usable.push_back(i);
@@ -290,8 +291,8 @@
       chosen = usable[entry.m_next_target++ % usable.size()];
     if (m_settings.m_policy == Policy::kLeastReported) {
       const auto reported = [&entry](size_t a, size_t b) {
-        return entry.m_place.m_targets[a].m_report.m_running <
-               entry.m_place.m_targets[b].m_report.m_running;
+        return entry.m_selection.m_targets[a].m_report.m_running <
+               entry.m_selection.m_targets[b].m_report.m_running;
       };
       chosen = *std::min_element(usable.begin(), usable.end(), reported);
     }
@@ -338,13 +339,13 @@
     Entry& entry = m_entries[e];
     const model::Call& model_call = m_records[call].m_call;
     const auto placement =
-        ChooseTarget(model_call, entry, *tried, m_now - started);
+        ChooseByPolicy(model_call, entry, *tried, m_now - started);
     if (!placement) {
       LowerConcurrencyLimit(entry.m_admit, m_now);
       return RetryWhenFull(call, e, number, started);
     }
     tried->insert(placement->m_target);
-    AttemptSent(entry.m_place, placement->m_target, model_call, m_now);
+    AttemptSent(entry.m_selection, placement->m_target, model_call, m_now);
     const TimePoint sent = m_now;
     const size_t target = std::stoul(placement->m_target.substr(1));
     Schedule(m_now + m_settings.m_one_way, [=, this] {
@@ -433,9 +434,9 @@
       const std::string name = "t" + std::to_string(target);
       for (Entry& entry : m_entries) {
         if (cached)
-          PrefixCached(entry.m_place, name, prefix, when);
+          PrefixCached(entry.m_selection, name, prefix, when);
         else
-          PrefixEvicted(entry.m_place, name, prefix, when);
+          PrefixEvicted(entry.m_selection, name, prefix, when);
       }
     });
   }
@@ -452,10 +453,10 @@
     Schedule(m_now + m_settings.m_one_way, [=, this] {
       Entry& entry = m_entries[e];
       const model::Call& model_call = m_records[call].m_call;
-      AttemptEnded(entry.m_place, "t" + std::to_string(target), model_call,
+      AttemptEnded(entry.m_selection, "t" + std::to_string(target), model_call,
                    feedback, m_now - sent, m_now);
       if (feedback != TargetFeedback::kBroken)
-        LoadObserved(entry.m_place, "t" + std::to_string(target), running,
+        LoadObserved(entry.m_selection, "t" + std::to_string(target), running,
                      m_now);
       FinishedAttempt attempt;
       attempt.m_number = number;
@@ -483,7 +484,7 @@
     std::optional<Duration> elapsed;
     if (good)
       elapsed = m_now - started;
-    ApplyActions(e, Finish(m_entries[e].m_admit, units, elapsed, m_now));
+    ApplyActions(e, CallFinished(m_entries[e].m_admit, units, elapsed, m_now));
   }
 
   /// Handles a call for which no target had a free slot: the call still counts
--- a/src/libverbenalead/decide/fetch_window.h
+++ b/src/libverbenalead/decide/fetch_window.h
@@ -16,11 +16,11 @@
 /// them; calls reach the replica after their callers have disconnected, and its
 /// work on them is wasted.
 struct FetchWindow {
-  uint32_t m_most = 0;
+  uint32_t m_max_size = 0;
   /// A longer wait for a chunk means that the link is congested; zero: the
-  /// window always is m_most.
+  /// window always is m_max_size.
   Duration m_slow_threshold{};
-  uint32_t m_size = m_most;
+  uint32_t m_size = m_max_size;
 
   friend bool operator==(const FetchWindow&, const FetchWindow&) = default;
 };
@@ -37,7 +37,7 @@
     return;
   window.m_size = wait > window.m_slow_threshold
                       ? std::max(1U, window.m_size / kWindowDivisor)
-                      : std::min(window.m_most, window.m_size + 1);
+                      : std::min(window.m_max_size, window.m_size + 1);
 }
 
 }  // namespace verbenalead::decide
--- a/src/libverbenalead/decide/gate.cc
+++ b/src/libverbenalead/decide/gate.cc
@@ -24,7 +24,7 @@
   return "unknown";
 }
 
-AdmitResult Enter(GateState& gate,
+AdmitResult Admit(GateState& gate,
                   const Attempt& attempt,
                   uint64_t incarnation,
                   const Digest& wanted,
@@ -50,7 +50,7 @@
   return AdmitResult::kAdmitted;
 }
 
-void Leave(GateState& gate, const Attempt& attempt, TimePoint now) {
+void EndAttempt(GateState& gate, const Attempt& attempt, TimePoint now) {
   auto known = gate.m_attempts.find(attempt);
   if (known == gate.m_attempts.end() ||
       known->second.m_state != GateState::Record::State::kRunning)
@@ -80,7 +80,7 @@
   ++gate.m_generation;
 }
 
-bool MayPass(GateState& gate, uint64_t generation, const Digest& reported) {
+bool MayForward(GateState& gate, uint64_t generation, const Digest& reported) {
   if (gate.m_generation != generation)
     return false;
   if (gate.m_digest == reported)
@@ -98,7 +98,7 @@
              : VoidResult::kStarted;
 }
 
-void Forget(GateState& gate, TimePoint now) {
+void EraseOldAttempts(GateState& gate, TimePoint now) {
   std::erase_if(gate.m_attempts, [&](const auto& entry) {
     return entry.second.m_state != GateState::Record::State::kRunning &&
            now - entry.second.m_since > kAttemptRetention;
--- a/src/libverbenalead/decide/gate.h
+++ b/src/libverbenalead/decide/gate.h
@@ -64,14 +64,14 @@
 /// not run and won't be; with kDuplicate, however, an earlier copy of the same
 /// attempt is running or has run. `wanted` is the version for which the request
 /// was placed, or empty for any version.
-AdmitResult Enter(GateState& gate,
+AdmitResult Admit(GateState& gate,
                   const Attempt& attempt,
                   uint64_t incarnation,
                   const Digest& wanted,
                   TimePoint now);
 
 /// Records that the attempt has ended and frees its slot.
-void Leave(GateState& gate, const Attempt& attempt, TimePoint now);
+void EndAttempt(GateState& gate, const Attempt& attempt, TimePoint now);
 
 /// Opens the gate for the version that the engine has confirmed. Answers in
 /// progress continue only if that version was already in force.
@@ -97,7 +97,7 @@
 /// but leaves the gate as it is, because an engine may omit the version from an
 /// error. Otherwise one malformed request, retried at each target, could shut
 /// every gate of the pool.
-bool MayPass(GateState& gate, uint64_t generation, const Digest& reported);
+bool MayForward(GateState& gate, uint64_t generation, const Digest& reported);
 
 enum class VoidResult {
   kNeverStarted,  ///< The attempt did not start and never will.
@@ -111,7 +111,7 @@
 
 /// Erases the records of attempts that ended or became void more than
 /// kAttemptRetention ago. Running attempts are kept.
-void Forget(GateState& gate, TimePoint now);
+void EraseOldAttempts(GateState& gate, TimePoint now);
 
 /// Retention period of a void or ended attempt. A message that arrives later
 /// would have been in transit for this long. Connections are closed after
--- a/src/libverbenalead/decide/gate_test.cc
+++ b/src/libverbenalead/decide/gate_test.cc
@@ -30,21 +30,21 @@
  public:
   void RefusesAttemptsThatMustNotRun() {
     GateState gate = OpenGate(kOld);
-    CPPUNIT_ASSERT(Enter(gate, {"a", 1}, 6, kOld, kStart) ==
+    CPPUNIT_ASSERT(Admit(gate, {"a", 1}, 6, kOld, kStart) ==
                    AdmitResult::kWrongIncarnation);
-    CPPUNIT_ASSERT(Enter(gate, {"a", 1}, kIncarnation, kNew, kStart) ==
+    CPPUNIT_ASSERT(Admit(gate, {"a", 1}, kIncarnation, kNew, kStart) ==
                    AdmitResult::kWrongVersion);
-    CPPUNIT_ASSERT(Enter(gate, {"a", 1}, kIncarnation, kOld, kStart) ==
+    CPPUNIT_ASSERT(Admit(gate, {"a", 1}, kIncarnation, kOld, kStart) ==
                    AdmitResult::kAdmitted);
-    CPPUNIT_ASSERT(Enter(gate, {"a", 1}, kIncarnation, kOld, kStart) ==
+    CPPUNIT_ASSERT(Admit(gate, {"a", 1}, kIncarnation, kOld, kStart) ==
                    AdmitResult::kDuplicate);
-    CPPUNIT_ASSERT(Enter(gate, {"b", 1}, kIncarnation, {}, kStart) ==
+    CPPUNIT_ASSERT(Admit(gate, {"b", 1}, kIncarnation, {}, kStart) ==
                    AdmitResult::kAdmitted);
-    CPPUNIT_ASSERT(Enter(gate, {"c", 1}, kIncarnation, {}, kStart) ==
+    CPPUNIT_ASSERT(Admit(gate, {"c", 1}, kIncarnation, {}, kStart) ==
                    AdmitResult::kFull);
-    Leave(gate, {"b", 1}, kStart);
+    EndAttempt(gate, {"b", 1}, kStart);
     gate.m_leaving = true;
-    CPPUNIT_ASSERT(Enter(gate, {"d", 1}, kIncarnation, {}, kStart) ==
+    CPPUNIT_ASSERT(Admit(gate, {"d", 1}, kIncarnation, {}, kStart) ==
                    AdmitResult::kLeaving);
   }
 
@@ -56,16 +56,16 @@
     GateState gate = OpenGate(kOld);
     CPPUNIT_ASSERT(VoidAttempt(gate, {"a", 1}, kStart) ==
                    VoidResult::kNeverStarted);
-    CPPUNIT_ASSERT(Enter(gate, {"a", 1}, kIncarnation, kOld, kStart) ==
+    CPPUNIT_ASSERT(Admit(gate, {"a", 1}, kIncarnation, kOld, kStart) ==
                    AdmitResult::kVoid);
     CPPUNIT_ASSERT_EQUAL(uint32_t{0}, gate.m_running);
   }
 
   void StartedAttemptCannotBeMadeVoid() {
     GateState gate = OpenGate(kOld);
-    Enter(gate, {"a", 1}, kIncarnation, kOld, kStart);
+    Admit(gate, {"a", 1}, kIncarnation, kOld, kStart);
     CPPUNIT_ASSERT(VoidAttempt(gate, {"a", 1}, kStart) == VoidResult::kStarted);
-    Leave(gate, {"a", 1}, kStart);
+    EndAttempt(gate, {"a", 1}, kStart);
     CPPUNIT_ASSERT(VoidAttempt(gate, {"a", 1}, kStart) == VoidResult::kStarted);
   }
 
@@ -75,21 +75,21 @@
   void WithholdsAnswerAcrossLoad() {
     GateState gate = OpenGate(kOld);
     const uint64_t generation = gate.m_generation;
-    CPPUNIT_ASSERT(MayPass(gate, generation, kOld));
-    CPPUNIT_ASSERT(!MayPass(gate, generation, kNew));
+    CPPUNIT_ASSERT(MayForward(gate, generation, kOld));
+    CPPUNIT_ASSERT(!MayForward(gate, generation, kNew));
     Shut(gate);
     Open(gate, kNew);
-    CPPUNIT_ASSERT(!MayPass(gate, generation, kOld));
-    CPPUNIT_ASSERT(!MayPass(gate, generation, kNew));
+    CPPUNIT_ASSERT(!MayForward(gate, generation, kOld));
+    CPPUNIT_ASSERT(!MayForward(gate, generation, kNew));
   }
 
   void ErasesOnlyInactiveAttempts() {
     GateState gate = OpenGate(kOld);
-    Enter(gate, {"running", 1}, kIncarnation, kOld, kStart);
+    Admit(gate, {"running", 1}, kIncarnation, kOld, kStart);
     VoidAttempt(gate, {"void", 1}, kStart);
-    Forget(gate, kStart + kAttemptRetention);
+    EraseOldAttempts(gate, kStart + kAttemptRetention);
     CPPUNIT_ASSERT_EQUAL(size_t{2}, gate.m_attempts.size());
-    Forget(gate, kStart + kAttemptRetention + 1s);
+    EraseOldAttempts(gate, kStart + kAttemptRetention + 1s);
     CPPUNIT_ASSERT_EQUAL(size_t{1}, gate.m_attempts.size());
   }
 };
--- a/src/libverbenalead/decide/hedge.cc
+++ b/src/libverbenalead/decide/hedge.cc
@@ -21,13 +21,13 @@
 std::optional<Duration> HedgeDelay(const CallProgress& progress,
                                    const model::Route& route) {
   CallProgress running = progress;
-  if (!running.m_begun) {
-    ++running.m_sent;
-    ++running.m_runs;
+  if (!running.m_answer_begun) {
+    ++running.m_sent_attempts;
+    ++running.m_possible_runs;
   }
   if (!MayRetry(running, AttemptEnd::kBroken))
     return std::nullopt;
-  if (progress.m_begun)
+  if (progress.m_answer_begun)
     return kMaxEventSilence;
   const bool whole_answer = progress.m_kind != model::CallKind::kStream;
   return whole_answer && route.m_objective > Duration()
--- a/src/libverbenalead/decide/hedge_test.cc
+++ b/src/libverbenalead/decide/hedge_test.cc
@@ -33,8 +33,8 @@
     const model::Route route = MakeRoute(model::CallKind::kStream);
     CallProgress progress = StreamProgress();
     CPPUNIT_ASSERT(HedgeDelay(progress, route) < Duration(2s));
-    progress.m_sent = progress.m_runs = 1;
-    progress.m_begun = true;
+    progress.m_sent_attempts = progress.m_possible_runs = 1;
+    progress.m_answer_begun = true;
     CPPUNIT_ASSERT(HedgeDelay(progress, route) < Duration(2s));
     CPPUNIT_ASSERT(HedgeDelay(progress, route) > Duration(500ms));
   }
@@ -50,7 +50,7 @@
     // The call may have run once and is on its way to the last replica that its
     // route allows.
     progress = StreamProgress();
-    progress.m_sent = progress.m_runs = 1;
+    progress.m_sent_attempts = progress.m_possible_runs = 1;
     CPPUNIT_ASSERT(!HedgeDelay(progress, route));
   }
 
@@ -61,13 +61,16 @@
                                           model::CallKind::kIdempotent);
       progress.m_resumable = true;
       progress.m_max_attempts = *rc::gen::inRange<uint32_t>(1, 4);
-      progress.m_begun = *rc::gen::arbitrary<bool>();
-      progress.m_runs = *rc::gen::inRange<uint32_t>(progress.m_begun, 5);
-      progress.m_sent = progress.m_runs + *rc::gen::inRange<uint32_t>(0, 5);
-      const uint32_t first = progress.m_begun ? 0 : 1;
+      progress.m_answer_begun = *rc::gen::arbitrary<bool>();
+      progress.m_possible_runs =
+          *rc::gen::inRange<uint32_t>(progress.m_answer_begun, 5);
+      progress.m_sent_attempts =
+          progress.m_possible_runs + *rc::gen::inRange<uint32_t>(0, 5);
+      const uint32_t first = progress.m_answer_begun ? 0 : 1;
       if (HedgeDelay(progress, MakeRoute(progress.m_kind))) {
-        RC_ASSERT(progress.m_runs + first + 1 <= progress.m_max_attempts);
-        RC_ASSERT(progress.m_sent + first + 1 <= 4u);
+        RC_ASSERT(progress.m_possible_runs + first + 1 <=
+                  progress.m_max_attempts);
+        RC_ASSERT(progress.m_sent_attempts + first + 1 <= 4u);
       }
     });
     CPPUNIT_ASSERT(held);
--- a/src/libverbenalead/decide/load_plan.cc
+++ b/src/libverbenalead/decide/load_plan.cc
@@ -32,7 +32,7 @@
   return std::any_of(std::next(candidate), declared.end(),
                      [&](const auto& newer) {
                        return newer.second.m_declared + times.m_bound <
-                              candidate->second.m_here + kMinLoadWindow;
+                              candidate->second.m_complete_at + kMinLoadWindow;
                      });
 }
 
@@ -53,16 +53,16 @@
         std::min(binding_at, version->second.m_declared + times.m_bound);
   auto chosen = oldest;
   for (auto version = oldest; version != declared.end(); ++version) {
-    if (version->second.m_here + kMinLoadWindow <= binding_at)
+    if (version->second.m_complete_at + kMinLoadWindow <= binding_at)
       chosen = version;
   }
   LoadPlan plan;
   plan.m_version = chosen->first;
-  plan.m_first = std::max(
-      chosen->second.m_here,
+  plan.m_first_load_at = std::max(
+      chosen->second.m_complete_at,
       chosen->second.m_declared + std::chrono::duration_cast<Duration>(
                                       times.m_transfer * kFirstCompleteShare));
-  plan.m_last = std::max(plan.m_first, binding_at);
+  plan.m_last_load_at = std::max(plan.m_first_load_at, binding_at);
   return plan;
 }
 
@@ -79,10 +79,11 @@
   std::sort(replicas.begin(), replicas.end());
   const auto found = std::find(replicas.begin(), replicas.end(), replica);
   if (found == replicas.end() || replicas.size() < 2)
-    return plan.m_first;
+    return plan.m_first_load_at;
   const auto rank = found - replicas.begin();
   const auto last = static_cast<std::ptrdiff_t>(replicas.size()) - 1;
-  return plan.m_first + (plan.m_last - plan.m_first) * rank / last;
+  return plan.m_first_load_at +
+         (plan.m_last_load_at - plan.m_first_load_at) * rank / last;
 }
 
 }  // namespace verbenalead::decide
--- a/src/libverbenalead/decide/load_plan.h
+++ b/src/libverbenalead/decide/load_plan.h
@@ -26,8 +26,8 @@
 struct LoadPlan {
   uint64_t m_version = 0;
   /// When the first and the last replica begin to load.
-  TimePoint m_first{};
-  TimePoint m_last{};
+  TimePoint m_first_load_at{};
+  TimePoint m_last_load_at{};
 
   friend bool operator==(const LoadPlan&, const LoadPlan&) = default;
 };
@@ -38,7 +38,7 @@
   TimePoint m_declared{};
   /// When its chunks became complete on this host, or an estimate of when they
   /// will.
-  TimePoint m_here{};
+  TimePoint m_complete_at{};
 
   friend bool operator==(const DeclaredVersion&,
                          const DeclaredVersion&) = default;
--- a/src/libverbenalead/decide/load_plan_test.cc
+++ b/src/libverbenalead/decide/load_plan_test.cc
@@ -37,8 +37,8 @@
   void LoadsFillTimeBetweenTransferAndBound() {
     const auto plan = PlanLoad(kTimes, {{2, Declared(0s, 3s)}}, 1);
     CPPUNIT_ASSERT_EQUAL(uint64_t{2}, plan->m_version);
-    CPPUNIT_ASSERT(plan->m_first == kStart + 3s);
-    CPPUNIT_ASSERT(plan->m_last == kStart + 7300ms);
+    CPPUNIT_ASSERT(plan->m_first_load_at == kStart + 3s);
+    CPPUNIT_ASSERT(plan->m_last_load_at == kStart + 7300ms);
   }
 
   // Guards against too many replicas being out of service at once: 27 replicas
@@ -80,7 +80,7 @@
         PlanLoad(kTimes, {{2, Declared(0s, 3s)}, {3, Declared(1s, 4400ms)}}, 1);
     CPPUNIT_ASSERT_EQUAL(uint64_t{3}, plan->m_version);
     // The bound of the older version still applies.
-    CPPUNIT_ASSERT(plan->m_last == kStart + 7300ms);
+    CPPUNIT_ASSERT(plan->m_last_load_at == kStart + 7300ms);
   }
 
   // Guards against callers finding no replica for seconds: two versions are
--- a/src/libverbenalead/decide/origin_fetch_report.h
+++ b/src/libverbenalead/decide/origin_fetch_report.h
@@ -13,7 +13,7 @@
 struct OriginFetchReport {
   std::string m_host;
   /// Chunks that it is fetching from the origin.
-  std::vector<uint32_t> m_under_way;
+  std::vector<uint32_t> m_in_progress;
   /// Chunks whose fetch from the origin has just completed.
   std::vector<uint32_t> m_origin_fetched;
 
@@ -26,7 +26,7 @@
 inline bool HasOnlyKnownChunks(const OriginFetchReport& report,
                                uint32_t chunks) {
   const auto known = [chunks](uint32_t chunk) { return chunk < chunks; };
-  return std::all_of(report.m_under_way.begin(), report.m_under_way.end(),
+  return std::all_of(report.m_in_progress.begin(), report.m_in_progress.end(),
                      known) &&
          std::all_of(report.m_origin_fetched.begin(),
                      report.m_origin_fetched.end(), known);
--- a/src/libverbenalead/decide/origin_fetches.cc
+++ b/src/libverbenalead/decide/origin_fetches.cc
@@ -37,9 +37,9 @@
   std::optional<FetchChunk> longest;
   TimePoint begun = now - state.m_wait;
   for (const auto& [chunk, fetch] : state.m_fetching) {
-    if (fetch.m_source.IsOrigin() || fetch.m_begun >= begun)
+    if (fetch.m_source.IsOrigin() || fetch.m_started_at >= begun)
       continue;
-    begun = fetch.m_begun;
+    begun = fetch.m_started_at;
     longest = FetchChunk{chunk, fetch.m_source};
   }
   return longest;
@@ -85,11 +85,11 @@
   if (limits.m_max_origin_fetches == 0)
     return true;
   const TimePoint last = std::max(state.m_last_origin_start, state.m_started);
-  if (now - last >= kMaxWaitsWithoutFetch * limits.m_patience)
+  if (now - last >= kMaxWaitsWithoutFetch * limits.m_takeover_delay)
     return true;
   const TimePoint last_success =
       std::max(state.m_last_origin_success, state.m_started);
-  return now - last_success < limits.m_patience &&
+  return now - last_success < limits.m_takeover_delay &&
          OriginFetchRoom(state, now) > 0;
 }
 
@@ -125,7 +125,7 @@
 /// precede it, since some of those may be dead.
 void WaitForFirstRanks(TransferState& state, uint32_t chunk, TimePoint now) {
   TransferState::Chunk& entry = state.m_chunks[chunk];
-  const Duration wait_limit = state.m_limits.m_patience;
+  const Duration wait_limit = state.m_limits.m_takeover_delay;
   entry.m_origin_ranks_from =
       now - entry.m_rank * wait_limit +
       kWaitsPerFirstRank * std::min(entry.m_rank, kFirstRanks) * wait_limit;
@@ -160,9 +160,11 @@
 void StartDueOriginFetches(TransferState& state,
                            TimePoint now,
                            TransferActions& actions) {
-  while (OriginReady(state, now) && !state.m_draws.empty() &&
-         state.m_draws.begin()->first <= now && MayFetchByTime(state, now))
-    StartOriginFetch(state, state.m_draws.begin()->second, now, actions);
+  while (OriginReady(state, now) && !state.m_origin_schedule.empty() &&
+         state.m_origin_schedule.begin()->first <= now &&
+         MayFetchByTime(state, now))
+    StartOriginFetch(state, state.m_origin_schedule.begin()->second, now,
+                     actions);
 }
 
 void StartOriginFetchesInOrder(TransferState& state,
@@ -171,7 +173,7 @@
   uint32_t room = OriginFetchRoom(state, now);
   for (uint32_t chunk = 0; chunk < state.m_chunks.size() && room > 0; ++chunk) {
     TransferState::Chunk& entry = state.m_chunks[chunk];
-    if (entry.m_place != TransferState::Place::kDraws ||
+    if (entry.m_schedule != TransferState::Schedule::kOriginFetches ||
         entry.m_origin_fetched || entry.m_announced_until > now) {
       entry.m_open_since.reset();
       continue;
@@ -189,7 +191,7 @@
                              TransferActions& actions) {
   const uint32_t missing =
       static_cast<uint32_t>(state.m_chunks.size()) - state.m_have_count;
-  if (missing > kMaxMissingForSpareFetch || !state.m_draws.empty())
+  if (missing > kMaxMissingForSpareFetch || !state.m_origin_schedule.empty())
     return;
   while (state.m_spare_fetches > 0 && OriginReady(state, now)) {
     const auto longest = LongestWaitingFetch(state, now);
@@ -209,14 +211,14 @@
   state.m_origin_failures = 0;
   state.m_origin_retry_at = std::min(state.m_origin_retry_at, now);
   if (state.m_limits.m_max_origin_fetches == 0 ||
-      now - before < state.m_limits.m_patience)
+      now - before < state.m_limits.m_takeover_delay)
     return;
   // The origin is available again. Overdue chunks get new scheduled times in
   // order, so that again one host comes first for each chunk.
   TimePoint due = now;
   for (uint32_t chunk = 0; chunk < state.m_chunks.size(); ++chunk) {
     TransferState::Chunk& entry = state.m_chunks[chunk];
-    if (entry.m_place != TransferState::Place::kDraws)
+    if (entry.m_schedule != TransferState::Schedule::kOriginFetches)
       continue;
     entry.m_origin_ranks_from = std::max(entry.m_origin_ranks_from, due);
     ScheduleChunk(state, chunk);
@@ -237,16 +239,16 @@
 void RecordOriginFetches(TransferState& state,
                          const OriginFetchReport& report,
                          TimePoint now) {
-  if (report.m_under_way.empty()) {
+  if (report.m_in_progress.empty()) {
     state.m_announced_fetches.erase(report.m_host);
   } else {
     state.m_announced_fetches[report.m_host] = {
-        now, static_cast<uint32_t>(report.m_under_way.size())};
+        now, static_cast<uint32_t>(report.m_in_progress.size())};
   }
-  for (uint32_t chunk : report.m_under_way)
+  for (uint32_t chunk : report.m_in_progress)
     HoldOriginFetch(state, chunk, now + state.m_limits.m_announcement_ttl);
   for (uint32_t chunk : report.m_origin_fetched) {
-    HoldOriginFetch(state, chunk, now + state.m_limits.m_patience);
+    HoldOriginFetch(state, chunk, now + state.m_limits.m_takeover_delay);
     if (chunk < state.m_chunks.size())
       state.m_chunks[chunk].m_origin_fetched = true;
   }
--- a/src/libverbenalead/decide/origin_fetches_test.cc
+++ b/src/libverbenalead/decide/origin_fetches_test.cc
@@ -28,7 +28,7 @@
   // all of them then fetch the same chunks. They have to wait for the first
   // ranks, which fetch each chunk soon.
   void HostsDoNotAllFetchFromAReturnedOriginAtOnce() {
-    m_limits.m_patience = 1s;
+    m_limits.m_takeover_delay = 1s;
     m_limits.m_max_origin_backoff = 500ms;
     std::vector<TransferMember> members;
     for (int host = 0; host < 20; ++host)
@@ -98,7 +98,7 @@
       now += 250ms;
       RecordOriginFetches(next, {"x", {0}, {}}, now);
     }
-    CPPUNIT_ASSERT(now <= kStart + 5 * m_limits.m_patience);
+    CPPUNIT_ASSERT(now <= kStart + 5 * m_limits.m_takeover_delay);
   }
 
   // The same with a limit on concurrent origin fetches: hosts that cannot reach
@@ -112,7 +112,7 @@
       RecordOriginFetches(next, {"x", {0}, {}}, now);
       RecordOriginFetches(next, {"y", {0}, {}}, now);
     }
-    CPPUNIT_ASSERT(now <= kStart + 5 * m_limits.m_patience);
+    CPPUNIT_ASSERT(now <= kStart + 5 * m_limits.m_takeover_delay);
   }
 
   // Guards against new weights that arrive seconds late: hosts that started
--- a/src/libverbenalead/decide/permit_tracker.cc
+++ b/src/libverbenalead/decide/permit_tracker.cc
@@ -28,13 +28,13 @@
   });
   for (const auto& [host, permit] : permits.m_permits) {
     auto [seen, added] = tracker.m_seen.try_emplace(
-        host, PermitTracker::Seen{permit.m_number, now});
+        host, PermitTracker::Observation{permit.m_number, now});
     if (!added && seen->second.m_number != permit.m_number)
       seen->second = {permit.m_number, now};
   }
 }
 
-void Forget(PermitTracker& tracker) {
+void ClearObservations(PermitTracker& tracker) {
   tracker.m_seen.clear();
 }
 
--- a/src/libverbenalead/decide/permit_tracker.h
+++ b/src/libverbenalead/decide/permit_tracker.h
@@ -14,12 +14,12 @@
 /// Times are from the process's own monotonic clock, so that the expiry of a
 /// permit never depends on comparing the clocks of two hosts.
 struct PermitTracker {
-  struct Seen {
+  struct Observation {
     uint64_t m_number = 0;
     /// When m_number was first observed.
     TimePoint m_since{};
   };
-  std::map<std::string, Seen> m_seen;
+  std::map<std::string, Observation> m_seen;
 };
 
 /// How long the holder may act on a permit, counted from the time at which the
@@ -49,7 +49,7 @@
 /// Clears all observations. Called when the permits could not be read: holders
 /// could not renew during that time either, so the lease of each permit starts
 /// again at the next read.
-void Forget(PermitTracker& tracker);
+void ClearObservations(PermitTracker& tracker);
 
 /// Decides whether process `owner` of `host` may acquire a permit or keep the
 /// permit that it holds.
--- a/src/libverbenalead/decide/place_bench.cc
+++ b/src/libverbenalead/decide/place_bench.cc
@@ -22,7 +22,7 @@
     report.m_capacity = 16;
     report.m_running = static_cast<uint32_t>(i * 7 % 13);
     report.m_open = true;
-    Report(state, report, now);
+    ApplyReport(state, report, now);
   }
   return state;
 }
@@ -40,7 +40,7 @@
     const model::Call call =
         builder.Prefix(by_prefix ? 1 + i * 7919 % kPrefixes : 0).Build();
     const TimePoint start = Now();
-    const auto placement = Place(state, call, tried, {}, now, random);
+    const auto placement = ChooseTarget(state, call, tried, {}, now, random);
     spent += Now() - start;
     if (!placement)
       continue;
--- a/src/libverbenalead/decide/pool_call.h
+++ b/src/libverbenalead/decide/pool_call.h
@@ -21,7 +21,7 @@
   /// for the call to be on time; TimePoint::max() if unknown.
   TimePoint m_read_deadline = TimePoint::max();
   /// Expected run time; zero if unknown.
-  Duration m_length{};
+  Duration m_expected_run_time{};
   /// Replicas to which the call has already been sent.
   std::set<std::string> m_attempted_replicas;
 };
--- a/src/libverbenalead/decide/prefix_index.cc
+++ b/src/libverbenalead/decide/prefix_index.cc
@@ -12,7 +12,7 @@
   index.m_expired_at = now;
   for (auto entry = index.m_holders.begin(); entry != index.m_holders.end();) {
     std::erase_if(entry->second, [&](const PrefixHolder& holder) {
-      return now - holder.m_known_at > kPrefixLifetime;
+      return now - holder.m_last_seen > kPrefixLifetime;
     });
     entry =
         entry->second.empty() ? index.m_holders.erase(entry) : std::next(entry);
@@ -33,7 +33,7 @@
   std::vector<PrefixHolder>& holders = index.m_holders[prefix];
   for (PrefixHolder& holder : holders) {
     if (holder.m_target == target) {
-      holder.m_known_at = std::max(holder.m_known_at, when);
+      holder.m_last_seen = std::max(holder.m_last_seen, when);
       return;
     }
   }
@@ -48,7 +48,7 @@
   if (found == index.m_holders.end())
     return;
   std::erase_if(found->second, [&](const PrefixHolder& holder) {
-    return holder.m_target == target && holder.m_known_at <= when;
+    return holder.m_target == target && holder.m_last_seen <= when;
   });
 }
 
@@ -66,15 +66,15 @@
   return found == index.m_holders.end() ? nullptr : &found->second;
 }
 
-bool Holds(const std::vector<PrefixHolder>* holders,
-           uint64_t target,
-           TimePoint now) {
+bool HasPrefix(const std::vector<PrefixHolder>* holders,
+               uint64_t target,
+               TimePoint now) {
   if (holders == nullptr)
     return false;
   return std::any_of(holders->begin(), holders->end(),
                      [&](const PrefixHolder& holder) {
                        return holder.m_target == target &&
-                              now - holder.m_known_at <= kPrefixLifetime;
+                              now - holder.m_last_seen <= kPrefixLifetime;
                      });
 }
 
--- a/src/libverbenalead/decide/prefix_index.h
+++ b/src/libverbenalead/decide/prefix_index.h
@@ -15,7 +15,7 @@
   uint64_t m_target = 0;
   /// Time of the last evidence: a call with the prefix that was sent to the
   /// target, or a cache event of its engine.
-  TimePoint m_known_at{};
+  TimePoint m_last_seen{};
 };
 
 /// The prompt prefixes that the targets of a pool probably have in their
@@ -55,9 +55,9 @@
 const std::vector<PrefixHolder>* FindHolders(const PrefixIndex& index,
                                              uint64_t prefix);
 /// Whether `target` has an unexpired entry in `holders`, which may be nullptr.
-bool Holds(const std::vector<PrefixHolder>* holders,
-           uint64_t target,
-           TimePoint now);
+bool HasPrefix(const std::vector<PrefixHolder>* holders,
+               uint64_t target,
+               TimePoint now);
 
 }  // namespace verbenalead::decide
 
--- a/src/libverbenalead/decide/quarantine.cc
+++ b/src/libverbenalead/decide/quarantine.cc
@@ -10,22 +10,22 @@
 
 void EvictExpired(QuarantineState& state, TimePoint now) {
   std::erase_if(state.m_crashes, [&](auto& entry) {
-    return std::all_of(entry.second.begin(), entry.second.end(),
-                       [&](const auto& crash) {
-                         return now - crash.second > state.m_limits.m_hold;
-                       });
+    return std::all_of(
+        entry.second.begin(), entry.second.end(), [&](const auto& crash) {
+          return now - crash.second > state.m_limits.m_quarantine_time;
+        });
   });
   std::erase_if(state.m_cleared, [&](const auto& entry) {
-    return now - entry.second > state.m_limits.m_hold;
+    return now - entry.second > state.m_limits.m_quarantine_time;
   });
 }
 
 void StoreCrash(QuarantineState& state,
                 const CrashRecord& record,
                 TimePoint now) {
-  if (state.m_crashes.size() >= kMaxKeys)
+  if (state.m_crashes.size() >= kMaxTrackedRequests)
     EvictExpired(state, now);
-  if (state.m_crashes.size() >= kMaxKeys)
+  if (state.m_crashes.size() >= kMaxTrackedRequests)
     return;
   TimePoint& at = state.m_crashes[record.m_key][record.m_target];
   at = std::max(at, record.m_at);
@@ -39,8 +39,8 @@
                  TimePoint now) {
   const CrashRecord record{key, target, now};
   StoreCrash(state, record, now);
-  if (state.m_news.size() < kMaxKeys)
-    state.m_news.push_back(record);
+  if (state.m_unsent.size() < kMaxTrackedRequests)
+    state.m_unsent.push_back(record);
 }
 
 uint64_t RequestKey(const std::string& organisation,
@@ -50,8 +50,9 @@
   return StableHash().Add(organisation).Add(method).Add(path).Add(body).value();
 }
 
-void NoteSuccess(QuarantineState& state, uint64_t key, TimePoint now) {
-  if (state.m_crashes.erase(key) > 0 && state.m_cleared.size() < kMaxKeys)
+void RecordSuccess(QuarantineState& state, uint64_t key, TimePoint now) {
+  if (state.m_crashes.erase(key) > 0 &&
+      state.m_cleared.size() < kMaxTrackedRequests)
     state.m_cleared[key] = now;
 }
 
@@ -61,22 +62,22 @@
     return false;
   const auto recent = std::count_if(
       found->second.begin(), found->second.end(), [&](const auto& crash) {
-        return now - crash.second <= state.m_limits.m_hold;
+        return now - crash.second <= state.m_limits.m_quarantine_time;
       });
   return static_cast<size_t>(recent) >= state.m_limits.m_crashes;
 }
 
-std::vector<CrashRecord> News(QuarantineState& state) {
-  return std::exchange(state.m_news, {});
+std::vector<CrashRecord> TakeCrashRecords(QuarantineState& state) {
+  return std::exchange(state.m_unsent, {});
 }
 
-void Merge(QuarantineState& state,
-           const std::vector<CrashRecord>& records,
-           TimePoint now) {
+void MergeCrashRecords(QuarantineState& state,
+                       const std::vector<CrashRecord>& records,
+                       TimePoint now) {
   for (const CrashRecord& record : records) {
     const auto cleared = state.m_cleared.find(record.m_key);
     if (cleared == state.m_cleared.end() ||
-        now - cleared->second > state.m_limits.m_hold)
+        now - cleared->second > state.m_limits.m_quarantine_time)
       StoreCrash(state, record, now);
   }
 }
--- a/src/libverbenalead/decide/quarantine.h
+++ b/src/libverbenalead/decide/quarantine.h
@@ -28,7 +28,7 @@
   /// How long a crash counts against a request: long enough for a client that
   /// retries in a loop to stop or to be noticed. Afterwards the request runs
   /// again, on a corrected version if one has been deployed.
-  Duration m_hold = std::chrono::minutes(10);
+  Duration m_quarantine_time = std::chrono::minutes(10);
 
   friend bool operator==(const QuarantineLimits&,
                          const QuarantineLimits&) = default;
@@ -50,7 +50,7 @@
   /// Time of the last crash, by key of the request and name of the target.
   std::map<uint64_t, std::map<std::string, TimePoint>> m_crashes;
   /// Crashes seen by this entry that have not been sent to the other entries.
-  std::vector<CrashRecord> m_news;
+  std::vector<CrashRecord> m_unsent;
   /// Requests that succeeded after a target had crashed under them, and when. A
   /// crash record that another entry sends late doesn't count against them.
   std::map<uint64_t, TimePoint> m_cleared;
@@ -60,7 +60,7 @@
 /// data centre fails, each request that ran there leaves a record; 20,000 of
 /// them take about 4 MB. At that number, new records are dropped until older
 /// ones have expired.
-constexpr size_t kMaxKeys = 20000;
+constexpr size_t kMaxTrackedRequests = 20000;
 
 /// Records that `target` crashed while it ran the request with `key`, and
 /// queues the record for the other entries.
@@ -77,17 +77,17 @@
 /// another cause. Otherwise a request that is sent periodically, such as a
 /// status check, would be quarantined after some hosts had failed while they
 /// ran it.
-void NoteSuccess(QuarantineState& state, uint64_t key, TimePoint now);
+void RecordSuccess(QuarantineState& state, uint64_t key, TimePoint now);
 /// Whether the request with `key` is in quarantine and must not run.
 bool IsQuarantined(const QuarantineState& state, uint64_t key, TimePoint now);
 /// Returns and clears the crash records to send to the other entries.
-std::vector<CrashRecord> News(QuarantineState& state);
+std::vector<CrashRecord> TakeCrashRecords(QuarantineState& state);
 /// Merges crash records of another entry, which may arrive in any order and
 /// more than once. They are not forwarded: each entry sends its own records to
 /// all other entries.
-void Merge(QuarantineState& state,
-           const std::vector<CrashRecord>& records,
-           TimePoint now);
+void MergeCrashRecords(QuarantineState& state,
+                       const std::vector<CrashRecord>& records,
+                       TimePoint now);
 
 }  // namespace verbenalead::decide
 
--- a/src/libverbenalead/decide/quarantine_test.cc
+++ b/src/libverbenalead/decide/quarantine_test.cc
@@ -28,13 +28,13 @@
     RecordCrash(a, 7, "t1", kStart);
     RecordCrash(b, 7, "t2", kStart);
     CPPUNIT_ASSERT(!IsQuarantined(a, 7, kStart));
-    const auto from_a = News(a);
-    Merge(a, News(b), kStart);
-    Merge(b, from_a, kStart);
+    const auto from_a = TakeCrashRecords(a);
+    MergeCrashRecords(a, TakeCrashRecords(b), kStart);
+    MergeCrashRecords(b, from_a, kStart);
     CPPUNIT_ASSERT(IsQuarantined(a, 7, kStart));
     CPPUNIT_ASSERT(IsQuarantined(b, 7, kStart));
     CPPUNIT_ASSERT(!IsQuarantined(a, 8, kStart));
-    CPPUNIT_ASSERT(News(a).empty());
+    CPPUNIT_ASSERT(TakeCrashRecords(a).empty());
   }
 
   void CrashesOfOneTargetQuarantineNothing() {
@@ -51,7 +51,7 @@
   void SuccessClearsTheRequest() {
     QuarantineState state;
     RecordCrash(state, 7, "t1", kStart);
-    NoteSuccess(state, 7, kStart);
+    RecordSuccess(state, 7, kStart);
     RecordCrash(state, 7, "t2", kStart + 1s);
     CPPUNIT_ASSERT(!IsQuarantined(state, 7, kStart + 1s));
   }
@@ -60,9 +60,10 @@
     QuarantineState state;
     RecordCrash(state, 7, "t1", kStart);
     RecordCrash(state, 7, "t2", kStart);
-    CPPUNIT_ASSERT(IsQuarantined(state, 7, kStart + QuarantineLimits().m_hold));
     CPPUNIT_ASSERT(
-        !IsQuarantined(state, 7, kStart + QuarantineLimits().m_hold + 1s));
+        IsQuarantined(state, 7, kStart + QuarantineLimits().m_quarantine_time));
+    CPPUNIT_ASSERT(!IsQuarantined(
+        state, 7, kStart + QuarantineLimits().m_quarantine_time + 1s));
   }
 
   void MergeIsCommutativeAndIdempotent() {
@@ -74,10 +75,10 @@
         records.push_back({number % 4u, "t" + std::to_string(number / 4 % 3),
                            kStart + std::chrono::seconds(number)});
       QuarantineState a, b;
-      Merge(a, records, kStart);
+      MergeCrashRecords(a, records, kStart);
       std::reverse(records.begin(), records.end());
-      Merge(b, records, kStart);
-      Merge(b, records, kStart);
+      MergeCrashRecords(b, records, kStart);
+      MergeCrashRecords(b, records, kStart);
       RC_ASSERT(a.m_crashes == b.m_crashes);
     });
     CPPUNIT_ASSERT(passed);
--- a/src/libverbenalead/decide/reader_failover.cc
+++ b/src/libverbenalead/decide/reader_failover.cc
@@ -32,19 +32,20 @@
 
 }  // namespace
 
-Reading NextReadSource(ReaderFailover& failover,
-                       bool has_reader,
-                       size_t rank,
-                       TimePoint now) {
+ReadSource NextReadSource(ReaderFailover& failover,
+                          bool has_reader,
+                          size_t rank,
+                          TimePoint now) {
   if (has_reader) {
     failover.m_had_reader = true;
-    return Reading::kFromPeer;
+    return ReadSource::kFromPeer;
   }
   if (failover.m_had_reader) {
     failover.m_had_reader = false;
     failover.m_read_from = now + TakeoverDelay(rank);
   }
-  return now < failover.m_read_from ? Reading::kWaiting : Reading::kFromStore;
+  return now < failover.m_read_from ? ReadSource::kWaiting
+                                    : ReadSource::kFromStore;
 }
 
 Duration PauseAfterFailure(size_t rank, double spread) {
--- a/src/libverbenalead/decide/reader_failover.h
+++ b/src/libverbenalead/decide/reader_failover.h
@@ -8,7 +8,7 @@
 namespace verbenalead::decide {
 
 /// From where an entry gets the tables of the store.
-enum class Reading {
+enum class ReadSource {
   /// From another entry of its data centre that reads the store.
   kFromPeer,
   /// From no source for now: an entry that ranks before this one may be taking
@@ -38,10 +38,10 @@
 /// From where to get the tables now. `has_reader`: another entry of the data
 /// centre reads the store on behalf of this one. `rank`: how many entries of
 /// the data centre come before this one in the order of takeover.
-Reading NextReadSource(ReaderFailover& failover,
-                       bool has_reader,
-                       size_t rank,
-                       TimePoint now);
+ReadSource NextReadSource(ReaderFailover& failover,
+                          bool has_reader,
+                          size_t rank,
+                          TimePoint now);
 
 /// Minimum pause of a reading entry after a request that the store did not
 /// answer.
--- a/src/libverbenalead/decide/reader_failover_test.cc
+++ b/src/libverbenalead/decide/reader_failover_test.cc
@@ -58,18 +58,18 @@
   void ReadsImmediatelyAfterStart() {
     ReaderFailover failover;
     CPPUNIT_ASSERT(NextReadSource(failover, false, 9, kStart) ==
-                   Reading::kFromStore);
+                   ReadSource::kFromStore);
   }
 
   void ReturnsToPeerReader() {
     ReaderFailover failover;
     NextReadSource(failover, true, 9, kStart);
     CPPUNIT_ASSERT(NextReadSource(failover, false, 9, kStart) ==
-                   Reading::kWaiting);
+                   ReadSource::kWaiting);
     CPPUNIT_ASSERT(NextReadSource(failover, true, 9, kStart + kTick) ==
-                   Reading::kFromPeer);
+                   ReadSource::kFromPeer);
     CPPUNIT_ASSERT(NextReadSource(failover, false, 9, kStart + 1s) ==
-                   Reading::kWaiting);
+                   ReadSource::kWaiting);
   }
 
  private:
@@ -87,7 +87,7 @@
           announced && first != TimePoint() && now >= first + kTakeoverLatency;
       for (size_t entry = 0; entry < failovers.size(); ++entry) {
         if (NextReadSource(failovers[entry], has_reader, entry + 1, now) !=
-            Reading::kFromStore)
+            ReadSource::kFromStore)
           continue;
         has_read[entry] = true;
         if (first == TimePoint())
--- a/src/libverbenalead/decide/replica_pool.cc
+++ b/src/libverbenalead/decide/replica_pool.cc
@@ -80,9 +80,9 @@
                    TimePoint now) {
   if (state.m_closing_until <= now)
     return 0;
-  if (call.m_length == Duration())
+  if (call.m_expected_run_time == Duration())
     return kClosingCost;
-  const auto length = static_cast<double>(call.m_length.count());
+  const auto length = static_cast<double>(call.m_expected_run_time.count());
   return kClosingCost *
          std::min(1.0, length / static_cast<double>(kLongCall.count()));
 }
@@ -96,7 +96,7 @@
                      const ReplicaState& state,
                      const PoolCall& call,
                      TimePoint now) {
-  const double calls = Load(state) + kWaitingCost * state.m_waiting;
+  const double calls = Load(state) + kWaitingCost * state.m_queued_calls;
   double cost =
       calls / state.m_replica.m_slots + kFailureCost * state.m_failure_rate +
       kUnreadCost * UnreadShare(pool, state) + ClosingCost(state, call, now);
@@ -151,12 +151,12 @@
     // ends.
     const uint32_t in_flight = state.m_in_flight;
     const uint64_t unread = state.m_unread_tokens;
-    const uint32_t asked = state.m_asked;
+    const uint32_t asked = state.m_open_slot_requests;
     const uint64_t requested_unread = state.m_requested_unread_tokens;
     state = ReplicaState();
     state.m_in_flight = in_flight;
     state.m_unread_tokens = unread;
-    state.m_asked = asked;
+    state.m_open_slot_requests = asked;
     state.m_requested_unread_tokens = requested_unread;
     state.m_weights = NewestWeights(replica);
   }
@@ -242,20 +242,20 @@
                                           TimePoint now,
                                           std::mt19937_64& random) {
   std::uniform_real_distribution<double> noise(0, kTieBreakNoise);
-  std::vector<std::pair<double, std::string>> ranked;
+  std::vector<std::pair<double, std::string>> candidates;
   for (const auto& [id, state] : pool.m_replicas) {
     if (Usable(pool, state, now) && !call.m_attempted_replicas.contains(id)) {
-      ranked.emplace_back(PlacementCost(pool, state, call, now) + noise(random),
-                          id);
+      candidates.emplace_back(
+          PlacementCost(pool, state, call, now) + noise(random), id);
     }
   }
-  count = std::min(count, ranked.size());
-  std::partial_sort(ranked.begin(),
-                    ranked.begin() + static_cast<std::ptrdiff_t>(count),
-                    ranked.end());
+  count = std::min(count, candidates.size());
+  std::partial_sort(candidates.begin(),
+                    candidates.begin() + static_cast<std::ptrdiff_t>(count),
+                    candidates.end());
   std::vector<std::string> best;
   for (size_t i = 0; i < count; ++i)
-    best.push_back(ranked[i].second);
+    best.push_back(candidates[i].second);
   return best;
 }
 
@@ -270,7 +270,7 @@
   return true;
 }
 
-void Wait(ReplicaPool& pool, PoolCall call) {
+void AddWaitingCall(ReplicaPool& pool, PoolCall call) {
   pool.m_waiting.push_back(std::move(call));
 }
 
@@ -284,10 +284,10 @@
                                            TimePoint now,
                                            std::mt19937_64& random) {
   std::vector<StartedCall> starts;
-  for (const bool on_time : {true, false}) {
+  for (const bool can_be_on_time : {true, false}) {
     auto call = pool.m_waiting.begin();
     while (call != pool.m_waiting.end()) {
-      const auto replica = call->m_can_be_on_time == on_time
+      const auto replica = call->m_can_be_on_time == can_be_on_time
                                ? AcquireSlot(pool, *call, now, random)
                                : std::nullopt;
       if (!replica) {
@@ -317,7 +317,7 @@
   const auto found = pool.m_replicas.find(replica);
   if (found == pool.m_replicas.end())
     return;
-  ++found->second.m_asked;
+  ++found->second.m_open_slot_requests;
   found->second.m_requested_unread_tokens += prompt_tokens;
 }
 
@@ -328,15 +328,16 @@
   if (found == pool.m_replicas.end())
     return;
   ReplicaState& state = found->second;
-  state.m_asked -= std::min<uint32_t>(state.m_asked, 1);
+  state.m_open_slot_requests -=
+      std::min<uint32_t>(state.m_open_slot_requests, 1);
   state.m_requested_unread_tokens -=
       std::min<uint64_t>(state.m_requested_unread_tokens, prompt_tokens);
 }
 
-void Release(ReplicaPool& pool,
-             const std::string& replica,
-             AttemptEnd end,
-             TimePoint now) {
+void ReleaseSlot(ReplicaPool& pool,
+                 const std::string& replica,
+                 AttemptEnd end,
+                 TimePoint now) {
   const auto found = pool.m_replicas.find(replica);
   if (found == pool.m_replicas.end())
     return;
@@ -383,7 +384,7 @@
   for (const auto& [id, state] : pool.m_replicas) {
     if (!Usable(pool, state, now))
       continue;
-    load.m_places += state.m_replica.m_slots;
+    load.m_slots += state.m_replica.m_slots;
     load.m_used_slots += std::min(Load(state), state.m_replica.m_slots);
   }
   return load;
--- a/src/libverbenalead/decide/replica_pool.h
+++ b/src/libverbenalead/decide/replica_pool.h
@@ -30,7 +30,7 @@
 ///
 ///     auto replica = AcquireSlot(pool, call, now, random);
 ///     ...
-///     Release(pool, *replica, AttemptEnd::kGood, now);
+///     ReleaseSlot(pool, *replica, AttemptEnd::kGood, now);
 ///     for (const StartedCall& start : StartWaitingCalls(pool, now, random))
 ///     ...
 ///
@@ -98,7 +98,7 @@
                     const std::string& replica,
                     uint32_t prompt_tokens);
 /// Adds `call` to the waiting calls.
-void Wait(ReplicaPool& pool, PoolCall call);
+void AddWaitingCall(ReplicaPool& pool, PoolCall call);
 /// Removes a waiting call: it got a slot from a target, its caller left, or its
 /// wait limit passed.
 void RemoveWaitingCall(ReplicaPool& pool, uint64_t ticket);
@@ -126,17 +126,17 @@
 
 /// Releases a slot and updates the health of the replica from how the attempt
 /// ended.
-void Release(ReplicaPool& pool,
-             const std::string& replica,
-             AttemptEnd end,
-             TimePoint now);
+void ReleaseSlot(ReplicaPool& pool,
+                 const std::string& replica,
+                 AttemptEnd end,
+                 TimePoint now);
 
 /// Whether any replica may get calls, whether or not it has a free slot.
 bool HasUsableReplica(const ReplicaPool& pool, TimePoint now);
 
 /// Slots of all usable replicas, and how many of them are in use.
 struct PoolLoad {
-  uint32_t m_places = 0;
+  uint32_t m_slots = 0;
   uint32_t m_used_slots = 0;
 };
 PoolLoad LoadOf(const ReplicaPool& pool, TimePoint now);
--- a/src/libverbenalead/decide/replica_pool_test.cc
+++ b/src/libverbenalead/decide/replica_pool_test.cc
@@ -31,10 +31,10 @@
   return pool;
 }
 
-PoolCall MakeCall(uint64_t ticket, bool on_time = true) {
+PoolCall MakeCall(uint64_t ticket, bool can_be_on_time = true) {
   PoolCall call;
   call.m_ticket = ticket;
-  call.m_can_be_on_time = on_time;
+  call.m_can_be_on_time = can_be_on_time;
   return call;
 }
 
@@ -103,8 +103,8 @@
   void LateCallsQueueBehindOnTimeOnes() {
     ReplicaPool pool = MakePool({MakeReplica("a")});
     pool.m_replicas["a"].m_other_entries_calls = kSlots - 1;
-    Wait(pool, MakeCall(1, false));
-    Wait(pool, MakeCall(2, true));
+    AddWaitingCall(pool, MakeCall(1, false));
+    AddWaitingCall(pool, MakeCall(2, true));
     const auto starts = StartWaitingCalls(pool, kStart, m_random);
     CPPUNIT_ASSERT(starts == std::vector<StartedCall>({{2, "a"}}));
     CPPUNIT_ASSERT_EQUAL(size_t{1}, pool.m_waiting.size());
@@ -129,14 +129,14 @@
     pool.m_replicas["a"].m_closing_until = kStart + 1s;
     pool.m_replicas["b"].m_other_entries_calls = 2;
     PoolCall call = MakeCall(1);
-    call.m_length = 2s;
+    call.m_expected_run_time = 2s;
     CPPUNIT_ASSERT_EQUAL(std::string("b"),
                          *AcquireSlot(pool, call, kStart, m_random));
-    call.m_length = 100ms;
+    call.m_expected_run_time = 100ms;
     CPPUNIT_ASSERT_EQUAL(std::string("a"),
                          *AcquireSlot(pool, call, kStart, m_random));
     pool.m_replicas["b"].m_other_entries_calls = kSlots;
-    call.m_length = 2s;
+    call.m_expected_run_time = 2s;
     CPPUNIT_ASSERT_EQUAL(std::string("a"),
                          *AcquireSlot(pool, call, kStart, m_random));
   }
@@ -169,12 +169,12 @@
   void OneLostAnswerKeepsTheReplicaInUse() {
     ReplicaPool pool = MakePool({MakeReplica("a")});
     AcquireSlot(pool, MakeCall(1), kStart, m_random);
-    Release(pool, "a", AttemptEnd::kBroken, kStart);
+    ReleaseSlot(pool, "a", AttemptEnd::kBroken, kStart);
     CPPUNIT_ASSERT(AcquireSlot(pool, MakeCall(2), kStart, m_random));
-    Release(pool, "a", AttemptEnd::kBroken, kStart);
+    ReleaseSlot(pool, "a", AttemptEnd::kBroken, kStart);
     CPPUNIT_ASSERT(!AcquireSlot(pool, MakeCall(3), kStart, m_random));
     CPPUNIT_ASSERT(AcquireSlot(pool, MakeCall(3), kStart + 3s, m_random));
-    Release(pool, "a", AttemptEnd::kUnreachable, kStart + 3s);
+    ReleaseSlot(pool, "a", AttemptEnd::kUnreachable, kStart + 3s);
     CPPUNIT_ASSERT(!AcquireSlot(pool, MakeCall(4), kStart + 3s, m_random));
   }
 
@@ -182,7 +182,7 @@
     ReplicaPool pool = MakePool({MakeReplica("a"), MakeReplica("b")});
     for (int call = 0; call < 20; ++call) {
       pool.m_replicas["a"].m_in_flight = 1;
-      Release(pool, "a", AttemptEnd::kFailed, kStart);
+      ReleaseSlot(pool, "a", AttemptEnd::kFailed, kStart);
     }
     for (uint32_t call = 0; call < kSlots; ++call)
       CPPUNIT_ASSERT_EQUAL(std::string("b"), *AcquireSlot(pool, MakeCall(call),
@@ -256,11 +256,11 @@
           if (const auto acquired = AcquireSlot(pool, call, now, m_random)) {
             running.push_back(*acquired);
           } else {
-            Wait(pool, call);
+            AddWaitingCall(pool, call);
             waiting.insert(call.m_ticket);
           }
         } else if (step == 2 && !running.empty()) {
-          Release(
+          ReleaseSlot(
               pool, running.back(),
               *rc::gen::element(AttemptEnd::kGood, AttemptEnd::kBroken,
                                 AttemptEnd::kNotRun, AttemptEnd::kUnreachable),
--- a/src/libverbenalead/decide/replica_state.h
+++ b/src/libverbenalead/decide/replica_state.h
@@ -16,7 +16,7 @@
   uint32_t m_in_flight = 0;
   /// Of these, the calls whose slot request the target has not answered yet,
   /// and their prompt tokens.
-  uint32_t m_asked = 0;
+  uint32_t m_open_slot_requests = 0;
   uint64_t m_requested_unread_tokens = 0;
   /// Calls of the other entries, as last reported.
   uint32_t m_other_entries_calls = 0;
@@ -26,7 +26,7 @@
   uint64_t m_other_entries_unread_tokens = 0;
   /// Calls of all entries that wait for a slot at the replica, as last
   /// reported.
-  uint32_t m_waiting = 0;
+  uint32_t m_queued_calls = 0;
   /// Newest version of the weights that any source reported for the replica.
   uint64_t m_weights = 0;
   /// Until this time the replica is expected to load new weights soon.
--- a/src/libverbenalead/decide/report_change.cc
+++ b/src/libverbenalead/decide/report_change.cc
@@ -30,7 +30,7 @@
   return HashOf(UrgentPart(report)) + kSeparator + HashOf(report);
 }
 
-ReportChange NewsOf(const std::string& mark, const std::string& seen) {
+ReportChange CompareMarks(const std::string& mark, const std::string& seen) {
   if (mark == seen)
     return ReportChange::kNone;
   const bool same_urgent_part = mark.substr(0, mark.find(kSeparator)) ==
--- a/src/libverbenalead/decide/report_change.h
+++ b/src/libverbenalead/decide/report_change.h
@@ -29,7 +29,7 @@
 /// allowed for control traffic. The count may be late: an entry knows its own
 /// attempts at once, and those of other entries from the responses that pass
 /// through it.
-ReportChange NewsOf(const std::string& mark, const std::string& seen);
+ReportChange CompareMarks(const std::string& mark, const std::string& seen);
 
 }  // namespace verbenalead::decide
 
--- a/src/libverbenalead/decide/report_change_test.cc
+++ b/src/libverbenalead/decide/report_change_test.cc
@@ -25,11 +25,12 @@
   // for each change would exceed the limit for control traffic.
   void LoadChangeIsNotUrgent() {
     const std::string seen = ReportMarkOf(Report());
-    CPPUNIT_ASSERT(NewsOf(ReportMarkOf(Report()), seen) == ReportChange::kNone);
+    CPPUNIT_ASSERT(CompareMarks(ReportMarkOf(Report()), seen) ==
+                   ReportChange::kNone);
     model::TargetReport busy = Report();
     busy.m_running = 7;
     busy.m_peer_bytes = 1 << 20;
-    CPPUNIT_ASSERT(NewsOf(ReportMarkOf(busy), seen) ==
+    CPPUNIT_ASSERT(CompareMarks(ReportMarkOf(busy), seen) ==
                    ReportChange::kDeferrable);
   }
 
@@ -40,19 +41,20 @@
     model::TargetReport closed = Report();
     closed.m_open = false;
     for (const model::TargetReport& report : {leaving, closed})
-      CPPUNIT_ASSERT(NewsOf(ReportMarkOf(report), seen) ==
+      CPPUNIT_ASSERT(CompareMarks(ReportMarkOf(report), seen) ==
                      ReportChange::kUrgent);
-    CPPUNIT_ASSERT(NewsOf(seen, "") == ReportChange::kUrgent);
+    CPPUNIT_ASSERT(CompareMarks(seen, "") == ReportChange::kUrgent);
   }
 
   void ProgressIsUrgentByTenths() {
     const std::string seen = ReportMarkOf(Report());
     model::TargetReport report = Report();
     report.m_chunks_held = 9;
-    CPPUNIT_ASSERT(NewsOf(ReportMarkOf(report), seen) ==
+    CPPUNIT_ASSERT(CompareMarks(ReportMarkOf(report), seen) ==
                    ReportChange::kDeferrable);
     report.m_chunks_held = 10;
-    CPPUNIT_ASSERT(NewsOf(ReportMarkOf(report), seen) == ReportChange::kUrgent);
+    CPPUNIT_ASSERT(CompareMarks(ReportMarkOf(report), seen) ==
+                   ReportChange::kUrgent);
   }
 };
 
--- a/src/libverbenalead/decide/retry_window.cc
+++ b/src/libverbenalead/decide/retry_window.cc
@@ -10,13 +10,14 @@
 constexpr double kUsedShare = 0.8;
 
 int64_t PartNumber(const RetryAllowance& allowance, TimePoint now) {
-  const Duration part = allowance.m_window / RetryWindow::kParts;
+  const Duration part = allowance.m_window / RetryWindow::kIntervals;
   return now.time_since_epoch() / std::max<Duration>(part, 1ms);
 }
 
-RetryWindow::Part& PartAt(RetryWindow& window, int64_t number) {
-  RetryWindow::Part& part =
-      window.m_parts[static_cast<size_t>(number) % window.m_parts.size()];
+RetryWindow::Interval& PartAt(RetryWindow& window, int64_t number) {
+  RetryWindow::Interval& part =
+      window
+          .m_intervals[static_cast<size_t>(number) % window.m_intervals.size()];
   if (part.m_number != number)
     part = {number, 0, 0};
   return part;
@@ -35,16 +36,16 @@
                   uint32_t entries,
                   TimePoint now) {
   const int64_t number = PartNumber(allowance, now);
-  RetryWindow::Part& current = PartAt(window, number);
+  RetryWindow::Interval& current = PartAt(window, number);
   uint32_t calls = 0;
   uint32_t retries = 0;
-  for (const RetryWindow::Part& part : window.m_parts) {
+  for (const RetryWindow::Interval& part : window.m_intervals) {
     const int64_t age = number - part.m_number;
     if (part.m_number < 0 || age < 0 ||
-        age > static_cast<int64_t>(RetryWindow::kParts))
+        age > static_cast<int64_t>(RetryWindow::kIntervals))
       continue;
     retries += part.m_retries;
-    if (age < static_cast<int64_t>(RetryWindow::kParts))
+    if (age < static_cast<int64_t>(RetryWindow::kIntervals))
       calls += part.m_calls;
   }
   const double allowed =
--- a/src/libverbenalead/decide/retry_window.h
+++ b/src/libverbenalead/decide/retry_window.h
@@ -31,15 +31,15 @@
 /// maximum number of entries, so that the total keeps to the allowance without
 /// any communication between entries.
 struct RetryWindow {
-  static constexpr size_t kParts = 10;
-  struct Part {
+  static constexpr size_t kIntervals = 10;
+  struct Interval {
     int64_t m_number = -1;
     uint32_t m_calls = 0;
     uint32_t m_retries = 0;
   };
   /// Ring of one part more than a window has, so that a retry is counted for at
   /// least a whole window.
-  std::array<Part, kParts + 1> m_parts{};
+  std::array<Interval, kIntervals + 1> m_intervals{};
 };
 
 void CountCall(RetryWindow& window,
--- a/src/libverbenalead/decide/rollout.cc
+++ b/src/libverbenalead/decide/rollout.cc
@@ -135,7 +135,7 @@
   // permit instead.
   if (purpose != Purpose::kAcquire)
     state.m_permit = false;
-  state.m_writing = next;
+  state.m_pending_write = next;
   RolloutAction action = Do(Kind::kWritePermits);
   action.m_load_permits = std::move(next);
   return action;
@@ -197,7 +197,7 @@
   // A process that was suspended earlier finds its permit expired in the check
   // above and acquires it again.
   state.m_previous_version = gate.m_digest;
-  state.m_loading = plan.m_digest;
+  state.m_loading_digest = plan.m_digest;
   state.m_shut_for_load = true;
   state.m_permit_confirmed = false;
   Shut(gate);
@@ -311,7 +311,7 @@
     return Wait(state, RolloutStage::kSuperseded,
                 "a newer process gives orders");
   }
-  if (gate.m_status_epoch != state.m_settled)
+  if (gate.m_status_epoch != state.m_resolved_epoch)
     return Ask(state, gate, now);
   if (plan.m_digest.empty())
     return Wait(state, RolloutStage::kIdle, "");
@@ -321,11 +321,11 @@
     bool denied = false;
     return ChangePermits(state, plan, Purpose::kRecordFailure, now, denied);
   }
-  if (state.m_shut_for_load && state.m_loading != plan.m_digest) {
+  if (state.m_shut_for_load && state.m_loading_digest != plan.m_digest) {
     // Another version was declared after the gate was shut. The previous
     // version may continue to be served while the newly declared one is
     // fetched.
-    state.m_loading = plan.m_digest;
+    state.m_loading_digest = plan.m_digest;
     RequireStatus(gate);
     return {};
   }
@@ -361,7 +361,7 @@
   if (permits) {
     Observe(state.m_permit_tracker, *permits, now);
   } else {
-    Forget(state.m_permit_tracker);
+    ClearObservations(state.m_permit_tracker);
     state.m_next_read = now + kTableRetryDelay;
     state.m_reason = "the table can't be read";
   }
@@ -382,7 +382,7 @@
       state.m_next_read = now + kTableRetryDelay;
     return;
   }
-  state.m_load_permits = std::move(state.m_writing);
+  state.m_load_permits = std::move(state.m_pending_write);
   auto own = state.m_load_permits->m_permits.find(state.m_host);
   state.m_permit_may_be_stored = own != state.m_load_permits->m_permits.end();
   state.m_permit = state.m_permit_may_be_stored && !own->second.m_failed;
@@ -429,7 +429,7 @@
   // the engine's state after the event that caused it.
   if (gate.m_status_epoch != epoch)
     return;
-  state.m_settled = epoch;
+  state.m_resolved_epoch = epoch;
   EvaluateOrder(state, plan, now);
   if (gate.m_open || state.m_superseded)
     return;
--- a/src/libverbenalead/decide/rollout.h
+++ b/src/libverbenalead/decide/rollout.h
@@ -37,7 +37,7 @@
   /// The value of GateState::m_status_epoch that the last engine status
   /// resolved. If the two differ, the engine has to be queried before any other
   /// step.
-  uint64_t m_settled = 0;
+  uint64_t m_resolved_epoch = 0;
   TimePoint m_next_status_query{};
 
   Digest m_fetched;
@@ -46,7 +46,7 @@
   /// The permits as last read or written; nullopt if they have to be read.
   std::optional<LoadPermits> m_load_permits;
   /// The permits as sent in the write in progress.
-  std::optional<LoadPermits> m_writing;
+  std::optional<LoadPermits> m_pending_write;
   TimePoint m_next_read{};
   PermitTracker m_permit_tracker;
   /// This process holds a permit, on which it may act until m_permit_until.
@@ -63,9 +63,9 @@
   /// A failed load has to be recorded in the pool's permits.
   bool m_failure_unrecorded = false;
 
-  /// The rollout has shut the gate to load m_loading.
+  /// The rollout has shut the gate to load m_loading_digest.
   bool m_shut_for_load = false;
-  Digest m_loading;
+  Digest m_loading_digest;
   /// The version in force before the gate was shut.
   Digest m_previous_version;
   /// The fencing token for the next order; 0 if it has to be minted.
--- a/src/libverbenalead/decide/rollout_load_test.cc
+++ b/src/libverbenalead/decide/rollout_load_test.cc
@@ -112,7 +112,7 @@
     stream.m_remaining = std::chrono::milliseconds(length(m_random));
     stream.m_call.m_ticket = m_streams.size();
     stream.m_call.m_prompt_tokens = 900;
-    stream.m_call.m_length = stream.m_remaining;
+    stream.m_call.m_expected_run_time = stream.m_remaining;
     stream.m_progress.m_kind = model::CallKind::kStream;
     stream.m_progress.m_resumable = true;
     stream.m_progress.m_max_attempts = 2;
@@ -130,7 +130,7 @@
 
   double Utilisation() const {
     const PoolLoad load = LoadOf(m_pool, m_now);
-    return static_cast<double>(load.m_used_slots) / load.m_places;
+    return static_cast<double>(load.m_used_slots) / load.m_slots;
   }
 
   /// Starts the load once all streams have ended, at the latest at `end`.
@@ -160,15 +160,15 @@
       if (m_now + kLook <= until)
         At(m_now + kLook, [this, number, until] { Place(number, until); });
       else
-        ++(stream.m_progress.m_runs > 0 ? m_outcome.m_lost
-                                        : m_outcome.m_refused);
+        ++(stream.m_progress.m_possible_runs > 0 ? m_outcome.m_lost
+                                                 : m_outcome.m_refused);
       return;
     }
     stream.m_replica = *replica;
     stream.m_placed_at = m_now;
     stream.m_call.m_attempted_replicas.insert(*replica);
-    ++stream.m_progress.m_sent;
-    ++stream.m_progress.m_runs;
+    ++stream.m_progress.m_sent_attempts;
+    ++stream.m_progress.m_possible_runs;
     At(m_now + 150ms,
        [this, replica = *replica] { NotePromptRead(m_pool, replica, 900); });
     const uint64_t run = ++stream.m_run;
@@ -179,7 +179,7 @@
   }
 
   void End(size_t number) {
-    Release(m_pool, m_streams[number].m_replica, AttemptEnd::kGood, m_now);
+    ReleaseSlot(m_pool, m_streams[number].m_replica, AttemptEnd::kGood, m_now);
     m_streams[number].m_replica.clear();
     ++m_outcome.m_whole;
   }
@@ -191,7 +191,7 @@
         continue;
       ++stream.m_run;
       stream.m_replica.clear();
-      Release(m_pool, id, AttemptEnd::kAbandoned, m_now);
+      ReleaseSlot(m_pool, id, AttemptEnd::kAbandoned, m_now);
       if (!MayRetry(stream.m_progress, AttemptEnd::kBroken)) {
         ++m_outcome.m_lost;
         continue;
--- a/src/libverbenalead/decide/rollout_test.cc
+++ b/src/libverbenalead/decide/rollout_test.cc
@@ -428,7 +428,7 @@
     for (Process& process : simulation.m_processes) {
       const Attempt attempt{"r" + std::to_string(m_number), 1};
       if (process.m_request ||
-          Enter(process.m_gate, attempt, process.m_gate.m_incarnation, {},
+          Admit(process.m_gate, attempt, process.m_gate.m_incarnation, {},
                 simulation.m_now) != AdmitResult::kAdmitted)
         continue;
       process.m_request = attempt;
@@ -444,13 +444,14 @@
 void EndRequest(Simulation& simulation, Process& process) {
   FakeEngine engine;
   engine.m_bytes = process.m_read;
-  if (MayPass(process.m_gate, process.m_request_generation, engine.Whole())) {
+  if (MayForward(process.m_gate, process.m_request_generation,
+                 engine.Whole())) {
     ++simulation.m_answers;
     RC_ASSERT(process.m_read.size() == kBytes);
     for (const Digest& byte : process.m_read)
       RC_ASSERT(byte == process.m_gate.m_digest);
   }
-  Leave(process.m_gate, *process.m_request, simulation.m_now);
+  EndAttempt(process.m_gate, *process.m_request, simulation.m_now);
   process.m_request.reset();
 }
 
--- a/src/libverbenalead/decide/routing_test.cc
+++ b/src/libverbenalead/decide/routing_test.cc
@@ -84,11 +84,11 @@
 
   void UrgentGoesFirstWithinItsOrganisation() {
     AdmissionState state;
-    Tick(state, 1, kStart);
-    Arrive(state, 1, MakeCall("a", 3, 9s), kStart);
-    Arrive(state, 2, MakeCall("a", 3, 9s), kStart);
-    Arrive(state, 3, MakeCall("a", 0, 9s), kStart);
-    const auto actions = Finish(state, kTokens, 100ms, kStart);
+    UpdateCapacity(state, 1, kStart);
+    CallArrived(state, 1, MakeCall("a", 3, 9s), kStart);
+    CallArrived(state, 2, MakeCall("a", 3, 9s), kStart);
+    CallArrived(state, 3, MakeCall("a", 0, 9s), kStart);
+    const auto actions = CallFinished(state, kTokens, 100ms, kStart);
     CPPUNIT_ASSERT_EQUAL(uint64_t{3}, actions.at(0).m_ticket);
   }
 
@@ -97,13 +97,13 @@
   // must be refused on arrival, with the time after which to retry.
   void UnmeetableDeadlineIsRefusedOnArrival() {
     AdmissionState state;
-    Tick(state, 1, kStart);
-    Arrive(state, 1, MakeCall("a", 3, 9s), kStart);
-    Finish(state, kTokens, 1s, kStart);
-    Arrive(state, 2, MakeCall("a", 3, 9s), kStart);
-    Arrive(state, 3, MakeCall("a", 3, 9s), kStart);
-    Arrive(state, 4, MakeCall("a", 3, 9s), kStart);
-    const auto actions = Arrive(state, 5, MakeCall("a", 3, 2s), kStart);
+    UpdateCapacity(state, 1, kStart);
+    CallArrived(state, 1, MakeCall("a", 3, 9s), kStart);
+    CallFinished(state, kTokens, 1s, kStart);
+    CallArrived(state, 2, MakeCall("a", 3, 9s), kStart);
+    CallArrived(state, 3, MakeCall("a", 3, 9s), kStart);
+    CallArrived(state, 4, MakeCall("a", 3, 9s), kStart);
+    const auto actions = CallArrived(state, 5, MakeCall("a", 3, 2s), kStart);
     CPPUNIT_ASSERT_EQUAL(size_t{1}, actions.size());
     CPPUNIT_ASSERT(actions[0].m_kind == AdmissionAction::Kind::kRefuse);
     CPPUNIT_ASSERT_EQUAL(std::string("deadline_cannot_be_met"),
@@ -116,11 +116,11 @@
   // be refused at its deadline.
   void NothingWaitsPastItsDeadline() {
     AdmissionState state;
-    Tick(state, 1, kStart);
-    Arrive(state, 1, MakeCall("a", 3, 60s), kStart);
-    Arrive(state, 2, MakeCall("a", 3, 1s), kStart);
-    CPPUNIT_ASSERT(Tick(state, 1, kStart + 900ms).empty());
-    const auto actions = Tick(state, 1, kStart + 1s);
+    UpdateCapacity(state, 1, kStart);
+    CallArrived(state, 1, MakeCall("a", 3, 60s), kStart);
+    CallArrived(state, 2, MakeCall("a", 3, 1s), kStart);
+    CPPUNIT_ASSERT(UpdateCapacity(state, 1, kStart + 900ms).empty());
+    const auto actions = UpdateCapacity(state, 1, kStart + 1s);
     CPPUNIT_ASSERT_EQUAL(uint64_t{2}, actions.at(0).m_ticket);
     CPPUNIT_ASSERT_EQUAL(uint32_t{0}, state.m_waiting);
   }
@@ -168,17 +168,18 @@
       RunAttempt(state, "slow", call, TargetFeedback::kGood, 1s, kStart);
     Random random;
     for (int i = 0; i < 10; ++i) {
-      const auto placed = Place(state, call, {}, {}, kStart, random);
+      const auto placed = ChooseTarget(state, call, {}, {}, kStart, random);
       CPPUNIT_ASSERT_EQUAL(std::string("fast"), placed->m_target);
     }
     const TimePoint later = kStart + kFirstEjection;
-    const auto probe = Place(state, call, {}, {}, later, random);
+    const auto probe = ChooseTarget(state, call, {}, {}, later, random);
     CPPUNIT_ASSERT_EQUAL(std::string("probe"), probe->m_reason);
     CPPUNIT_ASSERT_EQUAL(std::string("slow"), probe->m_target);
     // While the probe is in flight, no second call goes to the ejected target.
     AttemptSent(state, "slow", call, later);
-    CPPUNIT_ASSERT_EQUAL(std::string("fast"),
-                         Place(state, call, {}, {}, later, random)->m_target);
+    CPPUNIT_ASSERT_EQUAL(
+        std::string("fast"),
+        ChooseTarget(state, call, {}, {}, later, random)->m_target);
     AttemptEnded(state, "slow", call, TargetFeedback::kGood, 100ms, later);
     CPPUNIT_ASSERT_EQUAL(uint32_t{16}, UsableCapacity(state, later));
   }
@@ -193,7 +194,7 @@
     RunAttempt(state, "slow", call, TargetFeedback::kBroken, 1ms, kStart);
     CPPUNIT_ASSERT(UsableCapacity(state, kStart) > 0);
     Random random;
-    const auto placed = Place(state, call, {}, {}, kStart, random);
+    const auto placed = ChooseTarget(state, call, {}, {}, kStart, random);
     CPPUNIT_ASSERT(placed.has_value());
     CPPUNIT_ASSERT_EQUAL(std::string("all_ejected"), placed->m_reason);
   }
@@ -206,12 +207,13 @@
     TargetSelectionState state;
     const model::Call call = MakeCall("a", 3, 9s);
     Random random;
-    Report(state, OpenTarget("t", 0), kStart);
+    ApplyReport(state, OpenTarget("t", 0), kStart);
     RunAttempt(state, "t", call, TargetFeedback::kGood, 100ms, kStart);
     CPPUNIT_ASSERT_EQUAL(
-        UINT32_MAX, Place(state, call, {}, {}, kStart, random)->m_max_running);
-    Report(state, OpenTarget("u", 0), kStart);
-    const auto placed = Place(state, call, {}, {}, kStart, random);
+        UINT32_MAX,
+        ChooseTarget(state, call, {}, {}, kStart, random)->m_max_running);
+    ApplyReport(state, OpenTarget("u", 0), kStart);
+    const auto placed = ChooseTarget(state, call, {}, {}, kStart, random);
     CPPUNIT_ASSERT_EQUAL(uint32_t{1}, placed->m_max_running);
   }
 
@@ -219,12 +221,12 @@
     TargetSelectionState state;
     model::TargetReport report = OpenTarget("t", 0);
     report.m_leaving = true;
-    Report(state, report, kStart);
+    ApplyReport(state, report, kStart);
     report.m_leaving = false;
-    Report(state, report, kStart);
+    ApplyReport(state, report, kStart);
     CPPUNIT_ASSERT_EQUAL(uint32_t{0}, UsableCapacity(state, kStart));
     report.m_incarnation = 2;
-    Report(state, report, kStart);
+    ApplyReport(state, report, kStart);
     CPPUNIT_ASSERT_EQUAL(uint32_t{8}, UsableCapacity(state, kStart));
   }
 
@@ -236,13 +238,14 @@
         // Entries receive the reports in different orders and with different
         // loads.
         for (uint32_t i = 0; i < 5; ++i)
-          Report(state,
-                 OpenTarget("t" + std::to_string((i + entry) % 5), entry),
-                 kStart);
+          ApplyReport(state,
+                      OpenTarget("t" + std::to_string((i + entry) % 5), entry),
+                      kStart);
         Random random(entry + 1);
         model::CallBuilder builder;
         const auto call = builder.Prefix(prefix).ExpectedTokens(1).Build();
-        chosen.insert(Place(state, call, {}, {}, kStart, random)->m_target);
+        chosen.insert(
+            ChooseTarget(state, call, {}, {}, kStart, random)->m_target);
       }
       CPPUNIT_ASSERT_EQUAL(size_t{1}, chosen.size());
     }
@@ -254,12 +257,12 @@
     PrefixIndex index;
     RecordPrefix(index, 7, 1, kStart + 2s);
     RecordEviction(index, 7, 1, kStart + 1s);
-    CPPUNIT_ASSERT(Holds(FindHolders(index, 7), 1, kStart + 3s));
+    CPPUNIT_ASSERT(HasPrefix(FindHolders(index, 7), 1, kStart + 3s));
     RecordEviction(index, 7, 1, kStart + 3s);
-    CPPUNIT_ASSERT(!Holds(FindHolders(index, 7), 1, kStart + 3s));
+    CPPUNIT_ASSERT(!HasPrefix(FindHolders(index, 7), 1, kStart + 3s));
     RecordPrefix(index, 7, 1, kStart + 3s);
     CPPUNIT_ASSERT(
-        !Holds(FindHolders(index, 7), 1, kStart + 4s + kPrefixLifetime));
+        !HasPrefix(FindHolders(index, 7), 1, kStart + 4s + kPrefixLifetime));
   }
 
   // Guards against an overload of the working half of a pool by retries: the
@@ -304,8 +307,8 @@
  private:
   static TargetSelectionState TwoTargets() {
     TargetSelectionState state;
-    Report(state, OpenTarget("fast", 4), kStart);
-    Report(state, OpenTarget("slow", 0), kStart);
+    ApplyReport(state, OpenTarget("fast", 4), kStart);
+    ApplyReport(state, OpenTarget("slow", 0), kStart);
     return state;
   }
 
--- a/src/libverbenalead/decide/slot_queue.cc
+++ b/src/libverbenalead/decide/slot_queue.cc
@@ -125,10 +125,10 @@
 
 }  // namespace
 
-SlotVerdict Ask(SlotQueue& queue,
-                const SlotRequest& request,
-                const ReplicaLoad& load,
-                TimePoint now) {
+SlotVerdict RequestSlot(SlotQueue& queue,
+                        const SlotRequest& request,
+                        const ReplicaLoad& load,
+                        TimePoint now) {
   DropExpired(queue, now);
   if (MayOvertake(queue, request, load, now) &&
       CanStart(queue, request, load, now)) {
@@ -138,14 +138,14 @@
   if (IsExpired(queue, request, now) ||
       queue.m_slot_requests.size() >= kMaxQueuedRequests)
     return SlotVerdict::kDenied;
-  Withdraw(queue, request.m_entry, request.m_ticket);
+  WithdrawRequest(queue, request.m_entry, request.m_ticket);
   queue.m_slot_requests.push_back(request);
   return SlotVerdict::kQueued;
 }
 
-std::vector<SlotRequest> Grant(SlotQueue& queue,
-                               ReplicaLoad load,
-                               TimePoint now) {
+std::vector<SlotRequest> GrantSlots(SlotQueue& queue,
+                                    ReplicaLoad load,
+                                    TimePoint now) {
   DropExpired(queue, now);
   std::vector<SlotRequest> granted;
   for (auto most_urgent = FindMostUrgent(queue);
@@ -161,7 +161,7 @@
   return granted;
 }
 
-void Withdraw(SlotQueue& queue, const Endpoint& entry, uint64_t ticket) {
+void WithdrawRequest(SlotQueue& queue, const Endpoint& entry, uint64_t ticket) {
   std::erase_if(queue.m_slot_requests, [&](const SlotRequest& request) {
     return request.m_entry == entry && request.m_ticket == ticket;
   });
--- a/src/libverbenalead/decide/slot_queue.h
+++ b/src/libverbenalead/decide/slot_queue.h
@@ -47,11 +47,11 @@
 /// While the replica has too many prompts to read for the most urgent call, a
 /// less urgent one might be able to start, but its prompt would be read first
 /// and delay the most urgent call further. Only a newly arrived on-time call
-/// may start in such a case, see Ask(). A late call gets a slot only if no
-/// on-time call wants it.
+/// may start in such a case, see RequestSlot(). A late call gets a slot only if
+/// no on-time call wants it.
 ///
-///     if (Ask(queue, request, load, now) == SlotVerdict::kGranted) ...
-///     for (const SlotRequest& granted : Grant(queue, load, now)) ...
+///     if (RequestSlot(queue, request, load, now) == SlotVerdict::kGranted) ...
+///     for (const SlotRequest& granted : GrantSlots(queue, load, now)) ...
 ///
 /// A request does not bind its entry: a call may wait at several replicas, uses
 /// the first slot that is granted, and its other requests are withdrawn.
@@ -84,20 +84,20 @@
 /// more urgent than all waiting ones, or if it is on time and the most urgent
 /// waiting call can't start yet, since the slot would stay empty otherwise. If
 /// not granted, it is queued or denied.
-SlotVerdict Ask(SlotQueue& queue,
-                const SlotRequest& request,
-                const ReplicaLoad& load,
-                TimePoint now);
+SlotVerdict RequestSlot(SlotQueue& queue,
+                        const SlotRequest& request,
+                        const ReplicaLoad& load,
+                        TimePoint now);
 
 /// Grants free slots to waiting calls, the most urgent first, and returns their
 /// requests. Requests that can no longer be met are dropped.
-std::vector<SlotRequest> Grant(SlotQueue& queue,
-                               ReplicaLoad load,
-                               TimePoint now);
+std::vector<SlotRequest> GrantSlots(SlotQueue& queue,
+                                    ReplicaLoad load,
+                                    TimePoint now);
 
 /// Removes the request of a call that got a slot elsewhere or whose caller
 /// left.
-void Withdraw(SlotQueue& queue, const Endpoint& entry, uint64_t ticket);
+void WithdrawRequest(SlotQueue& queue, const Endpoint& entry, uint64_t ticket);
 
 }  // namespace verbenalead::decide
 
--- a/src/libverbenalead/decide/slot_queue_test.cc
+++ b/src/libverbenalead/decide/slot_queue_test.cc
@@ -21,12 +21,12 @@
 
 SlotRequest MakeRequest(uint64_t ticket,
                         Duration read_within,
-                        bool on_time = true) {
+                        bool can_be_on_time = true) {
   SlotRequest request;
   request.m_entry = Endpoint("10.0.0.1", 1);
   request.m_ticket = ticket;
   request.m_prompt_tokens = 10;
-  request.m_can_be_on_time = on_time;
+  request.m_can_be_on_time = can_be_on_time;
   request.m_read_deadline = kStart + read_within;
   request.m_until = kStart + 10s;
   return request;
@@ -50,8 +50,8 @@
  public:
   void FreeSlotIsGrantedAtOnce() {
     SlotQueue queue = MakeQueue();
-    CPPUNIT_ASSERT(Ask(queue, MakeRequest(1, 300ms), kOneFree, kStart) ==
-                   SlotVerdict::kGranted);
+    CPPUNIT_ASSERT(RequestSlot(queue, MakeRequest(1, 300ms), kOneFree,
+                               kStart) == SlotVerdict::kGranted);
     CPPUNIT_ASSERT(queue.m_slot_requests.empty());
   }
 
@@ -59,13 +59,13 @@
     SlotQueue queue = MakeQueue();
     for (const auto& [ticket, within] :
          {std::pair{1, 300ms}, std::pair{2, 100ms}, std::pair{3, 200ms}}) {
-      CPPUNIT_ASSERT(Ask(queue, MakeRequest(ticket, within), kFull, kStart) ==
-                     SlotVerdict::kQueued);
+      CPPUNIT_ASSERT(RequestSlot(queue, MakeRequest(ticket, within), kFull,
+                                 kStart) == SlotVerdict::kQueued);
     }
-    const auto granted = Grant(queue, kOneFree, kStart);
+    const auto granted = GrantSlots(queue, kOneFree, kStart);
     CPPUNIT_ASSERT_EQUAL(size_t{1}, granted.size());
     CPPUNIT_ASSERT_EQUAL(uint64_t{2}, granted[0].m_ticket);
-    CPPUNIT_ASSERT(Grant(queue, kFull, kStart).empty());
+    CPPUNIT_ASSERT(GrantSlots(queue, kFull, kStart).empty());
   }
 
   // Guards against giving a slot to a late retry at the entry where it comes
@@ -73,14 +73,14 @@
   // refused. The on-time call gets the slot, whichever request arrives first.
   void LateCallWaitsForOnTimeCalls() {
     SlotQueue queue = MakeQueue();
-    Ask(queue, MakeRequest(1, 0ms, false), kFull, kStart);
-    Ask(queue, MakeRequest(2, 300ms), kFull, kStart);
-    CPPUNIT_ASSERT(Ask(queue, MakeRequest(3, 0ms, false), kOneFree, kStart) ==
-                   SlotVerdict::kQueued);
+    RequestSlot(queue, MakeRequest(1, 0ms, false), kFull, kStart);
+    RequestSlot(queue, MakeRequest(2, 300ms), kFull, kStart);
+    CPPUNIT_ASSERT(RequestSlot(queue, MakeRequest(3, 0ms, false), kOneFree,
+                               kStart) == SlotVerdict::kQueued);
     CPPUNIT_ASSERT_EQUAL(uint64_t{2},
-                         Grant(queue, kOneFree, kStart).at(0).m_ticket);
+                         GrantSlots(queue, kOneFree, kStart).at(0).m_ticket);
     CPPUNIT_ASSERT_EQUAL(uint64_t{1},
-                         Grant(queue, kOneFree, kStart).at(0).m_ticket);
+                         GrantSlots(queue, kOneFree, kStart).at(0).m_ticket);
   }
 
   // Guards against placing a call that has 100 ms left behind 150 ms of
@@ -89,11 +89,12 @@
   void NoCallIsPlacedBehindTooManyPrompts() {
     SlotQueue queue = MakeQueue();
     const ReplicaLoad reading = {1, 150};
-    CPPUNIT_ASSERT(Ask(queue, MakeRequest(1, 100ms), reading, kStart) ==
+    CPPUNIT_ASSERT(RequestSlot(queue, MakeRequest(1, 100ms), reading, kStart) ==
                    SlotVerdict::kQueued);
-    CPPUNIT_ASSERT(Ask(queue, MakeRequest(2, 300ms), reading, kStart) ==
+    CPPUNIT_ASSERT(RequestSlot(queue, MakeRequest(2, 300ms), reading, kStart) ==
                    SlotVerdict::kGranted);
-    CPPUNIT_ASSERT(Grant(queue, {1, 20}, kStart + 60ms).at(0).m_ticket == 1);
+    CPPUNIT_ASSERT(GrantSlots(queue, {1, 20}, kStart + 60ms).at(0).m_ticket ==
+                   1);
   }
 
   // Guards against a first event after 0.43 s instead of 0.25 s: three calls
@@ -102,36 +103,36 @@
   // elsewhere, or wait until the three calls have begun.
   void LongPromptDoesNotDelayGrantedCalls() {
     SlotQueue queue = MakeQueue();
-    CPPUNIT_ASSERT(Ask(queue, MakeRequest(1, 100ms), {}, kStart) ==
+    CPPUNIT_ASSERT(RequestSlot(queue, MakeRequest(1, 100ms), {}, kStart) ==
                    SlotVerdict::kGranted);
     SlotRequest long_prompt = MakeRequest(2, 400ms);
     long_prompt.m_prompt_tokens = 200;
-    CPPUNIT_ASSERT(Ask(queue, long_prompt, {1, 10}, kStart + 1ms) ==
+    CPPUNIT_ASSERT(RequestSlot(queue, long_prompt, {1, 10}, kStart + 1ms) ==
                    SlotVerdict::kQueued);
-    const auto granted = Grant(queue, {1, 0}, kStart + 11ms);
+    const auto granted = GrantSlots(queue, {1, 0}, kStart + 11ms);
     CPPUNIT_ASSERT_EQUAL(size_t{1}, granted.size());
   }
 
   void UnmeetableRequestIsDeniedAtOnce() {
     SlotQueue queue = MakeQueue();
-    CPPUNIT_ASSERT(Ask(queue, MakeRequest(1, 5ms), kFull, kStart) ==
+    CPPUNIT_ASSERT(RequestSlot(queue, MakeRequest(1, 5ms), kFull, kStart) ==
                    SlotVerdict::kDenied);
     SlotRequest without_wait = MakeRequest(2, 300ms);
     without_wait.m_until = kStart;
-    CPPUNIT_ASSERT(Ask(queue, without_wait, kFull, kStart) ==
+    CPPUNIT_ASSERT(RequestSlot(queue, without_wait, kFull, kStart) ==
                    SlotVerdict::kDenied);
-    Ask(queue, MakeRequest(3, 100ms), kFull, kStart);
-    CPPUNIT_ASSERT(Grant(queue, kOneFree, kStart + 100ms).empty());
+    RequestSlot(queue, MakeRequest(3, 100ms), kFull, kStart);
+    CPPUNIT_ASSERT(GrantSlots(queue, kOneFree, kStart + 100ms).empty());
     CPPUNIT_ASSERT(queue.m_slot_requests.empty());
   }
 
   void WithdrawnRequestGetsNoSlot() {
     SlotQueue queue = MakeQueue();
-    Ask(queue, MakeRequest(1, 300ms), kFull, kStart);
-    Withdraw(queue, Endpoint("10.0.0.2", 1), 1);
+    RequestSlot(queue, MakeRequest(1, 300ms), kFull, kStart);
+    WithdrawRequest(queue, Endpoint("10.0.0.2", 1), 1);
     CPPUNIT_ASSERT_EQUAL(size_t{1}, queue.m_slot_requests.size());
-    Withdraw(queue, Endpoint("10.0.0.1", 1), 1);
-    CPPUNIT_ASSERT(Grant(queue, {}, kStart).empty());
+    WithdrawRequest(queue, Endpoint("10.0.0.1", 1), 1);
+    CPPUNIT_ASSERT(GrantSlots(queue, {}, kStart).empty());
   }
 
   // Calls request slots, wait, withdraw and end in any order, and some messages
@@ -156,16 +157,16 @@
         if (step <= 2) {
           SlotRequest request =
               MakeRequest(++ticket, now - kStart + 100ms, step != 0);
-          if (Ask(queue, request, load, now) == SlotVerdict::kGranted)
+          if (RequestSlot(queue, request, load, now) == SlotVerdict::kGranted)
             record_grant(request);
           else if (step == 1)
-            Ask(queue, request, kFull, now);
+            RequestSlot(queue, request, kFull, now);
         } else if (step == 3 && load.m_calls > 0) {
           --load.m_calls;
-          for (const SlotRequest& request : Grant(queue, load, now))
+          for (const SlotRequest& request : GrantSlots(queue, load, now))
             record_grant(request);
         } else if (step == 4 && ticket > 0) {
-          Withdraw(queue, Endpoint("10.0.0.1", 1), ticket);
+          WithdrawRequest(queue, Endpoint("10.0.0.1", 1), ticket);
         }
         for (const SlotRequest& request : queue.m_slot_requests)
           RC_ASSERT(!granted.contains(request.m_ticket));
--- a/src/libverbenalead/decide/summary_route.cc
+++ b/src/libverbenalead/decide/summary_route.cc
@@ -17,8 +17,8 @@
                      const std::string& data_center,
                      const std::vector<SummaryPeer>& peers) {
   return std::none_of(peers.begin(), peers.end(), [&](const SummaryPeer& peer) {
-    return peer.m_heard && peer.m_ready && peer.m_data_center == data_center &&
-           peer.m_host < host;
+    return peer.m_recently_seen && peer.m_ready &&
+           peer.m_data_center == data_center && peer.m_host < host;
   });
 }
 
@@ -36,7 +36,7 @@
       continue;
     Candidates& candidates = by_data_center[peer.m_data_center];
     candidates.m_listed.push_back(&peer.m_host);
-    if (peer.m_heard && peer.m_ready)
+    if (peer.m_recently_seen && peer.m_ready)
       candidates.m_ready.push_back(&peer.m_host);
   }
   std::vector<std::string> recipients;
--- a/src/libverbenalead/decide/summary_route.h
+++ b/src/libverbenalead/decide/summary_route.h
@@ -14,7 +14,7 @@
   std::string m_host;
   std::string m_data_center;
   /// Whether an update about it was received recently.
-  bool m_heard = false;
+  bool m_recently_seen = false;
   /// Whether it takes calls.
   bool m_ready = false;
 
--- a/src/libverbenalead/decide/summary_route_test.cc
+++ b/src/libverbenalead/decide/summary_route_test.cc
@@ -132,7 +132,7 @@
     entry.m_sent_at = m_now;
     std::set<std::string> listed = {host};
     for (const SummaryPeer& peer : peers) {
-      if (peer.m_heard && peer.m_data_center == entry.m_data_center)
+      if (peer.m_recently_seen && peer.m_data_center == entry.m_data_center)
         listed.insert(peer.m_host);
     }
     for (const std::string& recipient :
