--- a/src/libverbenalead/decide/target_health.cc
+++ b/src/libverbenalead/decide/target_health.cc
@@ -38,10 +38,10 @@
   ++health.m_ejections;
 }
 
-bool Observe(TargetHealth& health,
-             HealthSample sample,
-             double slowness,
-             TimePoint now) {
+bool RecordAttempt(TargetHealth& health,
+                   HealthSample sample,
+                   double slowness,
+                   TimePoint now) {
   if (health.m_ejected) {
     // Results of calls sent before the ejection are ignored.
     if (now < health.m_ejected_until)
--- a/src/libverbenalead/decide/target_health.h
+++ b/src/libverbenalead/decide/target_health.h
@@ -50,10 +50,10 @@
 /// Records the end of an attempt. `slowness` is the ratio of its duration to
 /// the duration expected from the mean of the pool, 0 if that is unknown.
 /// Returns whether the target was ejected.
-bool Observe(TargetHealth& health,
-             HealthSample sample,
-             double slowness,
-             TimePoint now);
+bool RecordAttempt(TargetHealth& health,
+                   HealthSample sample,
+                   double slowness,
+                   TimePoint now);
 
 }  // namespace verbenalead::decide
 
--- a/src/libverbenalead/decide/target_selection.cc
+++ b/src/libverbenalead/decide/target_selection.cc
@@ -40,9 +40,9 @@
 
 /// Means over the usable targets.
 struct PoolMean {
-  double m_others = 0;
+  double m_other_attempts = 0;
   double m_own = 0;
-  double m_work = 0;
+  double m_recent_work = 0;
   size_t m_count = 0;
   /// Decay of the reported number of other entries' attempts, for each
   /// nanosecond of its age.
@@ -54,15 +54,15 @@
   for (const TargetView& target : state.m_targets) {
     if (!IsUsable(target, now))
       continue;
-    mean.m_others += target.m_others;
+    mean.m_other_attempts += target.m_other_attempts;
     mean.m_own += target.m_in_flight;
-    mean.m_work += target.m_work;
+    mean.m_recent_work += target.m_recent_work;
     ++mean.m_count;
   }
   const auto count = static_cast<double>(std::max<size_t>(mean.m_count, 1));
-  mean.m_others /= count;
+  mean.m_other_attempts /= count;
   mean.m_own /= count;
-  mean.m_work /= count;
+  mean.m_recent_work /= count;
   const double seconds =
       state.m_mean_seconds > 0
           ? state.m_mean_seconds
@@ -81,8 +81,8 @@
                   TimePoint now) {
   const auto age = static_cast<double>((now - target.m_others_seen_at).count());
   const double weight = 1 / (1 + age * mean.m_decay_per_ns);
-  return target.m_in_flight + mean.m_others +
-         (target.m_others - mean.m_others) * weight;
+  return target.m_in_flight + mean.m_other_attempts +
+         (target.m_other_attempts - mean.m_other_attempts) * weight;
 }
 
 double LoadOf(const TargetView& target, const PoolMean& mean, TimePoint now) {
@@ -103,8 +103,9 @@
 bool WithinBounds(const TargetView& target,
                   const PoolMean& mean,
                   double units) {
-  return target.m_work + units <=
-             std::max(kMaxWorkOverMean * mean.m_work, mean.m_work + units) &&
+  return target.m_recent_work + units <=
+             std::max(kMaxWorkOverMean * mean.m_recent_work,
+                      mean.m_recent_work + units) &&
          target.m_in_flight < mean.m_own + kMaxOwnAttemptsOverMean;
 }
 
@@ -137,7 +138,7 @@
   const TargetView* best = nullptr;
   std::pair<bool, uint64_t> best_rank;
   for (const TargetView& target : state.m_targets) {
-    const bool held = Holds(holders, target.m_hash, now);
+    const bool held = HasPrefix(holders, target.m_hash, now);
     const std::pair rank{held, Mix(target.m_hash ^ call.prefix())};
     if (best != nullptr && rank <= best_rank)
       continue;
@@ -187,12 +188,13 @@
   // No other target is left.
   if (tried.size() + 1 >= mean.m_count)
     return UINT32_MAX;
-  const auto running = std::max(
-      static_cast<uint32_t>(mean.m_own + mean.m_others), kMinMaxRunning);
+  const auto running =
+      std::max(static_cast<uint32_t>(mean.m_own + mean.m_other_attempts),
+               kMinMaxRunning);
   const double units = WorkUnits(call);
   const bool is_long = units > kLongCallFactor * state.m_mean_units;
   const double expected = units * SecondsPerUnit(state.m_service);
-  const double wait_limit = expected * kPatience;
+  const double wait_limit = expected * kMaxWaitShare;
   const bool last_attempt = is_long || tried.size() + 1 >= kMaxAttempts;
   if (std::chrono::duration<double>(waited).count() >= wait_limit &&
       last_attempt)
@@ -248,7 +250,7 @@
 }
 
 void SetObservedLoad(TargetView& target, uint32_t running, TimePoint now) {
-  target.m_others =
+  target.m_other_attempts =
       running > target.m_in_flight ? running - target.m_in_flight : 0;
   target.m_others_seen_at = now;
 }
@@ -264,14 +266,14 @@
     return;
   state.m_work_halved_at = now;
   for (TargetView& target : state.m_targets)
-    target.m_work /= 2;
+    target.m_recent_work /= 2;
 }
 
 }  // namespace
 
-void Report(TargetSelectionState& state,
-            const model::TargetReport& report,
-            TimePoint now) {
+void ApplyReport(TargetSelectionState& state,
+                 const model::TargetReport& report,
+                 TimePoint now) {
   auto [at, added] =
       state.m_index.try_emplace(report.m_name, state.m_targets.size());
   if (added) {
@@ -308,12 +310,12 @@
   state.m_targets.pop_back();
 }
 
-std::optional<Placement> Place(const TargetSelectionState& state,
-                               const model::Call& call,
-                               const std::set<std::string>& tried,
-                               Duration waited,
-                               TimePoint now,
-                               Random& random) {
+std::optional<Placement> ChooseTarget(const TargetSelectionState& state,
+                                      const model::Call& call,
+                                      const std::set<std::string>& tried,
+                                      Duration waited,
+                                      TimePoint now,
+                                      Random& random) {
   if (const TargetView* target = ChooseProbeTarget(state, call, tried, now))
     return MakePlacement(*target, "probe");
   const PoolMean mean = MeanOf(state, now);
@@ -344,7 +346,7 @@
   if (target == nullptr)
     return;
   ++target->m_in_flight;
-  target->m_work += WorkUnits(call);
+  target->m_recent_work += WorkUnits(call);
   if (call.prefix() != 0)
     RecordPrefix(state.m_prefixes, call.prefix(), target->m_hash, now);
 }
@@ -366,7 +368,7 @@
       feedback == TargetFeedback::kRefused) {
     if (feedback != TargetFeedback::kAboveMaxRunning)
       target->m_full_until = now + kFullTargetPause;
-    target->m_work = std::max(0.0, target->m_work - units);
+    target->m_recent_work = std::max(0.0, target->m_recent_work - units);
     return;
   }
   const double seconds = std::chrono::duration<double>(elapsed).count();
@@ -378,7 +380,7 @@
                               : feedback == TargetFeedback::kFailed
                                   ? HealthSample::kFailed
                                   : HealthSample::kBroken;
-  Observe(target->m_health, answer, slowness, now);
+  RecordAttempt(target->m_health, answer, slowness, now);
   if (!good)
     return;
   Add(state.m_service, units, elapsed);
--- a/src/libverbenalead/decide/target_selection.h
+++ b/src/libverbenalead/decide/target_selection.h
@@ -73,7 +73,7 @@
 /// A call waits for a lightly loaded target for at most this fraction of its
 /// own expected duration, and then accepts any target with a free slot. The
 /// added latency is thus the same fraction for short and long calls.
-constexpr double kPatience = 0.5;
+constexpr double kMaxWaitShare = 0.5;
 /// A call with more than this many times the mean work counts as long.
 constexpr double kLongCallFactor = 2;
 /// A long call is sent only to a target that runs this many fewer calls than
@@ -84,20 +84,20 @@
 
 /// Applies a report of a target. A report of an older incarnation than the
 /// known one is ignored, and `m_leaving` is never reset within an incarnation.
-void Report(TargetSelectionState& state,
-            const model::TargetReport& report,
-            TimePoint now);
+void ApplyReport(TargetSelectionState& state,
+                 const model::TargetReport& report,
+                 TimePoint now);
 void RemoveTarget(TargetSelectionState& state, const std::string& name);
 
 /// Chooses the target for `call`; nullopt if none can accept it now. Targets in
 /// `tried` are excluded. `waited` is the time since the first choice for this
 /// call.
-std::optional<Placement> Place(const TargetSelectionState& state,
-                               const model::Call& call,
-                               const std::set<std::string>& tried,
-                               Duration waited,
-                               TimePoint now,
-                               Random& random);
+std::optional<Placement> ChooseTarget(const TargetSelectionState& state,
+                                      const model::Call& call,
+                                      const std::set<std::string>& tried,
+                                      Duration waited,
+                                      TimePoint now,
+                                      Random& random);
 
 /// What the end of an attempt shows about the state of its target.
 enum class TargetFeedback {
--- a/src/libverbenalead/decide/target_view.h
+++ b/src/libverbenalead/decide/target_view.h
@@ -17,14 +17,14 @@
   /// whereas the report lags.
   uint32_t m_in_flight = 0;
   /// Attempts of other entries at the target, as of m_others_seen_at.
-  uint32_t m_others = 0;
+  uint32_t m_other_attempts = 0;
   TimePoint m_others_seen_at{};
   /// End of the pause after the target refused an attempt, usually because it
   /// was full.
   TimePoint m_full_until{};
   /// Units of work that this entry sent to the target, halved every
   /// kWorkHalvingInterval.
-  double m_work = 0;
+  double m_recent_work = 0;
   TargetHealth m_health;
   /// Hash of the target's name, for rendezvous hashing.
   uint64_t m_hash = 0;
--- a/src/libverbenalead/decide/target_watch.cc
+++ b/src/libverbenalead/decide/target_watch.cc
@@ -60,14 +60,14 @@
   }
   for (auto& [pool, targets] : state.m_pools)
     Rank(state, targets);
-  std::erase_if(state.m_heard,
+  std::erase_if(state.m_last_seen,
                 [&](const auto& item) { return !names.contains(item.first); });
 }
 
 void RecordAnswer(TargetWatchState& state,
                   const std::string& name,
                   TimePoint now) {
-  state.m_heard[name] = now;
+  state.m_last_seen[name] = now;
 }
 
 std::vector<model::Host> TargetsToWatch(TargetWatchState& state,
@@ -83,7 +83,7 @@
         continue;
       watched.push_back(target);
       const TimePoint last_seen =
-          state.m_heard.try_emplace(target.name(), now).first->second;
+          state.m_last_seen.try_emplace(target.name(), now).first->second;
       // A silent or leaving target stays watched, in case it returns, but does
       // not count, so that another one is watched in addition.
       if (now - last_seen < kTargetTimeout && !target.leaving())
--- a/src/libverbenalead/decide/target_watch.h
+++ b/src/libverbenalead/decide/target_watch.h
@@ -44,7 +44,7 @@
   /// and 1,700 targets.
   std::map<std::string, std::vector<RankedTarget>> m_pools;
   /// When each target last answered, or was first watched.
-  std::map<std::string, TimePoint> m_heard;
+  std::map<std::string, TimePoint> m_last_seen;
 };
 
 /// Replaces the host list. Targets that are no longer listed are removed.
--- a/src/libverbenalead/decide/transfer.cc
+++ b/src/libverbenalead/decide/transfer.cc
@@ -46,7 +46,8 @@
   const auto all =
       std::count_if(state.m_neighbours.begin(), state.m_neighbours.end(),
                     [](const Neighbour& each) { return !each.m_name.empty(); });
-  const auto in_region = static_cast<uint32_t>(std::popcount(state.m_near));
+  const auto in_region =
+      static_cast<uint32_t>(std::popcount(state.m_in_region));
   const uint32_t hosts =
       in_region != 0 ? in_region : static_cast<uint32_t>(all);
   if (hosts == 0)
@@ -114,7 +115,7 @@
     const size_t first = random() % bucket.size();
     for (size_t i = 0; i < bucket.size(); ++i) {
       const uint32_t chunk = bucket[(first + i) % bucket.size()];
-      if (state.m_chunks[chunk].m_holders & state.m_near & available)
+      if (state.m_chunks[chunk].m_holders & state.m_in_region & available)
         return chunk;
     }
   }
@@ -152,7 +153,8 @@
                  std::mt19937_64& random,
                  TransferActions& actions) {
   while (PeerFetches(state) < state.m_window.m_size) {
-    const uint64_t available = AvailableNeighbours(state, now) & state.m_near;
+    const uint64_t available =
+        AvailableNeighbours(state, now) & state.m_in_region;
     if (available == 0)
       return;
     const auto chunk = RarestChunk(state, available, random);
@@ -359,7 +361,7 @@
   if (fetch && fetch->m_source.IsOrigin()) {
     RecordOriginSuccess(state, now);
   } else if (fetch) {
-    const Duration wait = now - fetch->m_begun;
+    const Duration wait = now - fetch->m_started_at;
     state.m_wait = Smoothed(state.m_wait, wait);
     RecordArrival(state.m_window, wait);
     if (const auto index = FindNeighbour(state, fetch->m_source.m_host)) {
@@ -368,9 +370,9 @@
       neighbour.m_failures = 0;
     }
   }
-  if (state.m_chunks[chunk].m_here)
+  if (state.m_chunks[chunk].m_stored)
     return;
-  state.m_chunks[chunk].m_here = true;
+  state.m_chunks[chunk].m_stored = true;
   ++state.m_have_count;
   ScheduleChunk(state, chunk);
 }
@@ -381,12 +383,13 @@
 // nowhere. Therefore the host fetches the chunk from the origin again at once,
 // unless a neighbour is known to have it.
 void RecordChunkLoss(TransferState& state, uint32_t chunk, TimePoint now) {
-  if (chunk >= state.m_chunks.size() || !state.m_chunks[chunk].m_here)
+  if (chunk >= state.m_chunks.size() || !state.m_chunks[chunk].m_stored)
     return;
   TransferState::Chunk& entry = state.m_chunks[chunk];
-  entry.m_here = false;
+  entry.m_stored = false;
   --state.m_have_count;
-  entry.m_origin_ranks_from = now - entry.m_rank * state.m_limits.m_patience;
+  entry.m_origin_ranks_from =
+      now - entry.m_rank * state.m_limits.m_takeover_delay;
   ScheduleChunk(state, chunk);
 }
 
--- a/src/libverbenalead/decide/transfer.h
+++ b/src/libverbenalead/decide/transfer.h
@@ -67,11 +67,11 @@
 /// fetch begins, when it ends, and at intervals in between.
 ///
 /// Load: an origin that did not answer for seconds, or whose link is saturated,
-/// so that origin fetches take longer than the wait limit (m_patience). Harm:
-/// for each missing chunk the scheduled times of several hosts have passed, and
-/// all of them fetch it; a link that carries each chunk twice delivers the last
-/// one twice as late. Therefore hosts wait for the host that began first, as
-/// long as it repeats its announcement.
+/// so that origin fetches take longer than the take-over delay
+/// (m_takeover_delay). Harm: for each missing chunk the scheduled times of
+/// several hosts have passed, and all of them fetch it; a link that carries
+/// each chunk twice delivers the last one twice as late. Therefore hosts wait
+/// for the host that began first, as long as it repeats its announcement.
 ///
 /// Where limits.m_max_origin_fetches is set, chunks are fetched in order of
 /// their number, at most that many at once across all hosts. By the schedule
--- a/src/libverbenalead/decide/transfer_bench.cc
+++ b/src/libverbenalead/decide/transfer_bench.cc
@@ -297,7 +297,7 @@
   other.m_followers.push_back(index);
   const Duration round_trip = 2 * OneWay(index, peer);
   for (uint32_t chunk = 0; chunk < kChunks; ++chunk) {
-    if (!other.m_transfer.m_chunks[chunk].m_here)
+    if (!other.m_transfer.m_chunks[chunk].m_stored)
       continue;
     // Included in the first response, which kFollowBytes counts as a whole.
     m_hosts[index].m_control_bytes -= kUpdateBytes;
--- a/src/libverbenalead/decide/transfer_fixture.h
+++ b/src/libverbenalead/decide/transfer_fixture.h
@@ -42,7 +42,7 @@
 
   /// The state of the host that has rank 1 for the only chunk.
   TransferState SecondRankedHost() {
-    m_limits.m_patience = 1s;
+    m_limits.m_takeover_delay = 1s;
     const std::vector<TransferMember> members = {kSelf, kSameDataCenter,
                                                  kSameRegion};
     for (const TransferMember& self : members) {
--- a/src/libverbenalead/decide/transfer_fleet_test.cc
+++ b/src/libverbenalead/decide/transfer_fleet_test.cc
@@ -112,7 +112,7 @@
   void StartVersion(FleetHost& host, uint32_t version) {
     TransferLimits limits;
     limits.m_preference = TransferPreference::kOriginBytesFirst;
-    limits.m_patience = 5s;
+    limits.m_takeover_delay = 5s;
     limits.m_max_stall = 3s;
     host.m_version = version;
     host.m_store.clear();
--- a/src/libverbenalead/decide/transfer_limits.cc
+++ b/src/libverbenalead/decide/transfer_limits.cc
@@ -29,7 +29,7 @@
   limits.m_origin_budget_percent = origin_budget_percent;
   limits.m_origin_interval = TransferTime(links.m_chunk_bytes, links.m_origin);
   const Duration chunk_time = TransferTime(links.m_chunk_bytes, links.m_host);
-  limits.m_patience =
+  limits.m_takeover_delay =
       std::max<Duration>(kMinWaitLimit, kWaitLimitChunks * chunk_time);
   return limits;
 }
--- a/src/libverbenalead/decide/transfer_limits.h
+++ b/src/libverbenalead/decide/transfer_limits.h
@@ -63,7 +63,7 @@
   /// rendezvous hash, and so on. It must be long enough for a chunk to pass
   /// through a full upload queue and for the update about it to arrive;
   /// otherwise chunks of a host that is only slow are fetched twice.
-  Duration m_patience = 8s;
+  Duration m_takeover_delay = 8s;
   /// Concurrent origin fetches of all hosts together, where each host announces
   /// its own to the others; 0: hosts announce none and follow m_origin_interval
   /// alone.
--- a/src/libverbenalead/decide/transfer_outage_test.cc
+++ b/src/libverbenalead/decide/transfer_outage_test.cc
@@ -115,7 +115,7 @@
     limits.m_origin_interval = kOriginChunk;
     if (m_load.m_announced)
       limits.m_max_origin_fetches = 4;
-    limits.m_patience = 1s;
+    limits.m_takeover_delay = 1s;
     limits.m_max_fetches = 5;
     limits.m_max_origin_backoff = 500ms;
     return limits;
@@ -173,7 +173,7 @@
 
   void Arrive(size_t index, uint32_t chunk) {
     Host& host = m_hosts[index];
-    if (host.m_dead || host.m_state.m_chunks[chunk].m_here)
+    if (host.m_dead || host.m_state.m_chunks[chunk].m_stored)
       return;
     RecordChunkArrival(host.m_state, chunk, m_now);
     host.m_held.push_back(chunk);
@@ -259,10 +259,10 @@
     report.m_host = m_hosts[from].m_state.m_self.m_name;
     for (const auto& [chunk, fetch] : m_hosts[from].m_state.m_fetching) {
       if (fetch.m_source.IsOrigin())
-        report.m_under_way.push_back(chunk);
+        report.m_in_progress.push_back(chunk);
     }
     if (!m_load.m_announced ||
-        (report.m_under_way.empty() && completed.empty()))
+        (report.m_in_progress.empty() && completed.empty()))
       return;
     report.m_origin_fetched = std::move(completed);
     m_hosts[from].m_announced = m_now;
--- a/src/libverbenalead/decide/transfer_schedule.cc
+++ b/src/libverbenalead/decide/transfer_schedule.cc
@@ -12,17 +12,17 @@
   return uint64_t{1} << index;
 }
 
-using Place = TransferState::Place;
+using Schedule = TransferState::Schedule;
 
 void Unschedule(TransferState& state, uint32_t chunk) {
   TransferState::Chunk& entry = state.m_chunks[chunk];
-  if (entry.m_place == Place::kRarestFirst)
+  if (entry.m_schedule == Schedule::kRarestFirst)
     state.m_rarest.Erase(chunk);
-  else if (entry.m_place == Place::kDraws)
-    state.m_draws.erase({entry.m_turn, chunk});
-  else if (entry.m_place == Place::kImports)
-    state.m_import_schedule.erase({entry.m_turn, chunk});
-  entry.m_place = Place::kNowhere;
+  else if (entry.m_schedule == Schedule::kOriginFetches)
+    state.m_origin_schedule.erase({entry.m_due_at, chunk});
+  else if (entry.m_schedule == Schedule::kImports)
+    state.m_import_schedule.erase({entry.m_due_at, chunk});
+  entry.m_schedule = Schedule::kNone;
 }
 
 /// Number of wait limits, multiplied by rank + 1, for which announcements of
@@ -32,16 +32,16 @@
 /// too.
 constexpr uint32_t kMaxHoldWaits = 2;
 
-TimePoint DueTime(TimePoint base, uint32_t rank, Duration wait_limit) {
-  return base + rank * wait_limit;
+TimePoint DueTime(TimePoint base, uint32_t rank, Duration takeover_delay) {
+  return base + rank * takeover_delay;
 }
 
 TimePoint OriginFetchDueTime(const TransferState::Chunk& chunk,
                              const TransferLimits& limits) {
   const TimePoint due =
-      DueTime(chunk.m_origin_ranks_from, chunk.m_rank, limits.m_patience);
+      DueTime(chunk.m_origin_ranks_from, chunk.m_rank, limits.m_takeover_delay);
   const TimePoint latest =
-      due + kMaxHoldWaits * (chunk.m_rank + 1) * limits.m_patience;
+      due + kMaxHoldWaits * (chunk.m_rank + 1) * limits.m_takeover_delay;
   // Hosts that were held back by the same announcement must not start together.
   const TimePoint hold_end = DueTime(chunk.m_announced_until, chunk.m_rank,
                                      limits.m_announcement_ttl / 2);
@@ -61,11 +61,11 @@
 
 void ScheduleChunk(TransferState& state, uint32_t chunk) {
   TransferState::Chunk& entry = state.m_chunks[chunk];
-  const uint64_t in_region = entry.m_holders & state.m_near;
-  const bool wanted = !entry.m_here && !entry.m_under_way;
+  const uint64_t in_region = entry.m_holders & state.m_in_region;
+  const bool wanted = !entry.m_stored && !entry.m_fetch_in_progress;
   // Fast path: nearly all updates report another copy of a chunk that the
   // region already has, and end here.
-  if (wanted && in_region != 0 && entry.m_place == Place::kRarestFirst) {
+  if (wanted && in_region != 0 && entry.m_schedule == Schedule::kRarestFirst) {
     state.m_rarest.Put(chunk, static_cast<uint32_t>(std::popcount(in_region)));
     return;
   }
@@ -73,25 +73,25 @@
   if (!wanted)
     return;
   if (in_region != 0) {
-    entry.m_place = Place::kRarestFirst;
+    entry.m_schedule = Schedule::kRarestFirst;
     state.m_rarest.Put(chunk, static_cast<uint32_t>(std::popcount(in_region)));
   } else if (entry.m_holders != 0) {
-    entry.m_turn = DueTime(entry.m_import_ranks_from, entry.m_region_rank,
-                           state.m_limits.m_patience);
-    entry.m_place = Place::kImports;
-    state.m_import_schedule.emplace(entry.m_turn, chunk);
+    entry.m_due_at = DueTime(entry.m_import_ranks_from, entry.m_region_rank,
+                             state.m_limits.m_takeover_delay);
+    entry.m_schedule = Schedule::kImports;
+    state.m_import_schedule.emplace(entry.m_due_at, chunk);
   } else {
-    entry.m_turn = OriginFetchDueTime(entry, state.m_limits);
-    entry.m_place = Place::kDraws;
-    state.m_draws.emplace(entry.m_turn, chunk);
+    entry.m_due_at = OriginFetchDueTime(entry, state.m_limits);
+    entry.m_schedule = Schedule::kOriginFetches;
+    state.m_origin_schedule.emplace(entry.m_due_at, chunk);
   }
 }
 
 void DeferImport(TransferState& state, uint32_t chunk, TimePoint until) {
   Unschedule(state, chunk);
   TransferState::Chunk& entry = state.m_chunks[chunk];
-  entry.m_turn = until;
-  entry.m_place = Place::kImports;
+  entry.m_due_at = until;
+  entry.m_schedule = Schedule::kImports;
   state.m_import_schedule.emplace(until, chunk);
 }
 
@@ -109,7 +109,7 @@
   // and again when the last copy in the region is lost; that of the origin
   // fetches starts again when the last known copy is lost.
   const bool region_copies_lost =
-      (before & state.m_near) && !(after & state.m_near);
+      (before & state.m_in_region) && !(after & state.m_in_region);
   if (region_copies_lost || before == 0)
     entry.m_import_ranks_from = now;
   if (after == 0)
@@ -136,7 +136,7 @@
   else if (member.m_data_center != state.m_self.m_data_center)
     neighbour.m_distance = Distance::kRegion;
   if (neighbour.m_distance != Distance::kRemote)
-    state.m_near |= Bit(*free_index);
+    state.m_in_region |= Bit(*free_index);
   state.m_pending.m_follows.push_back(member.m_name);
 }
 
@@ -153,7 +153,7 @@
   }
   for (uint32_t chunk = 0; chunk < state.m_chunks.size(); ++chunk)
     SetHasChunk(state, chunk, index, false, now);
-  state.m_near &= ~Bit(index);
+  state.m_in_region &= ~Bit(index);
   state.m_neighbours[index] = TransferNeighbour();
   state.m_pending.m_unfollows.push_back(name);
 }
@@ -164,7 +164,7 @@
                 TimePoint now,
                 TransferActions& actions) {
   state.m_fetching[chunk] = {source, now, now};
-  state.m_chunks[chunk].m_under_way = true;
+  state.m_chunks[chunk].m_fetch_in_progress = true;
   if (source.IsOrigin()) {
     ++state.m_origin_fetching;
   } else if (auto index = FindNeighbour(state, source.m_host)) {
@@ -181,7 +181,7 @@
     return std::nullopt;
   const TransferState::Fetch fetch = found->second;
   state.m_fetching.erase(found);
-  state.m_chunks[chunk].m_under_way = false;
+  state.m_chunks[chunk].m_fetch_in_progress = false;
   if (fetch.m_source.IsOrigin()) {
     --state.m_origin_fetching;
   } else if (auto index = FindNeighbour(state, fetch.m_source.m_host)) {
--- a/src/libverbenalead/decide/transfer_state.h
+++ b/src/libverbenalead/decide/transfer_state.h
@@ -27,15 +27,20 @@
 struct TransferState {
   struct Fetch {
     ChunkSource m_source;
-    TimePoint m_begun{};
+    TimePoint m_started_at{};
     TimePoint m_progress{};
   };
   /// The schedule that a chunk is in, at most one.
-  enum class Place : uint8_t { kNowhere, kRarestFirst, kImports, kDraws };
+  enum class Schedule : uint8_t {
+    kNone,
+    kRarestFirst,
+    kImports,
+    kOriginFetches
+  };
   struct Chunk {
-    bool m_here = false;
-    bool m_under_way = false;
-    Place m_place = Place::kNowhere;
+    bool m_stored = false;
+    bool m_fetch_in_progress = false;
+    Schedule m_schedule = Schedule::kNone;
     /// Neighbours that have the chunk: bit i stands for m_neighbours[i].
     uint64_t m_holders = 0;
     /// Number of hosts whose rendezvous hash precedes this host's: among all
@@ -57,9 +62,9 @@
     /// Until when this host leaves the chunk to another host that announced an
     /// origin fetch of it.
     TimePoint m_announced_until{};
-    /// When this host may fetch the chunk, if it is in m_draws or
+    /// When this host may fetch the chunk, if it is in m_origin_schedule or
     /// m_import_schedule.
-    TimePoint m_turn{};
+    TimePoint m_due_at{};
   };
 
   TransferMember m_self;
@@ -71,7 +76,7 @@
   std::vector<TransferMember> m_members;
   std::vector<TransferNeighbour> m_neighbours;
   /// Neighbours of this host's region, as a bit mask.
-  uint64_t m_near = 0;
+  uint64_t m_in_region = 0;
 
   std::map<uint32_t, Fetch> m_fetching;
   /// Limit of concurrent fetches from other hosts.
@@ -81,7 +86,7 @@
   /// copies there.
   ChunkBuckets m_rarest;
   /// Missing chunks that no neighbour is known to have.
-  ChunkSchedule m_draws;
+  ChunkSchedule m_origin_schedule;
   /// Missing chunks that only neighbours of other regions have.
   ChunkSchedule m_import_schedule;
 
--- a/src/libverbenalead/decide/transfer_test.cc
+++ b/src/libverbenalead/decide/transfer_test.cc
@@ -60,7 +60,7 @@
   void NextRankTakesOverALostOriginFetch() {
     const std::vector<TransferMember> members = {kSelf, kSameDataCenter,
                                                  kSameRegion};
-    const TimePoint late = kStart + m_limits.m_patience;
+    const TimePoint late = kStart + m_limits.m_takeover_delay;
     size_t at_once = 0;
     size_t later = 0;
     for (const TransferMember& self : members) {
--- a/src/libverbenalead/decide/upload_queue.cc
+++ b/src/libverbenalead/decide/upload_queue.cc
@@ -13,8 +13,8 @@
 
 std::optional<UploadRequest> DequeueUpload(UploadQueue& queue) {
   auto key = [&](const UploadRequest& request) {
-    return std::tuple(queue.m_sent[request.m_chunk], !request.m_far,
-                      request.m_held);
+    return std::tuple(queue.m_sent[request.m_chunk], !request.m_other_region,
+                      request.m_chunk_count);
   };
   const auto first = std::min_element(
       queue.m_waiting.begin(), queue.m_waiting.end(),
--- a/src/libverbenalead/decide/upload_queue.h
+++ b/src/libverbenalead/decide/upload_queue.h
@@ -12,9 +12,9 @@
   uint64_t m_id = 0;
   uint32_t m_chunk = 0;
   /// The requesting host is in another region, where no host has the chunk.
-  bool m_far = false;
+  bool m_other_region = false;
   /// Number of chunks that the requesting host has.
-  uint32_t m_held = 0;
+  uint32_t m_chunk_count = 0;
 
   friend auto operator<=>(const UploadRequest&, const UploadRequest&) = default;
 };
--- a/src/libverbenalead/decide/upload_slots.cc
+++ b/src/libverbenalead/decide/upload_slots.cc
@@ -10,14 +10,16 @@
 
 }  // namespace
 
-void Ask(UploadSlots& slots, uint64_t version, const UploadRequest& request) {
+void EnqueueRequest(UploadSlots& slots,
+                    uint64_t version,
+                    const UploadRequest& request) {
   EnqueueUpload(slots.m_queues[version], request);
   const auto oldest = slots.m_queues.begin();
   if (slots.m_queues.size() > kMaxVersions && oldest->second.m_waiting.empty())
     slots.m_queues.erase(oldest);
 }
 
-std::optional<uint64_t> Next(UploadSlots& slots, TimePoint now) {
+std::optional<uint64_t> StartNextUpload(UploadSlots& slots, TimePoint now) {
   const auto active = std::count_if(
       slots.m_running.begin(), slots.m_running.end(),
       [now](const auto& each) { return now - each.second < kSlowUpload; });
@@ -32,7 +34,7 @@
   return std::nullopt;
 }
 
-void End(UploadSlots& slots, uint64_t id) {
+void EndUpload(UploadSlots& slots, uint64_t id) {
   slots.m_running.erase(id);
   for (auto& [version, queue] : slots.m_queues)
     RemoveUpload(queue, id);
--- a/src/libverbenalead/decide/upload_slots.h
+++ b/src/libverbenalead/decide/upload_slots.h
@@ -19,9 +19,9 @@
 /// the version spreads. Sent one after the other, chunks are complete after
 /// half the time on average.
 ///
-///     Ask(turns, version, request);
-///     while (const auto id = Next(turns, now)) ... send it, then End(turns,
-///     id)
+///     EnqueueRequest(turns, version, request);
+///     while (const auto id = StartNextUpload(turns, now)) ... send it, then
+///     EndUpload(turns, id)
 struct UploadSlots {
   /// Waiting requests, by version.
   std::map<uint64_t, UploadQueue> m_queues;
@@ -36,16 +36,18 @@
 constexpr Duration kSlowUpload = 300ms;
 
 /// Queues the request of a host for a chunk of `version`.
-void Ask(UploadSlots& slots, uint64_t version, const UploadRequest& request);
+void EnqueueRequest(UploadSlots& slots,
+                    uint64_t version,
+                    const UploadRequest& request);
 
 /// Starts the next upload and returns its id; nullopt if none may start. Older
 /// versions go first: a newer version is less urgent, since its chunks are
 /// fetched while hosts wait for their turn to load it.
-std::optional<uint64_t> Next(UploadSlots& slots, TimePoint now);
+std::optional<uint64_t> StartNextUpload(UploadSlots& slots, TimePoint now);
 
 /// Ends upload `id`: it completed, or its receiver disconnected. Also removes a
 /// request that still waits.
-void End(UploadSlots& slots, uint64_t id);
+void EndUpload(UploadSlots& slots, uint64_t id);
 
 }  // namespace verbenalead::decide
 
--- a/src/libverbenalead/decide/upload_slots_test.cc
+++ b/src/libverbenalead/decide/upload_slots_test.cc
@@ -25,13 +25,13 @@
   // receiver has one to pass on.
   void ConcurrentUploadsAreLimited() {
     for (uint64_t id = 1; id <= 5; ++id)
-      Ask(m_turns, 2, Request(id, static_cast<uint32_t>(id)));
-    CPPUNIT_ASSERT(Next(m_turns, kStart) == uint64_t{1});
-    CPPUNIT_ASSERT(Next(m_turns, kStart) == uint64_t{2});
-    CPPUNIT_ASSERT(!Next(m_turns, kStart));
-    End(m_turns, 1);
-    CPPUNIT_ASSERT(Next(m_turns, kStart) == uint64_t{3});
-    CPPUNIT_ASSERT(!Next(m_turns, kStart));
+      EnqueueRequest(m_slots, 2, Request(id, static_cast<uint32_t>(id)));
+    CPPUNIT_ASSERT(StartNextUpload(m_slots, kStart) == uint64_t{1});
+    CPPUNIT_ASSERT(StartNextUpload(m_slots, kStart) == uint64_t{2});
+    CPPUNIT_ASSERT(!StartNextUpload(m_slots, kStart));
+    EndUpload(m_slots, 1);
+    CPPUNIT_ASSERT(StartNextUpload(m_slots, kStart) == uint64_t{3});
+    CPPUNIT_ASSERT(!StartNextUpload(m_slots, kStart));
   }
 
   // Guards against a version that stops spreading: two receivers whose links
@@ -39,30 +39,30 @@
   // receiver gets none.
   void SlowUploadDoesNotBlockOthers() {
     for (uint64_t id = 1; id <= 3; ++id)
-      Ask(m_turns, 2, Request(id, 0));
-    Next(m_turns, kStart);
-    Next(m_turns, kStart);
-    CPPUNIT_ASSERT(!Next(m_turns, kStart + 299ms));
-    CPPUNIT_ASSERT(Next(m_turns, kStart + 300ms) == uint64_t{3});
+      EnqueueRequest(m_slots, 2, Request(id, 0));
+    StartNextUpload(m_slots, kStart);
+    StartNextUpload(m_slots, kStart);
+    CPPUNIT_ASSERT(!StartNextUpload(m_slots, kStart + 299ms));
+    CPPUNIT_ASSERT(StartNextUpload(m_slots, kStart + 300ms) == uint64_t{3});
   }
 
   void OlderVersionIsUploadedFirst() {
-    Ask(m_turns, 3, Request(1, 0));
-    Ask(m_turns, 2, Request(2, 0));
-    CPPUNIT_ASSERT(Next(m_turns, kStart) == uint64_t{2});
-    CPPUNIT_ASSERT(Next(m_turns, kStart) == uint64_t{1});
+    EnqueueRequest(m_slots, 3, Request(1, 0));
+    EnqueueRequest(m_slots, 2, Request(2, 0));
+    CPPUNIT_ASSERT(StartNextUpload(m_slots, kStart) == uint64_t{2});
+    CPPUNIT_ASSERT(StartNextUpload(m_slots, kStart) == uint64_t{1});
   }
 
   void EndedRequestIsSkipped() {
-    Ask(m_turns, 2, Request(1, 0));
-    Ask(m_turns, 2, Request(2, 0));
-    End(m_turns, 1);
-    CPPUNIT_ASSERT(Next(m_turns, kStart) == uint64_t{2});
-    CPPUNIT_ASSERT(!Next(m_turns, kStart));
+    EnqueueRequest(m_slots, 2, Request(1, 0));
+    EnqueueRequest(m_slots, 2, Request(2, 0));
+    EndUpload(m_slots, 1);
+    CPPUNIT_ASSERT(StartNextUpload(m_slots, kStart) == uint64_t{2});
+    CPPUNIT_ASSERT(!StartNextUpload(m_slots, kStart));
   }
 
  private:
-  UploadSlots m_turns;
+  UploadSlots m_slots;
 };
 
 CPPUNIT_TEST_SUITE_REGISTRATION(UploadSlotsTest);
--- a/src/libverbenalead/entry/call_attempt.cc
+++ b/src/libverbenalead/entry/call_attempt.cc
@@ -42,22 +42,22 @@
 
 Awaitable<bool> CallAttempt::Send(TimePoint wait_until,
                                   const std::function<void()>& on_sent) {
-  SlotAllocator& slots = m_services.m_places;
+  SlotAllocator& slot_allocator = m_services.m_slot_allocator;
   const CallPlan& plan = m_record->m_plan;
   decide::PoolCall pool_call = m_record->m_pool_call;
-  m_ticket = pool_call.m_ticket = slots.NewTicket();
+  m_ticket = pool_call.m_ticket = slot_allocator.NewTicket();
   const uint32_t prompt_tokens = pool_call.m_prompt_tokens;
-  auto slot =
-      co_await slots.Take(plan.m_service, std::move(pool_call), wait_until);
-  if (!slot)
+  auto replica_id = co_await slot_allocator.Acquire(
+      plan.m_service, std::move(pool_call), wait_until);
+  if (!replica_id)
     co_return false;
-  m_replica = *slot;
+  m_replica = *replica_id;
   auto& replicas =
-      StateOf(m_services.m_state, plan.m_service).m_pool.m_replicas;
+      GetOrCreateService(m_services.m_state, plan.m_service).m_pool.m_replicas;
   const auto found = replicas.find(m_replica);
   if (m_cancelled || found == replicas.end() ||
       m_record->Left(Now()) <= Duration()) {
-    slots.NotePromptRead(plan.m_service, m_replica, prompt_tokens);
+    slot_allocator.NotePromptRead(plan.m_service, m_replica, prompt_tokens);
     End(AttemptEnd::kAbandoned);
     co_return false;
   }
@@ -79,7 +79,7 @@
     m_result.m_reader->Cancel();
   if (m_result.m_reader)
     co_await ReadAnswerHead(plan.m_call.m_id, head_deadline, m_result);
-  slots.NotePromptRead(plan.m_service, m_replica, prompt_tokens);
+  slot_allocator.NotePromptRead(plan.m_service, m_replica, prompt_tokens);
   ApplyHead();
   Log(m_result.m_end, m_result.m_reason);
   co_return true;
@@ -87,13 +87,14 @@
 
 void CallAttempt::ApplyHead() {
   if (m_result.m_end != AttemptEnd::kUnreachable)
-    ++m_record->m_progress.m_sent;
+    ++m_record->m_progress.m_sent_attempts;
   if (m_result.m_may_have_run)
-    ++m_record->m_progress.m_runs;
+    ++m_record->m_progress.m_possible_runs;
   if (!m_result.m_metadata.m_weights)
     return;
   auto& replicas =
-      StateOf(m_services.m_state, m_record->m_plan.m_service).m_pool.m_replicas;
+      GetOrCreateService(m_services.m_state, m_record->m_plan.m_service)
+          .m_pool.m_replicas;
   const auto known = replicas.find(m_replica);
   if (known != replicas.end()) {
     known->second.m_weights =
@@ -106,14 +107,15 @@
   // Only a piece is stored: the end of the body, or a failure, shows again at
   // the next ReadBody().
   if (piece && piece->has_value())
-    m_ahead = std::move(**piece);
+    m_prefetched = std::move(**piece);
   else if (!piece)
     m_result.m_end = AttemptEnd::kBroken;
 }
 
 Awaitable<AsyncResult<std::optional<std::string>>> CallAttempt::ReadBody() {
-  if (m_ahead) {
-    std::optional<std::string> piece = std::exchange(m_ahead, std::nullopt);
+  if (m_prefetched) {
+    std::optional<std::string> piece =
+        std::exchange(m_prefetched, std::nullopt);
     co_return piece;
   }
   auto piece =
@@ -127,7 +129,7 @@
 
 void CallAttempt::Cancel() {
   m_cancelled = true;
-  m_services.m_places.Cancel(m_ticket);
+  m_services.m_slot_allocator.Cancel(m_ticket);
   if (m_result.m_reader)
     m_result.m_reader->Cancel();
 }
@@ -136,8 +138,8 @@
   m_result.m_reader.reset();
   if (m_replica.empty())
     return;
-  m_services.m_places.Release(m_record->m_plan.m_service,
-                              std::exchange(m_replica, std::string()), end);
+  m_services.m_slot_allocator.Release(
+      m_record->m_plan.m_service, std::exchange(m_replica, std::string()), end);
 }
 
 platform::ForwardedCall CallAttempt::ToForwardedCall(
--- a/src/libverbenalead/entry/call_attempt.h
+++ b/src/libverbenalead/entry/call_attempt.h
@@ -79,7 +79,7 @@
   TimePoint m_sent_at{};
   AttemptResult m_result;
   /// The piece of the body that PrefetchBody() stored.
-  std::optional<std::string> m_ahead;
+  std::optional<std::string> m_prefetched;
 };
 
 }  // namespace verbenalead::entry
--- a/src/libverbenalead/entry/call_fixture.h
+++ b/src/libverbenalead/entry/call_fixture.h
@@ -66,8 +66,8 @@
 
 inline EntryOptions Options() {
   EntryOptions options;
-  options.m_self = {"e1", "a", Endpoint("127.0.0.1", 1),
-                    Endpoint("127.0.0.1", 0)};
+  options.m_own_address = {"e1", "a", Endpoint("127.0.0.1", 1),
+                           Endpoint("127.0.0.1", 0)};
   options.m_key_bound = 5s;
   return options;
 }
@@ -84,9 +84,10 @@
     m_datagrams = std::make_unique<links::DatagramSocket>(
         m_io->get_executor(), Endpoint("127.0.0.1", 0));
     m_slot_requester = std::make_unique<SlotRequester>(*m_state, *m_datagrams);
-    m_places = std::make_unique<SlotAllocator>(
+    m_slot_allocator = std::make_unique<SlotAllocator>(
         *m_state, *m_slot_requester, [](const decide::ReplicaState&) {});
-    m_server = std::make_unique<CallServer>(*m_state, *m_places, m_replicas);
+    m_server =
+        std::make_unique<CallServer>(*m_state, *m_slot_allocator, m_replicas);
     model::RoutingConfig config;
     config.m_version = 1;
     config.m_routes = {MakeRoute("/stream/", model::CallKind::kStream),
@@ -105,8 +106,8 @@
       replicas[i].m_slots = 4;
       replicas[i].m_endpoint = Endpoint("10.0.0.1", 80);
     }
-    decide::SetReplicas(StateOf(*m_state, "pool").m_pool, replicas, TimePoint(),
-                        Now());
+    decide::SetReplicas(GetOrCreateService(*m_state, "pool").m_pool, replicas,
+                        TimePoint(), Now());
   }
 
   void tearDown() override {
@@ -134,7 +135,7 @@
     if (disconnect_after > Duration()) {
       disconnect_timer.expires_after(disconnect_after);
       disconnect_timer.async_wait(
-          [&](const boost::system::error_code&) { caller.Leave(); });
+          [&](const boost::system::error_code&) { caller.Disconnect(); });
     }
     m_io->restart();
     m_io->run();
@@ -151,7 +152,7 @@
   uint32_t CallsInFlight() {
     uint32_t calls = 0;
     for (const auto& [id, replica] :
-         StateOf(*m_state, "pool").m_pool.m_replicas)
+         GetOrCreateService(*m_state, "pool").m_pool.m_replicas)
       calls += replica.m_in_flight;
     return calls;
   }
@@ -160,7 +161,7 @@
   std::unique_ptr<boost::asio::io_context> m_io;
   std::unique_ptr<links::DatagramSocket> m_datagrams;
   std::unique_ptr<SlotRequester> m_slot_requester;
-  std::unique_ptr<SlotAllocator> m_places;
+  std::unique_ptr<SlotAllocator> m_slot_allocator;
   wire::ScriptedClient m_replicas;
   std::unique_ptr<CallServer> m_server;
 };
--- a/src/libverbenalead/entry/call_hedge_test.cc
+++ b/src/libverbenalead/entry/call_hedge_test.cc
@@ -47,7 +47,7 @@
         WithPause(Answer(200, {Event(1), Event(2)}), 1, kPause)};
     const wire::RecordingWriter caller = Call("/stream/1");
     CPPUNIT_ASSERT_EQUAL(Event(1) + Event(2), caller.m_body);
-    CPPUNIT_ASSERT(caller.m_whole);
+    CPPUNIT_ASSERT(caller.m_complete);
     AssertAllSlotsFree();
   }
 
@@ -76,7 +76,7 @@
     m_replicas.m_answers = {
         WithPause(Answer(200, {Event(1), Event(2)}), 1, kPause)};
     const wire::RecordingWriter caller = Call("/stream/1");
-    CPPUNIT_ASSERT(caller.m_whole);
+    CPPUNIT_ASSERT(caller.m_complete);
     CPPUNIT_ASSERT_EQUAL(size_t{1}, m_replicas.m_requests.size());
   }
 
@@ -87,7 +87,7 @@
     const wire::RecordingWriter caller = Call("/stream/1");
     CPPUNIT_ASSERT_EQUAL(Event(1) + Event(2) + Event(3), caller.m_body);
     CPPUNIT_ASSERT_EQUAL(1, caller.m_head_count);
-    CPPUNIT_ASSERT(caller.m_whole);
+    CPPUNIT_ASSERT(caller.m_complete);
     CPPUNIT_ASSERT_EQUAL(std::string("1"),
                          wire::Get(m_replicas.m_requests.at(1).m_headers,
                                    platform::kLastEventId));
@@ -117,7 +117,7 @@
                      kLongSilence)};
     const wire::RecordingWriter caller = Call("/stream/1");
     CPPUNIT_ASSERT_EQUAL(Event(1) + Event(2) + Event(3), caller.m_body);
-    CPPUNIT_ASSERT(caller.m_whole);
+    CPPUNIT_ASSERT(caller.m_complete);
     CPPUNIT_ASSERT_EQUAL(size_t{2}, m_replicas.m_requests.size());
     CPPUNIT_ASSERT_EQUAL(size_t{1}, m_replicas.m_cancelled);
     AssertAllSlotsFree();
@@ -128,7 +128,7 @@
                             WithLateHead(Answer(200, {Event(2)}), kPause)};
     const wire::RecordingWriter caller = Call("/stream/1");
     CPPUNIT_ASSERT_EQUAL(Event(1) + Event(2), caller.m_body);
-    CPPUNIT_ASSERT(caller.m_whole);
+    CPPUNIT_ASSERT(caller.m_complete);
     CPPUNIT_ASSERT_EQUAL(size_t{2}, m_replicas.m_requests.size());
     AssertAllSlotsFree();
   }
@@ -138,7 +138,7 @@
         WithPause(Answer(200, {Event(1), Event(2)}), 1, kLongSilence),
         WithLateHead(Answer(200, {Event(2)}), kLongSilence)};
     const wire::RecordingWriter caller = Call("/stream/1", "key", kPause);
-    CPPUNIT_ASSERT(!caller.m_whole);
+    CPPUNIT_ASSERT(!caller.m_complete);
     CPPUNIT_ASSERT_EQUAL(size_t{2}, m_replicas.m_requests.size());
     CPPUNIT_ASSERT_EQUAL(size_t{2}, m_replicas.m_cancelled);
     AssertAllSlotsFree();
@@ -147,7 +147,7 @@
  private:
   /// Fills all replicas but the first with calls of other entries.
   void FillAllReplicasButTheFirst() {
-    auto& replicas = StateOf(*m_state, "pool").m_pool.m_replicas;
+    auto& replicas = GetOrCreateService(*m_state, "pool").m_pool.m_replicas;
     for (auto found = std::next(replicas.begin()); found != replicas.end();
          ++found) {
       found->second.m_other_entries_calls = found->second.m_replica.m_slots;
--- a/src/libverbenalead/entry/call_plan.h
+++ b/src/libverbenalead/entry/call_plan.h
@@ -25,12 +25,12 @@
   /// Identifies equal requests, so that one that crashes replicas is recognised
   /// when a caller retries it.
   uint64_t m_fingerprint = 0;
-  decide::WaitLimit m_patience;
+  decide::WaitLimit m_wait_limit;
   /// Least time for which the caller had already been attempting the call when
   /// it arrived, estimated from the time that the caller states is left.
-  Duration m_elapsed{};
+  Duration m_caller_elapsed{};
   /// Expected run time at a replica; zero: not known.
-  Duration m_length{};
+  Duration m_expected_run_time{};
   TimePoint m_started_at{};
   /// The earlier of the caller's deadline and the time limit of the route.
   TimePoint m_deadline{};
--- a/src/libverbenalead/entry/call_run.cc
+++ b/src/libverbenalead/entry/call_run.cc
@@ -34,11 +34,12 @@
   progress.m_resumable = m_plan.m_route.m_resumable;
   progress.m_max_attempts = m_plan.m_route.m_max_attempts;
   decide::PoolCall& call = m_record->m_pool_call;
-  call.m_can_be_on_time = m_plan.m_patience.m_can_be_on_time;
+  call.m_can_be_on_time = m_plan.m_wait_limit.m_can_be_on_time;
   call.m_prompt_tokens = m_plan.m_call.m_prompt_tokens;
-  if (!m_plan.m_model.empty() && m_plan.m_patience.m_can_be_on_time)
-    call.m_read_deadline = m_plan.m_started_at + m_plan.m_patience.m_read;
-  call.m_length = m_plan.m_length;
+  if (!m_plan.m_model.empty() && m_plan.m_wait_limit.m_can_be_on_time)
+    call.m_read_deadline =
+        m_plan.m_started_at + m_plan.m_wait_limit.m_read_within;
+  call.m_expected_run_time = m_plan.m_expected_run_time;
   call.m_urgency = m_plan.m_route.m_urgency;
 }
 
@@ -57,15 +58,16 @@
 }
 
 Awaitable<void> CallRun::Answer() {
-  decide::CountCall(StateOf(m_state, m_plan.m_service).m_retries,
+  decide::CountCall(GetOrCreateService(m_state, m_plan.m_service).m_retries,
                     m_state.m_options.m_retries, Now());
-  if (!m_plan.m_patience.m_can_be_on_time &&
-      decide::ShedsLateCalls(StateOf(m_state, m_plan.m_service).m_late,
-                             Now())) {
+  if (!m_plan.m_wait_limit.m_can_be_on_time &&
+      decide::ShedsLateCalls(
+          GetOrCreateService(m_state, m_plan.m_service).m_late_shedding,
+          Now())) {
     co_await Refuse(decide::Refusal::kFull);
     co_return;
   }
-  if (!co_await Begin())
+  if (!co_await GetAnswerHead())
     co_return;
   const bool stream = m_record->m_progress.m_kind == model::CallKind::kStream &&
                       result().m_head.m_status == kOk;
@@ -75,18 +77,18 @@
     co_await AnswerWhole();
 }
 
-Awaitable<bool> CallRun::Begin() {
+Awaitable<bool> CallRun::GetAnswerHead() {
   TimePoint wait_until = std::min(
-      m_plan.m_deadline, m_plan.m_started_at + m_plan.m_patience.m_wait);
+      m_plan.m_deadline, m_plan.m_started_at + m_plan.m_wait_limit.m_wait);
   while (true) {
     if (!co_await SendAttempt(wait_until, false)) {
-      co_await GiveUp();
+      co_await EndWithoutAnswer();
       co_return false;
     }
     const AttemptEnd end = result().m_end;
     if (end == AttemptEnd::kGood)
       co_return true;
-    if (m_caller.gone()) {
+    if (m_caller.disconnected()) {
       EndAttempt(AttemptEnd::kAbandoned);
       LogCall("caller_gone", 0);
       co_return false;
@@ -100,12 +102,13 @@
       co_return true;  // The replica's error response is passed to the caller.
     EndAttempt(end);
     if (!retry) {
-      co_await GiveUp();
+      co_await EndWithoutAnswer();
       co_return false;
     }
     decide::PrepareRetry(
         m_record->m_pool_call,
-        StateOf(m_state, m_plan.m_service).m_pool.m_prefill_rate, Now());
+        GetOrCreateService(m_state, m_plan.m_service).m_pool.m_prefill_rate,
+        Now());
     wait_until = std::min(
         m_plan.m_deadline,
         std::max(wait_until, Now() + decide::RetryWait(m_record->m_progress)));
@@ -113,10 +116,10 @@
 }
 
 Awaitable<bool> CallRun::SendAttempt(TimePoint wait_until, bool resumes) {
-  if (m_caller.gone())
+  if (m_caller.disconnected())
     co_return false;
   const TimePoint wait_began = Now();
-  m_record->m_progress.m_begun = false;
+  m_record->m_progress.m_answer_begun = false;
   m_attempt = std::make_shared<CallAttempt>(m_services, m_record);
   const std::function<void()> on_sent = [this, wait_began] {
     RecordSent(wait_began);
@@ -137,7 +140,7 @@
       StopHedge();
     co_return true;
   }
-  m_record->m_progress.m_begun = true;
+  m_record->m_progress.m_answer_begun = true;
   m_record->m_times.m_last_seen_at = Now();
   if (m_hedge)
     m_hedge->OnReplicaData();
@@ -145,7 +148,7 @@
 }
 
 Awaitable<bool> CallRun::SwitchToHedge() {
-  if (!m_hedge || m_caller.gone())
+  if (!m_hedge || m_caller.disconnected())
     co_return false;
   const std::shared_ptr<Hedge> hedge = m_hedge;
   const bool answers = co_await hedge->Finish();
@@ -169,7 +172,7 @@
   if (!complete) {
     // Part of an answer is never delivered, since the caller could not tell it
     // from a complete one.
-    if (m_caller.gone()) {
+    if (m_caller.disconnected()) {
       EndAttempt(AttemptEnd::kAbandoned);
       LogCall("caller_gone", 0);
       co_return;
@@ -180,53 +183,54 @@
         TryTakeRetryAfter(AttemptEnd::kBroken);
     EndAttempt(AttemptEnd::kBroken);
     if (!retry) {
-      co_await GiveUp();
+      co_await EndWithoutAnswer();
       co_return;
     }
     // Recursion: one coroutine for each further attempt, so its depth is
     // bounded by the route's maximum of attempts.
-    if (co_await Begin())
+    if (co_await GetAnswerHead())
       co_await AnswerWhole();
     co_return;
   }
   response.m_headers =
       platform::EncodeForCaller(std::move(result().m_head)).m_headers;
-  decide::NoteSuccess(m_state.m_crashes, m_plan.m_fingerprint, Now());
+  decide::RecordSuccess(m_state.m_crashes, m_plan.m_fingerprint, Now());
   EndAttempt(end);
   const int status = response.m_status;
   const bool delivered = co_await m_caller.Send(std::move(response));
   LogCall(delivered ? "delivered" : "caller_gone", status);
 }
 
-Awaitable<void> CallRun::GiveUp() {
-  if (m_caller.gone()) {
+Awaitable<void> CallRun::EndWithoutAnswer() {
+  if (m_caller.disconnected()) {
     LogCall("caller_gone", 0);
     co_return;
   }
-  if (m_record->m_progress.m_runs > 0) {
+  if (m_record->m_progress.m_possible_runs > 0) {
     const bool expired = Left() <= Duration();
-    co_await Tell(expired ? kGatewayTimeout : kBadGateway,
-                  "the call may have run; no answer of it came back",
-                  Duration());
+    co_await SendRefusal(expired ? kGatewayTimeout : kBadGateway,
+                         "the call may have run; no answer of it came back",
+                         Duration());
     co_return;
   }
   const bool usable = decide::HasUsableReplica(
-      StateOf(m_state, m_plan.m_service).m_pool, Now());
-  if (usable && m_plan.m_patience.m_can_be_on_time)
-    decide::NoteOnTimeRefusal(StateOf(m_state, m_plan.m_service).m_late, Now());
+      GetOrCreateService(m_state, m_plan.m_service).m_pool, Now());
+  if (usable && m_plan.m_wait_limit.m_can_be_on_time)
+    decide::NoteOnTimeRefusal(
+        GetOrCreateService(m_state, m_plan.m_service).m_late_shedding, Now());
   co_await Refuse(usable ? decide::Refusal::kFull
                          : decide::Refusal::kNoReplica);
 }
 
 Awaitable<void> CallRun::Refuse(decide::Refusal refusal) {
-  co_await Tell(kUnavailable,
-                std::string("not run: ") + decide::ToString(refusal),
-                decide::RetryAfter(refusal, m_state.m_random));
+  co_await SendRefusal(kUnavailable,
+                       std::string("not run: ") + decide::ToString(refusal),
+                       decide::RetryAfter(refusal, m_state.m_random));
 }
 
-Awaitable<void> CallRun::Tell(int status,
-                              const std::string& reason,
-                              Duration retry_after) {
+Awaitable<void> CallRun::SendRefusal(int status,
+                                     const std::string& reason,
+                                     Duration retry_after) {
   m_reason = reason;
   const bool delivered = co_await m_caller.Send(
       platform::EncodeRefusal(status, m_plan.m_call.m_id, reason, retry_after));
@@ -237,7 +241,7 @@
 void CallRun::RecordSent(TimePoint wait_began) {
   const TimePoint now = Now();
   m_record->m_times.m_slot_wait += now - wait_began;
-  Listen(m_record->m_times, now);
+  StartAwaitingData(m_record->m_times, now);
   StartHedge();
 }
 
@@ -262,9 +266,9 @@
 
 void CallRun::PromoteHedge() {
   EndAttempt(AttemptEnd::kBroken);
-  m_attempt = m_hedge->Take();
+  m_attempt = m_hedge->TakeAttempt();
   m_hedge.reset();
-  m_record->m_progress.m_begun = true;
+  m_record->m_progress.m_answer_begun = true;
   m_record->m_times.m_last_seen_at = Now();
   StartHedge();
 }
@@ -299,7 +303,7 @@
 }
 
 const char* CallRun::CutCause() const {
-  if (m_caller.gone())
+  if (m_caller.disconnected())
     return "caller";
   if (Left() <= Duration())
     return "time";
@@ -329,18 +333,18 @@
       .With("outcome", outcome)
       .With("ended_by", ended_by)
       .With("status", status)
-      .With("ran", m_record->m_progress.m_runs > 0)
+      .With("ran", m_record->m_progress.m_possible_runs > 0)
       .With("attempts", static_cast<uint64_t>(m_record->m_attempts))
       .With("events", m_record->m_events.m_events)
       .With("prompt_tokens", uint64_t{m_plan.m_call.m_prompt_tokens})
       .With("time_left_ms",
             ToMilliseconds(m_plan.m_call.m_time_left.value_or(Duration())))
       .With("objective_ms", ToMilliseconds(m_plan.m_route.m_objective))
-      .With("elapsed_ms", ToMilliseconds(m_plan.m_elapsed))
-      .With("fresh", m_plan.m_patience.m_can_be_on_time)
-      .With("patience_ms", ToMilliseconds(m_plan.m_patience.m_wait))
+      .With("elapsed_ms", ToMilliseconds(m_plan.m_caller_elapsed))
+      .With("fresh", m_plan.m_wait_limit.m_can_be_on_time)
+      .With("patience_ms", ToMilliseconds(m_plan.m_wait_limit.m_wait))
       .With("patience_share",
-            StateOf(m_state, m_plan.m_service).m_patience.m_share)
+            GetOrCreateService(m_state, m_plan.m_service).m_wait_share.m_share)
       .With("waited_ms", ToMilliseconds(times.m_slot_wait))
       .With("first_event_ms",
             times.m_first_event ? ToMilliseconds(*times.m_first_event) : -1)
--- a/src/libverbenalead/entry/call_run.h
+++ b/src/libverbenalead/entry/call_run.h
@@ -29,7 +29,7 @@
   Awaitable<void> Answer();
   /// Sends the call, with retries, until a replica begins to answer. False: no
   /// answer; the caller has got an error response or has disconnected.
-  Awaitable<bool> Begin();
+  Awaitable<bool> GetAnswerHead();
   /// Sends the call to one replica, and to a second one in parallel if the
   /// first is silent. False: no slot came free. `resumes`: this call resumes a
   /// stream at another replica.
@@ -49,11 +49,11 @@
   Awaitable<bool> SwitchToHedge();
   /// Ends a call without an answer: the response states that the call was not
   /// run if that is certain, else that its outcome is unknown.
-  Awaitable<void> GiveUp();
+  Awaitable<void> EndWithoutAnswer();
   Awaitable<void> Refuse(decide::Refusal refusal);
-  Awaitable<void> Tell(int status,
-                       const std::string& reason,
-                       Duration retry_after);
+  Awaitable<void> SendRefusal(int status,
+                              const std::string& reason,
+                              Duration retry_after);
 
   /// Records that the current attempt has got a slot, after waiting since
   /// `wait_began`, and starts to watch the replica for silence.
--- a/src/libverbenalead/entry/call_run_stream.cc
+++ b/src/libverbenalead/entry/call_run_stream.cc
@@ -26,7 +26,7 @@
   while (true) {
     if (co_await RelayEvents()) {
       EndAttempt(AttemptEnd::kGood);
-      decide::NoteSuccess(m_state.m_crashes, m_plan.m_fingerprint, Now());
+      decide::RecordSuccess(m_state.m_crashes, m_plan.m_fingerprint, Now());
       // A caller that resumes after the last event gets a stream without
       // events; it still needs a head.
       if (!m_head_sent)
@@ -35,13 +35,13 @@
       LogCall(delivered ? "delivered" : "caller_gone", kOk);
       co_return;
     }
-    if (!m_caller.gone()) {
+    if (!m_caller.disconnected()) {
       RecordReplicaCrash();
       m_attempt->Log(AttemptEnd::kBroken, result().m_reason);
       if (co_await SwitchToHedge())
         continue;
     }
-    if (m_caller.gone()) {
+    if (m_caller.disconnected()) {
       EndAttempt(AttemptEnd::kAbandoned);
       LogCall("caller_gone", kOk);
       co_return;
@@ -53,8 +53,8 @@
     EndAttempt(AttemptEnd::kBroken);
     if (retry && co_await Resume())
       continue;
-    if (!m_head_sent && !m_caller.gone())
-      co_await GiveUp();
+    if (!m_head_sent && !m_caller.disconnected())
+      co_await EndWithoutAnswer();
     else
       LogCall("cut", kOk);
     co_return;
@@ -66,7 +66,7 @@
   CallTimes& times = m_record->m_times;
   decide::DiscardPartialEvent(events);
   while (true) {
-    Listen(times, Now());
+    StartAwaitingData(times, Now());
     auto piece = co_await m_attempt->ReadBody();
     times.m_awaiting_data = false;
     const bool ended = piece && !piece->has_value();
@@ -108,11 +108,12 @@
   // call that got a slot at once had time to spare, and the time of a call with
   // several attempts isn't the time that one replica needs.
   const CallTimes& times = m_record->m_times;
-  if (!m_plan.m_patience.m_can_be_on_time || m_record->m_attempts > 1 ||
+  if (!m_plan.m_wait_limit.m_can_be_on_time || m_record->m_attempts > 1 ||
       times.m_slot_wait < kMinSlotWait)
     return;
-  decide::NoteFirstEvent(StateOf(m_state, m_plan.m_service).m_patience,
-                         *times.m_first_event > m_plan.m_route.m_objective);
+  decide::NoteFirstEvent(
+      GetOrCreateService(m_state, m_plan.m_service).m_wait_share,
+      *times.m_first_event > m_plan.m_route.m_objective);
 }
 
 Awaitable<bool> CallRun::Resume() {
@@ -124,8 +125,8 @@
     const AttemptEnd end = result().m_end;
     if (end == AttemptEnd::kGood && result().m_head.m_status == kOk)
       co_return true;
-    EndAttempt(m_caller.gone() ? AttemptEnd::kAbandoned : end);
-    if (m_caller.gone() || Left() <= Duration() ||
+    EndAttempt(m_caller.disconnected() ? AttemptEnd::kAbandoned : end);
+    if (m_caller.disconnected() || Left() <= Duration() ||
         !decide::MayRetry(m_record->m_progress, end) || !TryTakeRetryAfter(end))
       co_return false;
   }
--- a/src/libverbenalead/entry/call_server.cc
+++ b/src/libverbenalead/entry/call_server.cc
@@ -40,8 +40,8 @@
 
 }  // namespace
 
-Duration CallServer::Elapsed(const std::string& route,
-                             std::optional<Duration> left) {
+Duration CallServer::EstimateElapsed(const std::string& route,
+                                     std::optional<Duration> left) {
   if (!left)
     return Duration();
   Duration& longest = m_longest_time_left[route];
@@ -76,7 +76,7 @@
   }
   const model::Route* route = routes->FindRoute(call.m_host, call.m_path);
   const model::Organisation* organisation =
-      routes->FindOrganisation(call.m_key);
+      routes->FindOrganisation(call.m_api_key);
   const bool needs_key =
       route && !route->m_anonymous && !routes->config().m_organisations.empty();
   // Without a valid lease the configuration may be out of date: a route or key
@@ -125,14 +125,14 @@
       service && service->m_engine ? &*service->m_engine : nullptr;
   if (engine) {
     plan.m_model = engine->m_model;
-    plan.m_length = decide::ExpectedRunTime(*engine, call);
+    plan.m_expected_run_time = decide::ExpectedRunTime(*engine, call);
   }
-  plan.m_elapsed = Elapsed(route->m_name, call.m_time_left);
-  plan.m_patience =
-      decide::WaitLimitFor(*route, engine, call, plan.m_elapsed,
-                           StateOf(m_state, plan.m_service).m_patience.m_share);
-  CallRun run(CallServices{m_state, m_places, m_http}, std::move(plan), request,
-              caller);
+  plan.m_caller_elapsed = EstimateElapsed(route->m_name, call.m_time_left);
+  plan.m_wait_limit = decide::WaitLimitFor(
+      *route, engine, call, plan.m_caller_elapsed,
+      GetOrCreateService(m_state, plan.m_service).m_wait_share.m_share);
+  CallRun run(CallServices{m_state, m_slot_allocator, m_http}, std::move(plan),
+              request, caller);
   co_await run.Run();
 }
 
--- a/src/libverbenalead/entry/call_server.h
+++ b/src/libverbenalead/entry/call_server.h
@@ -16,8 +16,10 @@
 /// at once with the reason, and never reaches a replica.
 class CallServer {
  public:
-  CallServer(EntryState& state, SlotAllocator& slots, wire::Client& http)
-      : m_state(state), m_places(slots), m_http(http) {}
+  CallServer(EntryState& state,
+             SlotAllocator& slot_allocator,
+             wire::Client& http)
+      : m_state(state), m_slot_allocator(slot_allocator), m_http(http) {}
 
   Awaitable<void> Serve(const wire::Request& request,
                         wire::ResponseWriter& caller);
@@ -26,10 +28,11 @@
   /// Estimates for how long a caller that has `left` until its deadline has
   /// already been attempting the call, from the longest time left that any call
   /// on the same route arrived with.
-  Duration Elapsed(const std::string& route, std::optional<Duration> left);
+  Duration EstimateElapsed(const std::string& route,
+                           std::optional<Duration> left);
 
   EntryState& m_state;
-  SlotAllocator& m_places;
+  SlotAllocator& m_slot_allocator;
   wire::Client& m_http;
   /// The longest time left that a call arrived with, by route.
   std::map<std::string, Duration> m_longest_time_left;
--- a/src/libverbenalead/entry/call_server_test.cc
+++ b/src/libverbenalead/entry/call_server_test.cc
@@ -43,7 +43,7 @@
     m_replicas.m_answers = {Answer(200, {})};
     const wire::RecordingWriter caller = Call("/stream/1");
     CPPUNIT_ASSERT_EQUAL(1, caller.m_head_count);
-    CPPUNIT_ASSERT(caller.m_whole);
+    CPPUNIT_ASSERT(caller.m_complete);
     CPPUNIT_ASSERT_EQUAL(std::string(), caller.m_body);
   }
 
@@ -56,7 +56,7 @@
     CPPUNIT_ASSERT_EQUAL(Event(1) + Event(2) + Event(3) + Event(4),
                          caller.m_body);
     CPPUNIT_ASSERT_EQUAL(1, caller.m_head_count);
-    CPPUNIT_ASSERT(caller.m_whole);
+    CPPUNIT_ASSERT(caller.m_complete);
     CPPUNIT_ASSERT_EQUAL(std::string("2"),
                          wire::Get(m_replicas.m_requests.at(1).m_headers,
                                    platform::kLastEventId));
@@ -70,7 +70,7 @@
                             Answer(200, {Event(2)}, true)};
     const wire::RecordingWriter caller = Call("/stream/1");
     CPPUNIT_ASSERT_EQUAL(Event(1) + Event(2), caller.m_body);
-    CPPUNIT_ASSERT(!caller.m_whole);
+    CPPUNIT_ASSERT(!caller.m_complete);
   }
 
   // The replica breaks off in the middle of a plain answer. The idempotent call
@@ -163,7 +163,8 @@
     m_replicas.m_answers = {Answer(200, {Event(1)})};
     Call("/stream/1");
     CPPUNIT_ASSERT(m_replicas.m_head_deadlines.at(0) <= binding);
-    for (auto& [id, replica] : StateOf(*m_state, "pool").m_pool.m_replicas)
+    for (auto& [id, replica] :
+         GetOrCreateService(*m_state, "pool").m_pool.m_replicas)
       replica.m_weights = 2;
     m_replicas.m_answers = {Answer(200, {Event(1)})};
     Call("/stream/2");
--- a/src/libverbenalead/entry/call_services.h
+++ b/src/libverbenalead/entry/call_services.h
@@ -11,7 +11,7 @@
 /// outlive the calls.
 struct CallServices {
   EntryState& m_state;
-  SlotAllocator& m_places;
+  SlotAllocator& m_slot_allocator;
   /// HTTP client for requests to replicas.
   wire::Client& m_replicas;
 };
--- a/src/libverbenalead/entry/call_times.h
+++ b/src/libverbenalead/entry/call_times.h
@@ -28,7 +28,7 @@
 };
 
 /// Records that this entry waits for data from the replica from `now` on.
-inline void Listen(CallTimes& times, TimePoint now) {
+inline void StartAwaitingData(CallTimes& times, TimePoint now) {
   times.m_last_seen_at = now;
   times.m_awaiting_data = true;
 }
--- a/src/libverbenalead/entry/caller_addresses.cc
+++ b/src/libverbenalead/entry/caller_addresses.cc
@@ -13,7 +13,7 @@
 constexpr size_t kMinEntriesPerDataCenter = 2;
 
 struct Candidates {
-  std::vector<Endpoint> m_near;
+  std::vector<Endpoint> m_same_data_center;
   std::vector<Endpoint> m_all;
   std::vector<Endpoint> m_unready;
 };
@@ -24,7 +24,7 @@
          bool ready) {
   (ready ? candidates.m_all : candidates.m_unready).push_back(entry.m_callers);
   if (ready && same_data_center)
-    candidates.m_near.push_back(entry.m_callers);
+    candidates.m_same_data_center.push_back(entry.m_callers);
 }
 
 /// Collects this entry and all peers with a recent update, in the order of host
@@ -33,10 +33,10 @@
                              const std::string& data_center,
                              TimePoint now) {
   Candidates candidates;
-  const model::EntryAddress& self = state.m_options.m_self;
+  const model::EntryAddress& self = state.m_options.m_own_address;
   Add(candidates, self, self.m_data_center == data_center, IsReady(state));
   const auto add = [&](const PeerEntry& peer) {
-    if (IsHeard(state, peer, now)) {
+    if (HasRecentUpdate(state, peer, now)) {
       Add(candidates, peer.m_address,
           peer.m_address.m_data_center == data_center, peer.m_ready);
     }
@@ -56,7 +56,7 @@
                                         size_t limit,
                                         TimePoint now) {
   Candidates candidates = CollectCandidates(state, data_center, now);
-  std::vector<Endpoint> list = std::move(candidates.m_near);
+  std::vector<Endpoint> list = std::move(candidates.m_same_data_center);
   if (list.size() < kMinEntriesPerDataCenter)
     list = std::move(candidates.m_all);
   // An entry that is not ready still answers callers, with the time after which
--- a/src/libverbenalead/entry/caller_addresses_test.cc
+++ b/src/libverbenalead/entry/caller_addresses_test.cc
@@ -21,7 +21,7 @@
 
 EntryOptions Options(size_t number) {
   EntryOptions options;
-  options.m_self = Address(number);
+  options.m_own_address = Address(number);
   options.m_key_bound = 5s;
   return options;
 }
--- a/src/libverbenalead/entry/entry_options.cc
+++ b/src/libverbenalead/entry/entry_options.cc
@@ -43,14 +43,14 @@
 EntryOptions ReadEntryOptions(const Settings& settings) {
   constexpr double kMillisecondsPerSecond = 1000;
   EntryOptions options;
-  options.m_self = {settings.Text("host"), settings.Text("data_center"),
-                    settings.Address("listen.callers"),
-                    settings.Address("listen.peers")};
+  options.m_own_address = {settings.Text("host"), settings.Text("data_center"),
+                           settings.Address("listen.callers"),
+                           settings.Address("listen.peers")};
   options.m_readiness = settings.Address("listen.readiness");
   options.m_directory = settings.Address("listen.directory");
   options.m_metrics = settings.Address("listen.metrics");
   options.m_store = settings.Address("store.address");
-  options.m_target_datagram_port = options.m_self.m_peers.port();
+  options.m_target_datagram_port = options.m_own_address.m_peers.port();
   options.m_strict_keys = settings.Flag("bounds.strict_keys");
   options.m_key_bound =
       Seconds(settings.Number("bounds.keys") / kMillisecondsPerSecond);
--- a/src/libverbenalead/entry/entry_options.h
+++ b/src/libverbenalead/entry/entry_options.h
@@ -10,7 +10,7 @@
 
 /// Settings of an entry on the users' platform.
 struct EntryOptions {
-  model::EntryAddress m_self;
+  model::EntryAddress m_own_address;
   /// HTTP address that reports whether this entry accepts calls.
   Endpoint m_readiness;
   /// HTTP address that gives callers the list of entries to use.
--- a/src/libverbenalead/entry/entry_registration.cc
+++ b/src/libverbenalead/entry/entry_registration.cc
@@ -46,14 +46,14 @@
   // The row exists already if only the process was restarted. The table is read
   // again after the row was written: of two entries that start at the same
   // time, at least one then sees the other.
-  const model::EntryAddress& self = m_state.m_options.m_self;
+  const model::EntryAddress& self = m_state.m_options.m_own_address;
   const std::string value = EncodeEntryRow(self);
   while (true) {
     const auto rows =
         co_await m_store.ReadTable(platform::kEntryTable, self.m_data_center);
     const bool registered = rows && HoldsRow(*rows, self.m_host, value);
     if (rows)
-      TakeRows(*rows);
+      ApplyRows(*rows);
     // Until this entry's row exists, the rows of others that have just started
     // may be missing as well.
     if (registered) {
@@ -85,7 +85,7 @@
   }
   uint32_t remote_entries = 0;
   for (const std::string& part : *parts) {
-    if (part == m_state.m_options.m_self.m_data_center)
+    if (part == m_state.m_options.m_own_address.m_data_center)
       continue;
     const auto rows = co_await m_store.ReadTable(platform::kEntryTable, part);
     if (!rows) {
@@ -96,7 +96,7 @@
       co_return false;
     }
     remote_entries += static_cast<uint32_t>(rows->m_rows.size());
-    TakeRows(*rows);
+    ApplyRows(*rows);
   }
   m_state.m_remote_entries =
       std::max(m_state.m_remote_entries.value_or(0), remote_entries);
@@ -107,12 +107,12 @@
   co_return true;
 }
 
-void EntryRegistration::TakeRows(const platform::Rows& rows) {
+void EntryRegistration::ApplyRows(const platform::Rows& rows) {
   // This small answer is the first one after a start. It sets the offset of the
   // store's clock, with which the proofs of other entries are dated.
   decide::AnsweredAt(m_state.m_store_clock, rows.m_asked_at, rows.m_store_time);
   for (const platform::Row& row : rows.m_rows) {
-    if (row.m_deleted || row.m_key == m_state.m_options.m_self.m_host)
+    if (row.m_deleted || row.m_key == m_state.m_options.m_own_address.m_host)
       continue;
     auto message =
         CatchFailure([&] { return links::DecodeMessage(row.m_value); });
--- a/src/libverbenalead/entry/entry_registration.h
+++ b/src/libverbenalead/entry/entry_registration.h
@@ -40,7 +40,7 @@
  private:
   /// Returns false if not all rows could be read.
   Awaitable<bool> ReadRemoteEntries();
-  void TakeRows(const platform::Rows& rows);
+  void ApplyRows(const platform::Rows& rows);
 
   EntryState& m_state;
   platform::Store& m_store;
--- a/src/libverbenalead/entry/entry_state.cc
+++ b/src/libverbenalead/entry/entry_state.cc
@@ -26,9 +26,10 @@
 
 }  // namespace
 
-ServiceState& StateOf(EntryState& state, const std::string& service) {
+ServiceState& GetOrCreateService(EntryState& state,
+                                 const std::string& service) {
   ServiceState& found = state.m_services[service];
-  found.m_pool.m_data_center = state.m_options.m_self.m_data_center;
+  found.m_pool.m_data_center = state.m_options.m_own_address.m_data_center;
   return found;
 }
 
@@ -44,7 +45,8 @@
     // weights were declared.
     const uint64_t binding = decide::Binding(
         state.m_weights[service.m_engine->m_model], now + kStartDelay);
-    decide::ReplicaPool& pool = StateOf(state, service.m_name).m_pool;
+    decide::ReplicaPool& pool =
+        GetOrCreateService(state, service.m_name).m_pool;
     pool.m_required_weights = std::max<uint64_t>(1, binding);
     pool.m_prefill_rate = service.m_engine->m_prefill_rate;
   }
@@ -55,7 +57,7 @@
     return true;
   const auto length = std::chrono::duration_cast<Duration>(
       state.m_options.m_key_bound * kLeaseShare);
-  return decide::Holds(state.m_lease, length, BootNow());
+  return decide::IsLeaseValid(state.m_lease, length, BootNow());
 }
 
 bool IsReady(const EntryState& state) {
@@ -75,8 +77,8 @@
   uint32_t local = 1;
   uint32_t remote = 0;
   for (const auto& [host, peer] : state.m_peers) {
-    const bool is_local =
-        peer.m_address.m_data_center == state.m_options.m_self.m_data_center;
+    const bool is_local = peer.m_address.m_data_center ==
+                          state.m_options.m_own_address.m_data_center;
     ++(is_local ? local : remote);
   }
   return local + std::max(remote, *state.m_remote_entries) + kUnknownEntries;
--- a/src/libverbenalead/entry/entry_state.h
+++ b/src/libverbenalead/entry/entry_state.h
@@ -35,8 +35,8 @@
 struct ServiceState {
   decide::ReplicaPool m_pool;
   decide::RetryWindow m_retries;
-  decide::WaitShare m_patience;
-  decide::LateCallShedding m_late;
+  decide::WaitShare m_wait_share;
+  decide::LateCallShedding m_late_shedding;
 };
 
 /// The complete state of an entry. Only the single thread of the entry accesses
@@ -97,7 +97,7 @@
 };
 
 /// Returns the state of `service`, created if missing.
-ServiceState& StateOf(EntryState& state, const std::string& service);
+ServiceState& GetOrCreateService(EntryState& state, const std::string& service);
 
 /// Updates the pools of all services: which weights calls must run on, how fast
 /// engines read prompts, and the removal of replicas whose rows expired long
--- a/src/libverbenalead/entry/hedge.cc
+++ b/src/libverbenalead/entry/hedge.cc
@@ -66,12 +66,12 @@
   m_silence_timer.cancel();
   m_finished.cancel();
   if (m_ready)
-    Drop();
+    EndAttempt();
   else if (m_attempt)
     m_attempt->Cancel();
 }
 
-std::shared_ptr<CallAttempt> Hedge::Take() {
+std::shared_ptr<CallAttempt> Hedge::TakeAttempt() {
   m_ready = false;
   m_stopped = true;
   return std::exchange(m_attempt, nullptr);
@@ -130,7 +130,7 @@
                                        m_record->m_plan.m_deadline, no_op);
   bool usable = false;
   if (sent)
-    usable = co_await Proves();
+    usable = co_await CanReplaceFirst();
   if (usable) {
     Log("answered");
     m_ready = true;
@@ -139,7 +139,7 @@
       on_ready();
     co_return false;
   }
-  Drop();
+  EndAttempt();
   if (second->cancelled()) {
     Log("overtaken");
     co_return !m_stopped;
@@ -151,7 +151,7 @@
   co_return true;
 }
 
-Awaitable<bool> Hedge::Proves() {
+Awaitable<bool> Hedge::CanReplaceFirst() {
   AttemptResult& result = m_attempt->result();
   if (result.m_end != AttemptEnd::kGood || m_attempt->cancelled())
     co_return false;
@@ -166,7 +166,7 @@
   co_return result.m_end == AttemptEnd::kGood && !attempt->cancelled();
 }
 
-void Hedge::Drop() {
+void Hedge::EndAttempt() {
   const auto dropped = std::exchange(m_attempt, nullptr);
   m_ready = false;
   dropped->End(dropped->cancelled() || m_stopped ? AttemptEnd::kAbandoned
--- a/src/libverbenalead/entry/hedge.h
+++ b/src/libverbenalead/entry/hedge.h
@@ -18,7 +18,7 @@
 ///     hedge->Watch();
 ///     ...  // Read from the first attempt.
 ///     if (hedge->ready())
-///       first = hedge->Take();
+///       first = hedge->TakeAttempt();
 ///
 /// Failure: a replica pauses for a second or two, because its host is busy or
 /// it reads long prompts, and no other replica has a free slot. Symptom: an
@@ -33,18 +33,20 @@
         std::shared_ptr<CallRecord> record,
         std::function<void()> on_ready);
 
-  /// Starts to watch the first replica for silence, until Stop() or Take().
+  /// Starts to watch the first replica for silence, until Stop() or
+  /// TakeAttempt().
   void Watch();
   /// Called when the first replica has sent data. Cancels a second attempt that
   /// hasn't begun to answer.
   void OnReplicaData();
   /// Stops watching, cancels a second attempt and releases its slot.
   void Stop();
-  /// The second attempt has begun to answer, and Take() hasn't been called.
+  /// The second attempt has begun to answer, and TakeAttempt() hasn't been
+  /// called.
   bool ready() const { return m_ready; }
   /// Returns the second attempt, which the caller then owns, and stops
   /// watching.
-  std::shared_ptr<CallAttempt> Take();
+  std::shared_ptr<CallAttempt> TakeAttempt();
   /// Called when the first attempt has broken off. Waits for the second attempt
   /// if it was sent; one that has no slot yet is cancelled. True: the second
   /// attempt is ready.
@@ -62,9 +64,9 @@
   Awaitable<bool> AttemptOnce();
   /// Whether the second attempt, whose head has been received, can replace the
   /// first. A stream must also deliver a first piece of its body.
-  Awaitable<bool> Proves();
+  Awaitable<bool> CanReplaceFirst();
   /// Ends the second attempt and releases its slot.
-  void Drop();
+  void EndAttempt();
   Awaitable<void> Pause();
   void Log(const char* outcome) const;
 
--- a/src/libverbenalead/entry/last_summary.h
+++ b/src/libverbenalead/entry/last_summary.h
@@ -11,7 +11,7 @@
 struct LastSummary {
   /// Host of the entry that made the summary, and the sender's sequence number.
   std::string m_sender;
-  uint64_t m_number = 0;
+  uint64_t m_sequence = 0;
 
   friend bool operator==(const LastSummary&, const LastSummary&) = default;
 };
--- a/src/libverbenalead/entry/peer_updates.cc
+++ b/src/libverbenalead/entry/peer_updates.cc
@@ -65,20 +65,24 @@
                                                        kMaxCrashRecords));
 }
 
-bool IsNear(const EntryState& state, const PeerEntry& peer) {
-  return peer.m_address.m_data_center == state.m_options.m_self.m_data_center;
+bool IsInSameDataCenter(const EntryState& state, const PeerEntry& peer) {
+  return peer.m_address.m_data_center ==
+         state.m_options.m_own_address.m_data_center;
 }
 
-bool IsHeard(const EntryState& state, const PeerEntry& peer, TimePoint now) {
+bool HasRecentUpdate(const EntryState& state,
+                     const PeerEntry& peer,
+                     TimePoint now) {
   return peer.m_last_seen_at != TimePoint() &&
-         now - peer.m_last_seen_at <
-             (IsNear(state, peer) ? kLocalEntryTimeout : kRemoteEntryTimeout);
+         now - peer.m_last_seen_at < (IsInSameDataCenter(state, peer)
+                                          ? kLocalEntryTimeout
+                                          : kRemoteEntryTimeout);
 }
 
 links::ReplicaCalls ReportedCallsAt(const decide::ReplicaState& replica) {
   links::ReplicaCalls calls;
-  calls.m_calls =
-      replica.m_in_flight - std::min(replica.m_in_flight, replica.m_asked);
+  calls.m_calls = replica.m_in_flight -
+                  std::min(replica.m_in_flight, replica.m_open_slot_requests);
   calls.m_unread_tokens =
       replica.m_unread_tokens -
       std::min(replica.m_unread_tokens, replica.m_requested_unread_tokens);
@@ -87,16 +91,16 @@
 
 bool CollectOwnCrashes(EntryState& state, TimePoint now) {
   const std::vector<decide::CrashRecord> new_records =
-      decide::News(state.m_crashes);
+      decide::TakeCrashRecords(state.m_crashes);
   RemoveExpiredRecords(state.m_own_crashes, now);
   state.m_own_crashes.insert(state.m_own_crashes.end(), new_records.begin(),
                              new_records.end());
   return !new_records.empty();
 }
 
-links::EntryUpdate NewsOf(const EntryState& state) {
+links::EntryUpdate MakeEntryUpdate(const EntryState& state) {
   links::EntryUpdate update;
-  update.m_address = state.m_options.m_self;
+  update.m_address = state.m_options.m_own_address;
   update.m_ready = IsReady(state);
   update.m_crashes = state.m_own_crashes;
   LimitToDatagram(update.m_crashes);
@@ -136,16 +140,16 @@
                        TimePoint now) {
   for (decide::CrashRecord& record : crashes)
     record.m_at = now;
-  decide::Merge(state.m_crashes, crashes, now);
+  decide::MergeCrashRecords(state.m_crashes, crashes, now);
 }
 
-void TakeNews(EntryState& state,
-              const links::EntryUpdate& update,
-              TimePoint now) {
-  if (update.m_address.m_host == state.m_options.m_self.m_host)
+void ApplyUpdate(EntryState& state,
+                 const links::EntryUpdate& update,
+                 TimePoint now) {
+  if (update.m_address.m_host == state.m_options.m_own_address.m_host)
     return;
   PeerEntry& peer = state.m_peers[update.m_address.m_host];
-  if (!IsHeard(state, peer, now)) {
+  if (!HasRecentUpdate(state, peer, now)) {
     LogLine("peer_heard")
         .With("host", update.m_address.m_host)
         .With("ready", update.m_ready)
@@ -169,9 +173,9 @@
   ApplyCrashRecords(state, update.m_crashes, now);
 }
 
-void TakeNews(EntryState& state,
-              const links::ReplicaUpdate& update,
-              TimePoint now) {
+void ApplyUpdate(EntryState& state,
+                 const links::ReplicaUpdate& update,
+                 TimePoint now) {
   const auto service = state.m_services.find(update.m_service);
   if (service == state.m_services.end())
     return;
@@ -192,15 +196,16 @@
   replica.m_other_entries_calls = update.m_other_entries_calls.m_calls;
   replica.m_other_entries_unread_tokens =
       update.m_other_entries_calls.m_unread_tokens;
-  replica.m_waiting = update.m_waiting;
+  replica.m_queued_calls = update.m_queued_calls;
 }
 
 const PeerEntry* FindStoreReader(const EntryState& state, TimePoint now) {
   for (const auto& [host, peer] : state.m_peers) {
-    if (!state.m_store_unavailable && host >= state.m_options.m_self.m_host)
+    if (!state.m_store_unavailable &&
+        host >= state.m_options.m_own_address.m_host)
       break;
-    if (IsNear(state, peer) && IsHeard(state, peer, now) && peer.m_ready &&
-        peer.m_proved_at + kMaxProofAge > BootNow() &&
+    if (IsInSameDataCenter(state, peer) && HasRecentUpdate(state, peer, now) &&
+        peer.m_ready && peer.m_proved_at + kMaxProofAge > BootNow() &&
         now - peer.m_replicas_confirmed_at < kMaxReplicaListAge)
       return &peer;
   }
@@ -211,7 +216,8 @@
   std::vector<const PeerEntry*> candidates;
   uint64_t newest = state.m_operator_revision;
   for (const auto& [host, peer] : state.m_peers) {
-    if (!IsNear(state, peer) || !IsHeard(state, peer, now) ||
+    if (!IsInSameDataCenter(state, peer) ||
+        !HasRecentUpdate(state, peer, now) ||
         peer.m_operator_revision <= state.m_operator_revision ||
         peer.m_operator_revision < newest)
       continue;
@@ -229,7 +235,7 @@
                                      TimePoint now) {
   std::vector<const PeerEntry*> sources;
   for (const auto& [host, peer] : state.m_peers) {
-    if (IsNear(state, peer) && IsHeard(state, peer, now) &&
+    if (IsInSameDataCenter(state, peer) && HasRecentUpdate(state, peer, now) &&
         peer.m_replicas_hash == reader.m_replicas_hash)
       sources.push_back(&peer);
   }
@@ -239,9 +245,9 @@
 size_t CountLivePredecessors(const EntryState& state, TimePoint now) {
   size_t before = 0;
   for (const auto& [host, peer] : state.m_peers) {
-    if (host >= state.m_options.m_self.m_host)
+    if (host >= state.m_options.m_own_address.m_host)
       break;
-    if (IsNear(state, peer) && IsHeard(state, peer, now))
+    if (IsInSameDataCenter(state, peer) && HasRecentUpdate(state, peer, now))
       ++before;
   }
   return before;
@@ -250,9 +256,9 @@
 size_t CountListedPredecessors(const EntryState& state) {
   size_t before = 0;
   for (const auto& [host, peer] : state.m_peers) {
-    if (host >= state.m_options.m_self.m_host)
+    if (host >= state.m_options.m_own_address.m_host)
       break;
-    if (IsNear(state, peer))
+    if (IsInSameDataCenter(state, peer))
       ++before;
   }
   return before;
--- a/src/libverbenalead/entry/peer_updates.h
+++ b/src/libverbenalead/entry/peer_updates.h
@@ -8,11 +8,13 @@
 namespace verbenalead::entry {
 
 /// Whether `peer` is in this entry's data centre.
-bool IsNear(const EntryState& state, const PeerEntry& peer);
+bool IsInSameDataCenter(const EntryState& state, const PeerEntry& peer);
 
 /// Whether an update from or about `peer` arrived recently enough for it to
 /// count as running.
-bool IsHeard(const EntryState& state, const PeerEntry& peer, TimePoint now);
+bool HasRecentUpdate(const EntryState& state,
+                     const PeerEntry& peer,
+                     TimePoint now);
 
 /// The calls of this entry at a replica, as reported to the replica's target
 /// process. Slot requests that are still unanswered are left out.
@@ -30,7 +32,7 @@
 void LimitToDatagram(std::vector<decide::CrashRecord>& records);
 
 /// The update that this entry sends to the other entries of its data centre.
-links::EntryUpdate NewsOf(const EntryState& state);
+links::EntryUpdate MakeEntryUpdate(const EntryState& state);
 
 /// The store time at which the store last confirmed that this entry has the
 /// newest revision of the operator's table; zero while the store does not
@@ -38,9 +40,9 @@
 Duration StoreProofOf(const EntryState& state);
 
 /// Applies an update from another entry of this data centre.
-void TakeNews(EntryState& state,
-              const links::EntryUpdate& update,
-              TimePoint now);
+void ApplyUpdate(EntryState& state,
+                 const links::EntryUpdate& update,
+                 TimePoint now);
 
 /// Applies the proof of another entry that has `revision`: at `proof`, by the
 /// store's clock, the store confirmed that nothing newer existed. If this entry
@@ -57,9 +59,9 @@
                        TimePoint now);
 
 /// Applies an update from a target process about its replica.
-void TakeNews(EntryState& state,
-              const links::ReplicaUpdate& update,
-              TimePoint now);
+void ApplyUpdate(EntryState& state,
+                 const links::ReplicaUpdate& update,
+                 TimePoint now);
 
 /// Returns the entry of this data centre that reads the store on behalf of this
 /// one, or null if this entry has to read the store itself.
--- a/src/libverbenalead/entry/peer_updates_test.cc
+++ b/src/libverbenalead/entry/peer_updates_test.cc
@@ -11,8 +11,8 @@
 
 EntryOptions OptionsOf(const std::string& host) {
   EntryOptions options;
-  options.m_self = {host, "a", Endpoint("127.0.0.1", 1),
-                    Endpoint("127.0.0.1", 2)};
+  options.m_own_address = {host, "a", Endpoint("127.0.0.1", 1),
+                           Endpoint("127.0.0.1", 2)};
   options.m_key_bound = 5s;
   return options;
 }
@@ -47,13 +47,13 @@
   void StopsUsingAReaderThatLostTheStore() {
     const auto reader = Entry("e1");
     const auto other = Entry("e2");
-    TakeNews(*other, NewsOf(*reader), Now());
+    ApplyUpdate(*other, MakeEntryUpdate(*reader), Now());
     CPPUNIT_ASSERT(FindStoreReader(*other, Now()));
     reader->m_store_unavailable = true;
-    TakeNews(*other, NewsOf(*reader), Now());
+    ApplyUpdate(*other, MakeEntryUpdate(*reader), Now());
     CPPUNIT_ASSERT(!FindStoreReader(*other, Now()));
     reader->m_store_unavailable = false;
-    TakeNews(*other, NewsOf(*reader), Now());
+    ApplyUpdate(*other, MakeEntryUpdate(*reader), Now());
     CPPUNIT_ASSERT(FindStoreReader(*other, Now()));
   }
 
@@ -66,7 +66,7 @@
     for (const char* host : {"e1", "e2", "e3"}) {
       const auto entry = Entry(host);
       entry->m_operator_revision = host == std::string("e3") ? 4 : 5;
-      TakeNews(*newcomer, NewsOf(*entry), Now());
+      ApplyUpdate(*newcomer, MakeEntryUpdate(*entry), Now());
     }
     std::set<std::string> chosen;
     for (int i = 0; i < 50; ++i)
@@ -84,7 +84,7 @@
     for (const char* host : {"e1", "e2", "e3"}) {
       const auto entry = Entry(host);
       entry->m_replicas_hash = host == std::string("e3") ? 4 : 5;
-      TakeNews(*newcomer, NewsOf(*entry), Now());
+      ApplyUpdate(*newcomer, MakeEntryUpdate(*entry), Now());
     }
     const PeerEntry reader = newcomer->m_peers.at("e1");
     std::set<std::string> chosen;
--- a/src/libverbenalead/entry/platform_entry.cc
+++ b/src/libverbenalead/entry/platform_entry.cc
@@ -72,16 +72,16 @@
         m_replica_http(ReplicaConnections()),
         m_store_http(StoreConnections()),
         m_store(m_store_http, m_state.m_options.m_store),
-        m_datagrams(m_threads.main(), m_state.m_options.m_self.m_peers),
-        m_news(m_state, m_datagrams),
+        m_datagrams(m_threads.main(), m_state.m_options.m_own_address.m_peers),
+        m_update_sender(m_state, m_datagrams),
         m_summaries(m_state, m_datagrams),
         m_slot_requester(m_state, m_datagrams),
-        m_places(m_state,
-                 m_slot_requester,
-                 [this](const decide::ReplicaState& replica) {
-                   m_news.NotifyCalls(replica, true);
-                 }),
-        m_calls(m_state, m_places, m_replica_http),
+        m_slot_allocator(m_state,
+                         m_slot_requester,
+                         [this](const decide::ReplicaState& replica) {
+                           m_update_sender.NotifyCalls(replica, true);
+                         }),
+        m_calls(m_state, m_slot_allocator, m_replica_http),
         m_rows(m_threads.main(),
                m_state,
                m_store,
@@ -122,12 +122,12 @@
   /// Applies the effects of changed rows: wakes waiting calls, announces new
   /// weights and updates the limits for callers' requests.
   void ApplyRows() {
-    m_places.WakeAll();
+    m_slot_allocator.WakeAll();
     // Targets need most of the bound on new weights to load them, so they are
     // notified at once.
     if (m_state.m_weights_revision > m_announced_weights) {
       m_announced_weights = m_state.m_weights_revision;
-      m_news.RequestLocalUpdates();
+      m_update_sender.RequestLocalUpdates();
     }
     if (m_state.m_routes == m_applied_routes)
       return;
@@ -136,8 +136,8 @@
     http::ServerLimits limits;
     limits.m_max_header = config.m_max_header_bytes;
     limits.m_max_body = config.m_max_body_bytes;
-    limits.m_idle = config.m_idle_timeout;
-    limits.m_request = config.m_header_timeout;
+    limits.m_idle_timeout = config.m_idle_timeout;
+    limits.m_request_timeout = config.m_header_timeout;
     m_callers.SetLimits(limits);
   }
 
@@ -162,19 +162,19 @@
 
   void HandleMessage(const links::Message& message) {
     if (const auto* update = std::get_if<links::EntryUpdate>(&message)) {
-      TakeNews(m_state, *update, Now());
-      m_news.NotifyStartingEntry(*update);
+      ApplyUpdate(m_state, *update, Now());
+      m_update_sender.NotifyStartingEntry(*update);
       m_rows.Compare();
     } else if (const auto* summary =
                    std::get_if<links::DataCenterSummary>(&message)) {
-      m_summaries.Take(*summary);
+      m_summaries.HandleSummary(*summary);
     } else if (const auto* replica =
                    std::get_if<links::ReplicaUpdate>(&message)) {
-      TakeNews(m_state, *replica, Now());
+      ApplyUpdate(m_state, *replica, Now());
     } else if (const auto* answer = std::get_if<links::SlotAnswer>(&message)) {
-      m_slot_requester.TakeAnswer(*answer);
+      m_slot_requester.HandleAnswer(*answer);
     }
-    m_places.WakeAll();
+    m_slot_allocator.WakeAll();
   }
 
   void RecordLoopLag(Duration late) {
@@ -193,8 +193,8 @@
       if (!m_started)
         m_started = RecordStartupSteps(m_state, m_start, Now());
       UpdatePools(m_state, Now());
-      m_places.WakeAll();
-      m_news.NotifyCalls();
+      m_slot_allocator.WakeAll();
+      m_update_sender.NotifyCalls();
     }
   }
 
@@ -202,24 +202,24 @@
     while (true) {
       co_await Sleep(kUpdateSendInterval);
       m_rows.Compare();
-      m_news.NotifyEntries(m_rows.ConsumeTakeover());
-      m_summaries.Tell();
+      m_update_sender.NotifyEntries(m_rows.ConsumeTakeover());
+      m_summaries.SendIfDue();
       LogReplicaChanges(m_state.m_replica_changes, Now());
     }
   }
 
   Awaitable<void> FollowTargets() {
     for (uint64_t round = 0;; ++round) {
-      m_news.RequestLocalUpdates();
+      m_update_sender.RequestLocalUpdates();
       if (m_summaries.is_sender() && round % kRoundsPerRemoteRequest == 0)
-        m_news.NotifyRemoteTargets();
+        m_update_sender.NotifyRemoteTargets();
       co_await Sleep(kFollowInterval);
     }
   }
 
   void HandleEntriesRead() {
     m_rows.HandleEntriesKnown();
-    m_news.NotifyAllEntries();
+    m_update_sender.NotifyAllEntries();
   }
 
   Awaitable<void> AwaitSignals() {
@@ -237,18 +237,20 @@
   /// calls, and ends the process.
   Awaitable<void> Stop() {
     const TimePoint begun = Now();
-    LogLine("stopping").With("calls", m_callers.busy()).Info();
+    LogLine("stopping").With("calls", m_callers.requests_in_progress()).Info();
     m_state.m_stopping = true;
     m_callers.Drain();
-    m_news.NotifyAllEntries();
+    m_update_sender.NotifyAllEntries();
     co_await Sleep(kAcceptCallsFor);
     m_state.m_accepts_calls = false;
     m_callers.StopAccepting();
     m_directory.StopAccepting();
     const TimePoint end = begun + m_state.m_options.m_stop_bound - kStopMargin;
-    while (m_callers.busy() > 0 && Now() < end)
+    while (m_callers.requests_in_progress() > 0 && Now() < end)
       co_await Sleep(kStopPollInterval);
-    LogLine("stopped").With("calls_cut", m_callers.busy()).Info();
+    LogLine("stopped")
+        .With("calls_cut", m_callers.requests_in_progress())
+        .Info();
     m_threads.Stop();
   }
 
@@ -258,10 +260,10 @@
   http::Client m_store_http;
   platform::Store m_store;
   links::DatagramSocket m_datagrams;
-  UpdateSender m_news;
+  UpdateSender m_update_sender;
   SummarySender m_summaries;
   SlotRequester m_slot_requester;
-  SlotAllocator m_places;
+  SlotAllocator m_slot_allocator;
   CallServer m_calls;
   RowSynchroniser m_rows;
   EntryRegistration m_registration;
@@ -288,15 +290,15 @@
   Parts& parts = *m_parts;
   const EntryOptions& options = parts.m_state.m_options;
   LogLine("starting")
-      .With("host", options.m_self.m_host)
-      .With("data_center", options.m_self.m_data_center)
-      .With("callers", ToString(options.m_self.m_callers))
+      .With("host", options.m_own_address.m_host)
+      .With("data_center", options.m_own_address.m_data_center)
+      .With("callers", ToString(options.m_own_address.m_callers))
       .With("store", ToString(options.m_store))
       .Info();
-  if (!links::ListenAll({{&parts.m_callers, options.m_self.m_callers},
+  if (!links::ListenAll({{&parts.m_callers, options.m_own_address.m_callers},
                          {&parts.m_readiness, options.m_readiness},
                          {&parts.m_directory, options.m_directory},
-                         {&parts.m_row_server, options.m_self.m_peers},
+                         {&parts.m_row_server, options.m_own_address.m_peers},
                          {&parts.m_metrics, options.m_metrics}}))
     return 1;
   parts.m_start.m_started = Now();
--- a/src/libverbenalead/entry/retry_attempt.cc
+++ b/src/libverbenalead/entry/retry_attempt.cc
@@ -15,15 +15,16 @@
 void PrepareNextAttempt(EntryState& state, CallRecord& record) {
   decide::PrepareRetry(
       record.m_pool_call,
-      StateOf(state, record.m_plan.m_service).m_pool.m_prefill_rate, Now());
+      GetOrCreateService(state, record.m_plan.m_service).m_pool.m_prefill_rate,
+      Now());
 }
 
 }  // namespace
 
 bool TryTakeRetry(EntryState& state, const std::string& service) {
-  const bool allowed = decide::TryTakeRetry(StateOf(state, service).m_retries,
-                                            state.m_options.m_retries,
-                                            MaxExistingEntries(state), Now());
+  const bool allowed = decide::TryTakeRetry(
+      GetOrCreateService(state, service).m_retries, state.m_options.m_retries,
+      MaxExistingEntries(state), Now());
   if (!allowed)
     state.m_metrics.Count("repeats_denied_total", "");
   return allowed;
--- a/src/libverbenalead/entry/row_applier.cc
+++ b/src/libverbenalead/entry/row_applier.cc
@@ -44,7 +44,7 @@
     if (row.m_deleted)
       continue;
     if (row.m_key == platform::kConfigKey) {
-      TakeConfig(row.m_value);
+      ApplyConfig(row.m_value);
     } else if (row.m_key.starts_with(platform::kWeightsKeyPrefix)) {
       m_state.m_weights_revision =
           std::max(m_state.m_weights_revision, row.m_revision);
@@ -96,7 +96,7 @@
   return BindingDelay() - kBindingAfterStart;
 }
 
-void RowApplier::TakeConfig(const std::string& text) {
+void RowApplier::ApplyConfig(const std::string& text) {
   auto config = CatchFailure([&] { return platform::DecodeConfig(text); });
   if (!config) {
     LogLine("bad_config").With(config.error()).Error();
@@ -215,7 +215,7 @@
   for (const auto& [id, replica] : live)
     by_service[replica.m_service].push_back(replica);
   for (const auto& [service, replicas] : by_service)
-    StateOf(m_state, service);
+    GetOrCreateService(m_state, service);
   m_state.m_replicas_hash = decide::HashOf(live);
   const TimePoint now = Now();
   for (auto& [name, service] : m_state.m_services) {
--- a/src/libverbenalead/entry/row_applier.h
+++ b/src/libverbenalead/entry/row_applier.h
@@ -57,7 +57,7 @@
   void MergeOperatorRows(
       const platform::Rows& rows,
       const std::function<Duration(const platform::Row&)>& age_of);
-  void TakeConfig(const std::string& text);
+  void ApplyConfig(const std::string& text);
   /// `age`: time since the declaration was made.
   void ApplyWeights(const platform::Row& row, Duration age);
   void ApplyReplicaRow(const platform::Row& row);
--- a/src/libverbenalead/entry/row_synchroniser.cc
+++ b/src/libverbenalead/entry/row_synchroniser.cc
@@ -79,17 +79,17 @@
   const TimePoint now = Now();
   if (!known) {
     const bool expects_peer_rows =
-        m_reading == decide::Reading::kFromPeer &&
+        m_read_source == decide::ReadSource::kFromPeer &&
         now - m_cold_start.m_started < kPeerRowsTimeout;
     return expects_peer_rows || !decide::MayReadStore(m_cold_start, now);
   }
-  return m_reading == decide::Reading::kFromPeer &&
+  return m_read_source == decide::ReadSource::kFromPeer &&
          now - m_peer_reads_since < kPeerReadsInterval;
 }
 
 links::PollSchedule RowSynchroniser::OperatorPace() {
   links::PollSchedule schedule = kPeerReadsPace;
-  if (m_reading == decide::Reading::kFromStore) {
+  if (m_read_source == decide::ReadSource::kFromStore) {
     // An entry that has just taken over must prove at once that it has the
     // newest revision, so its first request is answered without a wait.
     const bool proved =
@@ -98,7 +98,7 @@
                 decide::RecordRequest(m_operator_pace, Now()),
                 PauseAfterFailure(), false};
   }
-  schedule.m_hold = IsReadDeferred(m_state.m_routes != nullptr);
+  schedule.m_paused = IsReadDeferred(m_state.m_routes != nullptr);
   return schedule;
 }
 
@@ -110,7 +110,7 @@
 
 links::PollSchedule RowSynchroniser::ReplicaPace() {
   links::PollSchedule schedule = kPeerReadsPace;
-  if (m_reading == decide::Reading::kFromStore) {
+  if (m_read_source == decide::ReadSource::kFromStore) {
     schedule = kReplicaPace;
     schedule.m_retry_pause = PauseAfterFailure();
   }
@@ -118,27 +118,30 @@
   // requested. Requests for both by 98 entries doubled the number of requests,
   // each of which is charged. If only the operator's rows fail, the table of
   // replicas is still requested.
-  schedule.m_hold = IsReadDeferred(m_state.m_replicas_known) ||
-                    (m_operator.lost() && m_replicas.lost());
+  schedule.m_paused =
+      IsReadDeferred(m_state.m_replicas_known) ||
+      (m_operator.connection_lost() && m_replicas.connection_lost());
   return schedule;
 }
 
 void RowSynchroniser::Compare() {
   const TimePoint now = Now();
-  m_state.m_store_unavailable = m_operator.lost() || m_replicas.lost();
+  m_state.m_store_unavailable =
+      m_operator.connection_lost() || m_replicas.connection_lost();
   const PeerEntry* reader = FindStoreReader(m_state, now);
-  const decide::Reading before = m_reading;
-  m_reading = decide::NextReadSource(m_turn, reader != nullptr,
-                                     CountLivePredecessors(m_state, now), now);
-  if (m_reading != before) {
+  const decide::ReadSource before = m_read_source;
+  m_read_source =
+      decide::NextReadSource(m_reader_failover, reader != nullptr,
+                             CountLivePredecessors(m_state, now), now);
+  if (m_read_source != before) {
     LogLine("reading")
         .With("from", reader ? reader->m_address.m_host
-                             : m_state.m_options.m_self.m_host)
-        .With("waits", m_reading == decide::Reading::kWaiting)
+                             : m_state.m_options.m_own_address.m_host)
+        .With("waits", m_read_source == decide::ReadSource::kWaiting)
         .Info();
-    if (m_reading == decide::Reading::kFromPeer)
+    if (m_read_source == decide::ReadSource::kFromPeer)
       m_peer_reads_since = now;
-    if (m_reading == decide::Reading::kFromStore) {
+    if (m_read_source == decide::ReadSource::kFromStore) {
       m_took_over_at = now;
       m_operator.PollNow();
       m_replicas.PollNow();
@@ -226,7 +229,7 @@
   m_on_rows();
 }
 
-std::shared_ptr<const std::string> RowSynchroniser::TextOf(
+std::shared_ptr<const std::string> RowSynchroniser::EncodedRowsFor(
     const std::string& path) {
   const bool replicas = path == links::kReplicaRowsPath;
   const bool known =
@@ -237,7 +240,7 @@
     return nullptr;
   const uint64_t revision =
       replicas ? m_intake.replicas_revision() : m_state.m_operator_revision;
-  EncodedRows& encoded = m_told[path];
+  EncodedRows& encoded = m_encoded_rows[path];
   if (encoded.m_text && encoded.m_revision == revision)
     return encoded.m_text;
   std::map<std::string, platform::Row> rows =
@@ -263,7 +266,8 @@
 
 Awaitable<void> RowSynchroniser::ServeRows(const wire::Request& request,
                                            wire::ResponseWriter& caller) {
-  const std::shared_ptr<const std::string> text = TextOf(request.m_path);
+  const std::shared_ptr<const std::string> text =
+      EncodedRowsFor(request.m_path);
   if (!text) {
     co_await caller.Send(wire::JsonResponse(404, "{}"));
     co_return;
@@ -275,7 +279,7 @@
   }
   links::RelayMetadata facts;
   facts.m_confirmed_at = m_state.m_operator_confirmed_at;
-  facts.m_told_at = BootNow();
+  facts.m_sent_at = BootNow();
   if (m_replicas.regained_at() != TimePoint())
     facts.m_store_regained_ago = Now() - m_replicas.regained_at();
   wire::ResponseHead head(200, links::EncodeRelayMetadata(facts));
--- a/src/libverbenalead/entry/row_synchroniser.h
+++ b/src/libverbenalead/entry/row_synchroniser.h
@@ -75,7 +75,7 @@
   bool IsReadDeferred(bool known) const;
   /// Returns the encoded rows for `path`, or null if they are not known yet or
   /// there is no such path.
-  std::shared_ptr<const std::string> TextOf(const std::string& path);
+  std::shared_ptr<const std::string> EncodedRowsFor(const std::string& path);
   void CompareReplicas(const PeerEntry& reader);
   /// Whether `bytes` of rows may be sent now in response to `request`.
   bool MaySendRows(const wire::Request& request, uint64_t bytes);
@@ -92,8 +92,8 @@
   RowApplier m_intake;
   links::TableFollower m_operator;
   links::TableFollower m_replicas;
-  decide::ReaderFailover m_turn;
-  decide::Reading m_reading = decide::Reading::kFromStore;
+  decide::ReaderFailover m_reader_failover;
+  decide::ReadSource m_read_source = decide::ReadSource::kFromStore;
   /// When this entry took over reading, until ConsumeTakeover() has reported
   /// it.
   std::optional<TimePoint> m_took_over_at;
@@ -101,7 +101,7 @@
   /// Another entry has read the store for this one at least since this time.
   TimePoint m_peer_reads_since{};
   /// The rows last encoded, by path: 14 other entries fetch the same 390 KB.
-  std::map<std::string, EncodedRows> m_told;
+  std::map<std::string, EncodedRows> m_encoded_rows;
   decide::RowTransferLimit m_row_transfers;
   bool m_fetching_operator = false;
   bool m_fetching_replicas = false;
--- a/src/libverbenalead/entry/slot_allocator.cc
+++ b/src/libverbenalead/entry/slot_allocator.cc
@@ -30,7 +30,7 @@
   asio::steady_timer m_timer;
   const std::string m_service;
   const uint32_t m_prompt_tokens;
-  std::optional<Place> m_place;
+  std::optional<Slot> m_slot;
 };
 
 SlotAllocator::SlotAllocator(
@@ -45,9 +45,10 @@
       [this](const std::string& replica) { ReturnUnneededGrant(replica); });
 }
 
-Awaitable<std::optional<std::string>> SlotAllocator::Take(std::string service,
-                                                          decide::PoolCall call,
-                                                          TimePoint deadline) {
+Awaitable<std::optional<std::string>> SlotAllocator::Acquire(
+    std::string service,
+    decide::PoolCall call,
+    TimePoint deadline) {
   const uint64_t ticket = call.m_ticket;
   while (true) {
     auto slot = co_await AcquireOrWait(service, call, deadline);
@@ -57,28 +58,30 @@
     }
     bool granted = slot->m_granted;
     if (!granted)
-      granted = co_await m_slot_requester.Ask(service, slot->m_replica, call);
+      granted =
+          co_await m_slot_requester.RequestSlot(service, slot->m_replica, call);
     if (granted) {
       WithdrawReservations(ticket);
       co_return slot->m_replica;
     }
     // The target denied the slot. Its answer also updated this entry's view of
     // the replica, so the next round chooses another one.
-    decide::ReplicaPool& pool = StateOf(m_state, service).m_pool;
+    decide::ReplicaPool& pool = GetOrCreateService(m_state, service).m_pool;
     decide::NotePromptRead(pool, slot->m_replica, call.m_prompt_tokens);
-    decide::Release(pool, slot->m_replica, decide::AttemptEnd::kNotRun, Now());
+    decide::ReleaseSlot(pool, slot->m_replica, decide::AttemptEnd::kNotRun,
+                        Now());
     m_state.m_metrics.Count("places_denied_total", "");
   }
 }
 
-Awaitable<std::optional<SlotAllocator::Place>> SlotAllocator::AcquireOrWait(
+Awaitable<std::optional<SlotAllocator::Slot>> SlotAllocator::AcquireOrWait(
     std::string service,
     decide::PoolCall call,
     TimePoint deadline) {
-  decide::ReplicaPool& pool = StateOf(m_state, service).m_pool;
+  decide::ReplicaPool& pool = GetOrCreateService(m_state, service).m_pool;
   auto replica = decide::AcquireSlot(pool, call, Now(), m_state.m_random);
   if (replica) {
-    Place slot;
+    Slot slot;
     slot.m_replica = *replica;
     co_return slot;
   }
@@ -90,14 +93,15 @@
   waiter->m_timer.expires_at(deadline);
   m_waiters[ticket] = waiter;
   Reserve(service, call, deadline);
-  decide::Wait(pool, std::move(call));
+  decide::AddWaitingCall(pool, std::move(call));
   boost::system::error_code ignored;
   co_await waiter->m_timer.async_wait(
       asio::redirect_error(asio::use_awaitable, ignored));
   m_waiters.erase(ticket);
-  if (!waiter->m_place)
-    decide::RemoveWaitingCall(StateOf(m_state, service).m_pool, ticket);
-  co_return waiter->m_place;
+  if (!waiter->m_slot)
+    decide::RemoveWaitingCall(GetOrCreateService(m_state, service).m_pool,
+                              ticket);
+  co_return waiter->m_slot;
 }
 
 void SlotAllocator::Reserve(const std::string& service,
@@ -105,7 +109,7 @@
                             TimePoint deadline) {
   if (m_reservations.contains(call.m_ticket))
     return;
-  const decide::ReplicaPool& pool = StateOf(m_state, service).m_pool;
+  const decide::ReplicaPool& pool = GetOrCreateService(m_state, service).m_pool;
   for (const std::string& replica : decide::ReplicasToWaitAt(
            pool, call, kReservations, Now(), m_state.m_random)) {
     const auto reservation =
@@ -135,19 +139,20 @@
   const auto waiter = ticket == m_ticket_by_reservation.end()
                           ? m_waiters.end()
                           : m_waiters.find(ticket->second);
-  if (waiter == m_waiters.end() || waiter->second->m_place) {
+  if (waiter == m_waiters.end() || waiter->second->m_slot) {
     ReturnUnneededGrant(replica);
     return;
   }
   Waiter& waiting = *waiter->second;
-  decide::ReplicaPool& pool = StateOf(m_state, waiting.m_service).m_pool;
+  decide::ReplicaPool& pool =
+      GetOrCreateService(m_state, waiting.m_service).m_pool;
   if (!decide::AddGrantedSlot(pool, replica, waiting.m_prompt_tokens))
     return;
   decide::RemoveWaitingCall(pool, ticket->second);
-  Place slot;
+  Slot slot;
   slot.m_replica = replica;
   slot.m_granted = true;
-  waiting.m_place = std::move(slot);
+  waiting.m_slot = std::move(slot);
   waiting.m_timer.cancel();
 }
 
@@ -159,7 +164,7 @@
 
 void SlotAllocator::NotifyCalls(const std::string& service,
                                 const std::string& replica) {
-  const decide::ReplicaPool& pool = StateOf(m_state, service).m_pool;
+  const decide::ReplicaPool& pool = GetOrCreateService(m_state, service).m_pool;
   const auto found = pool.m_replicas.find(replica);
   if (found != pool.m_replicas.end() && pool.m_prefill_rate > 0)
     m_on_change(found->second);
@@ -168,7 +173,7 @@
 void SlotAllocator::NotePromptRead(const std::string& service,
                                    const std::string& replica,
                                    uint32_t prompt_tokens) {
-  decide::NotePromptRead(StateOf(m_state, service).m_pool, replica,
+  decide::NotePromptRead(GetOrCreateService(m_state, service).m_pool, replica,
                          prompt_tokens);
   NotifyCalls(service, replica);
 }
@@ -182,7 +187,8 @@
 void SlotAllocator::Release(const std::string& service,
                             const std::string& replica,
                             decide::AttemptEnd end) {
-  decide::Release(StateOf(m_state, service).m_pool, replica, end, Now());
+  decide::ReleaseSlot(GetOrCreateService(m_state, service).m_pool, replica, end,
+                      Now());
   // The target is notified first, as calls of all entries queued there take
   // precedence over calls that wait only at this entry.
   NotifyCalls(service, replica);
@@ -190,20 +196,20 @@
 }
 
 void SlotAllocator::Wake(const std::string& service) {
-  decide::ReplicaPool& pool = StateOf(m_state, service).m_pool;
+  decide::ReplicaPool& pool = GetOrCreateService(m_state, service).m_pool;
   if (pool.m_waiting.empty())
     return;
   for (const decide::StartedCall& start :
        decide::StartWaitingCalls(pool, Now(), m_state.m_random)) {
     const auto found = m_waiters.find(start.m_ticket);
     if (found == m_waiters.end()) {
-      decide::Release(pool, start.m_replica, decide::AttemptEnd::kAbandoned,
-                      Now());
+      decide::ReleaseSlot(pool, start.m_replica, decide::AttemptEnd::kAbandoned,
+                          Now());
       continue;
     }
-    Place slot;
+    Slot slot;
     slot.m_replica = start.m_replica;
-    found->second->m_place = std::move(slot);
+    found->second->m_slot = std::move(slot);
     found->second->m_timer.cancel();
   }
 }
--- a/src/libverbenalead/entry/slot_allocator.h
+++ b/src/libverbenalead/entry/slot_allocator.h
@@ -28,9 +28,9 @@
 
   /// Obtains a slot for `call` and returns the replica of `service`; nothing if
   /// no slot came free until `deadline`, or Cancel() was called for its ticket.
-  Awaitable<std::optional<std::string>> Take(std::string service,
-                                             decide::PoolCall call,
-                                             TimePoint deadline);
+  Awaitable<std::optional<std::string>> Acquire(std::string service,
+                                                decide::PoolCall call,
+                                                TimePoint deadline);
   /// Ends the wait of the call with this ticket without a slot.
   void Cancel(uint64_t ticket);
   uint64_t NewTicket() { return ++m_last_ticket; }
@@ -52,7 +52,7 @@
   struct Waiter;
 
   /// A slot assigned to a call.
-  struct Place {
+  struct Slot {
     std::string m_replica;
     /// The target has granted it. False: it has yet to be requested from the
     /// target.
@@ -61,9 +61,9 @@
 
   /// Takes a slot of the pool that is free by this entry's own view, or waits
   /// until one comes free or a target grants one.
-  Awaitable<std::optional<Place>> AcquireOrWait(std::string service,
-                                                decide::PoolCall call,
-                                                TimePoint deadline);
+  Awaitable<std::optional<Slot>> AcquireOrWait(std::string service,
+                                               decide::PoolCall call,
+                                               TimePoint deadline);
   /// Also queues `call` at targets, which know of free slots sooner.
   void Reserve(const std::string& service,
                const decide::PoolCall& call,
--- a/src/libverbenalead/entry/slot_allocator_test.cc
+++ b/src/libverbenalead/entry/slot_allocator_test.cc
@@ -21,7 +21,7 @@
  public:
   void setUp() override {
     EntryOptions options;
-    options.m_self.m_data_center = "a";
+    options.m_own_address.m_data_center = "a";
     options.m_target_datagram_port = 9;
     m_state = std::make_unique<EntryState>(options);
     m_io = std::make_unique<boost::asio::io_context>();
@@ -29,12 +29,12 @@
         m_io->get_executor(), Endpoint("127.0.0.1", 0));
     m_slot_requester = std::make_unique<SlotRequester>(*m_state, *m_datagrams);
     m_told.clear();
-    m_places = std::make_unique<SlotAllocator>(
+    m_slot_allocator = std::make_unique<SlotAllocator>(
         *m_state, *m_slot_requester,
         [this](const decide::ReplicaState& replica) {
           m_told.push_back(replica.m_replica.m_id);
         });
-    decide::ReplicaPool& pool = StateOf(*m_state, "pool").m_pool;
+    decide::ReplicaPool& pool = GetOrCreateService(*m_state, "pool").m_pool;
     pool.m_prefill_rate = 1000;
     model::Replica replica;
     replica.m_id = "i-1";
@@ -52,15 +52,16 @@
   void WaitingCallGetsTheSlotGrantedByATarget() {
     Take(10s);
     CPPUNIT_ASSERT(!m_done);
-    m_slot_requester->TakeAnswer(Answer(1, false));
+    m_slot_requester->HandleAnswer(Answer(1, false));
     m_io->poll();
     CPPUNIT_ASSERT(!m_done);
-    m_slot_requester->TakeAnswer(Answer(1, true));
+    m_slot_requester->HandleAnswer(Answer(1, true));
     m_io->poll();
     CPPUNIT_ASSERT(m_done);
-    CPPUNIT_ASSERT(m_place == std::string("i-1"));
+    CPPUNIT_ASSERT(m_slot == std::string("i-1"));
     CPPUNIT_ASSERT_EQUAL(1U, Replica().m_in_flight);
-    CPPUNIT_ASSERT(StateOf(*m_state, "pool").m_pool.m_waiting.empty());
+    CPPUNIT_ASSERT(
+        GetOrCreateService(*m_state, "pool").m_pool.m_waiting.empty());
   }
 
   // Guards against a slot that stays unused for a second, because it was
@@ -68,11 +69,11 @@
   // the calls that it really has there.
   void UnneededGrantIsReturned() {
     Take(10s);
-    m_places->Cancel(kTicket);
+    m_slot_allocator->Cancel(kTicket);
     m_io->poll();
-    m_slot_requester->TakeAnswer(Answer(1, true));
+    m_slot_requester->HandleAnswer(Answer(1, true));
     m_io->poll();
-    CPPUNIT_ASSERT(m_done && !m_place);
+    CPPUNIT_ASSERT(m_done && !m_slot);
     CPPUNIT_ASSERT_EQUAL(0U, Replica().m_in_flight);
     CPPUNIT_ASSERT(m_told == std::vector<std::string>({"i-1"}));
   }
@@ -80,9 +81,9 @@
   void WaitEndsAtTheDeadlineWithoutAGrant() {
     Take(1ms);
     m_io->run();
-    CPPUNIT_ASSERT(m_done && !m_place);
+    CPPUNIT_ASSERT(m_done && !m_slot);
     // A late grant is ignored, as no call waits any more.
-    m_slot_requester->TakeAnswer(Answer(1, true));
+    m_slot_requester->HandleAnswer(Answer(1, true));
     CPPUNIT_ASSERT_EQUAL(0U, Replica().m_in_flight);
   }
 
@@ -94,7 +95,7 @@
     call.m_ticket = kTicket;
     call.m_prompt_tokens = 10;
     call.m_read_deadline = Now() + 10s;
-    m_place = co_await m_places->Take("pool", call, Now() + wait);
+    m_slot = co_await m_slot_allocator->Acquire("pool", call, Now() + wait);
     m_done = true;
   }
 
@@ -104,7 +105,7 @@
   }
 
   const decide::ReplicaState& Replica() {
-    return StateOf(*m_state, "pool").m_pool.m_replicas.at("i-1");
+    return GetOrCreateService(*m_state, "pool").m_pool.m_replicas.at("i-1");
   }
 
   /// The target's answer to the first reservation (queued), or the later grant.
@@ -113,10 +114,10 @@
     answer.m_ticket = ticket;
     answer.m_granted = granted;
     answer.m_queued = !granted;
-    answer.m_news.m_replica = "i-1";
-    answer.m_news.m_service = "pool";
-    answer.m_news.m_version = 1;
-    answer.m_news.m_other_entries_calls.m_calls = kSlots;
+    answer.m_update.m_replica = "i-1";
+    answer.m_update.m_service = "pool";
+    answer.m_update.m_version = 1;
+    answer.m_update.m_other_entries_calls.m_calls = kSlots;
     return answer;
   }
 
@@ -124,9 +125,9 @@
   std::unique_ptr<boost::asio::io_context> m_io;
   std::unique_ptr<links::DatagramSocket> m_datagrams;
   std::unique_ptr<SlotRequester> m_slot_requester;
-  std::unique_ptr<SlotAllocator> m_places;
+  std::unique_ptr<SlotAllocator> m_slot_allocator;
   std::vector<std::string> m_told;
-  std::optional<std::string> m_place;
+  std::optional<std::string> m_slot;
   bool m_done = false;
 };
 
--- a/src/libverbenalead/entry/slot_requester.cc
+++ b/src/libverbenalead/entry/slot_requester.cc
@@ -37,10 +37,10 @@
   bool m_granted = false;
 };
 
-Awaitable<bool> SlotRequester::Ask(std::string service,
-                                   std::string replica,
-                                   decide::PoolCall call) {
-  decide::ReplicaPool& pool = StateOf(m_state, service).m_pool;
+Awaitable<bool> SlotRequester::RequestSlot(std::string service,
+                                           std::string replica,
+                                           decide::PoolCall call) {
+  decide::ReplicaPool& pool = GetOrCreateService(m_state, service).m_pool;
   const auto found = pool.m_replicas.find(replica);
   if (pool.m_prefill_rate <= 0 || found == pool.m_replicas.end())
     co_return true;
@@ -73,31 +73,31 @@
                                                const std::string& replica,
                                                const decide::PoolCall& call,
                                                TimePoint until) {
-  const decide::ReplicaPool& pool = StateOf(m_state, service).m_pool;
+  const decide::ReplicaPool& pool = GetOrCreateService(m_state, service).m_pool;
   const auto found = pool.m_replicas.find(replica);
   if (pool.m_prefill_rate <= 0 || found == pool.m_replicas.end() ||
       found->second.m_unresponsive_until > Now())
     return std::nullopt;
   links::SlotRequestMessage request = RequestFor(found->second, call);
-  request.m_wait = until - Now();
+  request.m_max_wait = until - Now();
   const Endpoint target = TargetOf(found->second);
-  m_reserved[request.m_ticket] = {replica, target};
+  m_reservations[request.m_ticket] = {replica, target};
   m_datagrams.Send(target, request);
   return request.m_ticket;
 }
 
 void SlotRequester::Withdraw(uint64_t reservation) {
-  const auto found = m_reserved.find(reservation);
-  if (found == m_reserved.end())
+  const auto found = m_reservations.find(reservation);
+  if (found == m_reservations.end())
     return;
   m_datagrams.Send(found->second.second,
                    links::SlotWithdrawal{found->second.first, reservation});
-  m_reserved.erase(found);
+  m_reservations.erase(found);
 }
 
 std::string SlotRequester::ReplicaOfReservation(uint64_t reservation) const {
-  const auto found = m_reserved.find(reservation);
-  return found == m_reserved.end() ? "" : found->second.first;
+  const auto found = m_reservations.find(reservation);
+  return found == m_reservations.end() ? "" : found->second.first;
 }
 
 Endpoint SlotRequester::TargetOf(const decide::ReplicaState& replica) const {
@@ -121,19 +121,19 @@
   return request;
 }
 
-void SlotRequester::TakeAnswer(const links::SlotAnswer& answer) {
-  TakeNews(m_state, answer.m_news, Now());
-  if (m_reserved.contains(answer.m_ticket)) {
+void SlotRequester::HandleAnswer(const links::SlotAnswer& answer) {
+  ApplyUpdate(m_state, answer.m_update, Now());
+  if (m_reservations.contains(answer.m_ticket)) {
     if (answer.m_granted && m_granted)
       m_granted(answer.m_ticket);
     if (!answer.m_queued)
-      m_reserved.erase(answer.m_ticket);
+      m_reservations.erase(answer.m_ticket);
     return;
   }
   const auto found = m_pending_requests.find(answer.m_ticket);
   if (found == m_pending_requests.end()) {
     if (answer.m_granted && m_on_unneeded_grant)
-      m_on_unneeded_grant(answer.m_news.m_replica);
+      m_on_unneeded_grant(answer.m_update.m_replica);
     return;
   }
   found->second->m_answered = true;
--- a/src/libverbenalead/entry/slot_requester.h
+++ b/src/libverbenalead/entry/slot_requester.h
@@ -31,9 +31,9 @@
   /// doesn't answer, its replica stays in use: the result is true, as this
   /// entry has already chosen the replica by its own view, and no requests are
   /// sent to the target for a while.
-  Awaitable<bool> Ask(std::string service,
-                      std::string replica,
-                      decide::PoolCall call);
+  Awaitable<bool> RequestSlot(std::string service,
+                              std::string replica,
+                              decide::PoolCall call);
   /// Queues `call` at the target of `replica` until `until`. Returns the id
   /// that a grant will carry, or nothing if the call cannot be queued there.
   std::optional<uint64_t> Reserve(const std::string& service,
@@ -46,16 +46,16 @@
   /// a target grants a slot to a queued call; `unwanted` is called with the
   /// replica when a target grants a slot for which no call waits any more.
   void SetGrantHandlers(
-      std::function<void(uint64_t reservation)> granted,
-      std::function<void(const std::string& replica)> unwanted) {
-    m_granted = std::move(granted);
-    m_on_unneeded_grant = std::move(unwanted);
+      std::function<void(uint64_t reservation)> on_granted,
+      std::function<void(const std::string& replica)> on_unneeded_grant) {
+    m_granted = std::move(on_granted);
+    m_on_unneeded_grant = std::move(on_unneeded_grant);
   }
   /// Replica of a reservation; empty: it was withdrawn or has ended.
   std::string ReplicaOfReservation(uint64_t reservation) const;
 
-  /// Handles a target's answer to Ask() or Reserve(), or a later grant.
-  void TakeAnswer(const links::SlotAnswer& answer);
+  /// Handles a target's answer to RequestSlot() or Reserve(), or a later grant.
+  void HandleAnswer(const links::SlotAnswer& answer);
 
  private:
   struct PendingRequest;
@@ -68,10 +68,10 @@
   EntryState& m_state;
   links::DatagramSocket& m_datagrams;
   uint64_t m_last_ticket = 0;
-  /// Requests of Ask() that wait for an answer, by ticket.
+  /// Requests of RequestSlot() that wait for an answer, by ticket.
   std::map<uint64_t, std::shared_ptr<PendingRequest>> m_pending_requests;
   /// Replica and target of the calls queued at targets, by reservation.
-  std::map<uint64_t, std::pair<std::string, Endpoint>> m_reserved;
+  std::map<uint64_t, std::pair<std::string, Endpoint>> m_reservations;
   std::function<void(uint64_t)> m_granted;
   std::function<void(const std::string&)> m_on_unneeded_grant;
 };
--- a/src/libverbenalead/entry/summary.cc
+++ b/src/libverbenalead/entry/summary.cc
@@ -9,7 +9,7 @@
 namespace {
 
 const std::string& OwnDataCenter(const EntryState& state) {
-  return state.m_options.m_self.m_data_center;
+  return state.m_options.m_own_address.m_data_center;
 }
 
 links::EntrySummary EntrySummaryOf(const model::EntryAddress& address,
@@ -27,7 +27,7 @@
   summary.m_calls.m_calls = replica.m_in_flight + replica.m_other_entries_calls;
   summary.m_calls.m_unread_tokens =
       replica.m_unread_tokens + replica.m_other_entries_unread_tokens;
-  summary.m_waiting = replica.m_waiting;
+  summary.m_queued_calls = replica.m_queued_calls;
   return summary;
 }
 
@@ -37,9 +37,9 @@
 std::vector<links::EntrySummary> EntriesOf(const EntryState& state,
                                            TimePoint now) {
   std::vector<links::EntrySummary> entries = {
-      EntrySummaryOf(state.m_options.m_self, IsReady(state))};
+      EntrySummaryOf(state.m_options.m_own_address, IsReady(state))};
   for (const auto& [host, peer] : state.m_peers) {
-    if (IsNear(state, peer) && IsHeard(state, peer, now))
+    if (IsInSameDataCenter(state, peer) && HasRecentUpdate(state, peer, now))
       entries.push_back(EntrySummaryOf(peer.m_address, peer.m_ready));
   }
   return entries;
@@ -85,8 +85,8 @@
     update.m_other_entries_calls.m_unread_tokens =
         summary.m_calls.m_unread_tokens -
         std::min(summary.m_calls.m_unread_tokens, replica.m_unread_tokens);
-    update.m_waiting = summary.m_waiting;
-    TakeNews(state, update, now);
+    update.m_queued_calls = summary.m_queued_calls;
+    ApplyUpdate(state, update, now);
     return;
   }
 }
@@ -98,7 +98,7 @@
   std::vector<decide::SummaryPeer> peers;
   for (const auto& [host, peer] : state.m_peers) {
     peers.push_back({host, peer.m_address.m_data_center,
-                     IsHeard(state, peer, now), peer.m_ready});
+                     HasRecentUpdate(state, peer, now), peer.m_ready});
   }
   return peers;
 }
@@ -106,7 +106,7 @@
 links::DataCenterSummary SummaryOf(const EntryState& state, TimePoint now) {
   links::DataCenterSummary summary;
   summary.m_data_center = OwnDataCenter(state);
-  summary.m_sender = state.m_options.m_self.m_host;
+  summary.m_sender = state.m_options.m_own_address.m_host;
   summary.m_operator_revision = state.m_operator_revision;
   summary.m_operator_confirmed_at = StoreProofOf(state);
   summary.m_entries = EntriesOf(state, now);
@@ -137,7 +137,8 @@
   // Two summaries that pass through different relays may arrive in either
   // order.
   LastSummary& last = state.m_summaries[summary.m_data_center];
-  if (last.m_sender == summary.m_sender && summary.m_number <= last.m_number)
+  if (last.m_sender == summary.m_sender &&
+      summary.m_sequence <= last.m_sequence)
     return false;
   if (last.m_sender != summary.m_sender) {
     LogLine("summary_sender")
@@ -146,7 +147,7 @@
         .With("before", last.m_sender)
         .Info();
   }
-  last = {summary.m_sender, summary.m_number};
+  last = {summary.m_sender, summary.m_sequence};
   ApplyEntries(state, summary, now);
   ApplyPeerProof(state, summary.m_operator_revision,
                  summary.m_operator_confirmed_at);
--- a/src/libverbenalead/entry/summary_sender.cc
+++ b/src/libverbenalead/entry/summary_sender.cc
@@ -27,12 +27,12 @@
                              links::DatagramSocket& datagrams)
     : m_state(state),
       m_datagrams(datagrams),
-      m_number(static_cast<uint64_t>(ToMilliseconds(BootNow()))) {}
+      m_sequence(static_cast<uint64_t>(ToMilliseconds(BootNow()))) {}
 
-void SummarySender::Tell() {
+void SummarySender::SendIfDue() {
   const TimePoint now = Now();
   const std::vector<decide::SummaryPeer> peers = ToSummaryPeers(m_state, now);
-  const model::EntryAddress& self = m_state.m_options.m_self;
+  const model::EntryAddress& self = m_state.m_options.m_own_address;
   const bool is_sender_now =
       IsReady(m_state) &&
       decide::IsSummarySender(self.m_host, self.m_data_center, peers);
@@ -43,25 +43,26 @@
   if (!is_sender_now || now - m_sent_at < decide::kLoadChangeSummaryInterval)
     return;
   links::DataCenterSummary summary = SummaryOf(m_state, now);
-  const bool changed = HasLoadChange(m_told, summary.m_replicas);
+  const bool changed = HasLoadChange(m_last_sent, summary.m_replicas);
   if (!decide::IsSummaryDue(m_sent_at, changed, now))
     return;
   m_sent_at = now;
-  summary.m_number = ++m_number;
+  summary.m_sequence = ++m_sequence;
   for (const std::string& host :
        decide::SummaryRecipients(self.m_data_center, peers, m_state.m_random)) {
     m_datagrams.Send(m_state.m_peers.at(host).m_address.m_peers, summary);
   }
-  m_told = std::move(summary.m_replicas);
+  m_last_sent = std::move(summary.m_replicas);
 }
 
-void SummarySender::Take(const links::DataCenterSummary& summary) {
+void SummarySender::HandleSummary(const links::DataCenterSummary& summary) {
   if (!ApplySummary(m_state, summary, Now()) || summary.m_relayed)
     return;
   links::DataCenterSummary relayed = summary;
   relayed.m_relayed = true;
   for (const auto& [host, peer] : m_state.m_peers) {
-    if (IsNear(m_state, peer) && IsHeard(m_state, peer, Now()))
+    if (IsInSameDataCenter(m_state, peer) &&
+        HasRecentUpdate(m_state, peer, Now()))
       m_datagrams.Send(peer.m_address.m_peers, relayed);
   }
 }
--- a/src/libverbenalead/entry/summary_sender.h
+++ b/src/libverbenalead/entry/summary_sender.h
@@ -18,9 +18,9 @@
 
   /// Sends a summary if this entry sends them for its data centre and one is
   /// due. Called every kUpdateSendInterval.
-  void Tell();
+  void SendIfDue();
   /// Applies a summary, and relays it if it came directly from its sender.
-  void Take(const links::DataCenterSummary& summary);
+  void HandleSummary(const links::DataCenterSummary& summary);
   /// Whether this entry sends summaries for its data centre.
   bool is_sender() const { return m_is_sender; }
 
@@ -31,10 +31,10 @@
   /// Sequence number of the last summary. It starts at the clock's
   /// milliseconds, so that it keeps rising over a restart of this process;
   /// receivers would otherwise drop the new summaries as old.
-  uint64_t m_number;
+  uint64_t m_sequence;
   TimePoint m_sent_at{};
   /// The replicas of the last summary, to detect changed weights and loads.
-  std::vector<links::ReplicaSummary> m_told;
+  std::vector<links::ReplicaSummary> m_last_sent;
 };
 
 }  // namespace verbenalead::entry
--- a/src/libverbenalead/entry/summary_test.cc
+++ b/src/libverbenalead/entry/summary_test.cc
@@ -30,8 +30,8 @@
 std::unique_ptr<EntryState> Entry(const std::string& host,
                                   const std::string& data_center) {
   EntryOptions options;
-  options.m_self = {host, data_center, Endpoint("10.0.0.1", 80),
-                    Endpoint("10.0.0.1", 81)};
+  options.m_own_address = {host, data_center, Endpoint("10.0.0.1", 80),
+                           Endpoint("10.0.0.1", 81)};
   options.m_key_bound = 5s;
   auto state = std::make_unique<EntryState>(options);
   model::RoutingConfig config;
@@ -43,7 +43,7 @@
   state->m_replicas_known = true;
   state->m_operator_revision = 5;
   state->m_store_clock.m_offset = Duration();
-  decide::SetReplicas(StateOf(*state, kService).m_pool,
+  decide::SetReplicas(GetOrCreateService(*state, kService).m_pool,
                       {Replica("i-a", "a"), Replica("i-b", "b")}, TimePoint(),
                       Now());
   return state;
@@ -73,7 +73,7 @@
 
   bool SendSummary(uint64_t number) {
     links::DataCenterSummary summary = SummaryOf(*m_sender, Now());
-    summary.m_number = number;
+    summary.m_sequence = number;
     return ApplySummary(*m_receiver, summary, Now());
   }
 
@@ -111,7 +111,7 @@
   void OlderSummaryIsIgnored() {
     At(*m_sender, "i-a").m_weights = 1;
     links::DataCenterSummary older = SummaryOf(*m_sender, Now());
-    older.m_number = 1;
+    older.m_sequence = 1;
     At(*m_sender, "i-a").m_weights = 2;
     CPPUNIT_ASSERT(SendSummary(2));
     CPPUNIT_ASSERT(!ApplySummary(*m_receiver, older, Now()));
@@ -119,7 +119,7 @@
     CPPUNIT_ASSERT_EQUAL(uint64_t{2}, At(*m_receiver, "i-a").m_weights);
     // A summary of the receiver's own data centre is ignored too.
     older.m_data_center = "b";
-    older.m_number = 9;
+    older.m_sequence = 9;
     CPPUNIT_ASSERT(!ApplySummary(*m_receiver, older, Now()));
   }
 
@@ -148,9 +148,9 @@
     update.m_address = {"a2", "a", Endpoint("10.0.0.2", 80),
                         Endpoint("10.0.0.2", 81)};
     update.m_crashes = {{5, "i-1/7", TimePoint()}, {5, "i-2/7", TimePoint()}};
-    TakeNews(*m_sender, update, Now());
+    ApplyUpdate(*m_sender, update, Now());
     update.m_crashes.push_back({5, "i-3/7", TimePoint()});
-    TakeNews(*m_sender, update, Now());
+    ApplyUpdate(*m_sender, update, Now());
     CPPUNIT_ASSERT_EQUAL(size_t{3},
                          SummaryOf(*m_sender, Now()).m_crashes.size());
     CPPUNIT_ASSERT(!decide::IsQuarantined(m_receiver->m_crashes, 5, Now()));
@@ -167,12 +167,12 @@
                         Endpoint("10.0.0.2", 81)};
     for (uint64_t request = 0; request < 5000; ++request)
       update.m_crashes.push_back({request, "i-1/1790000000000", TimePoint()});
-    TakeNews(*m_sender, update, Now());
+    ApplyUpdate(*m_sender, update, Now());
     m_sender->m_own_crashes = update.m_crashes;
     m_sender->m_own_crashes.push_back({7777, "i-2/7", Now() + 1s});
     CPPUNIT_ASSERT(links::EncodeMessage(SummaryOf(*m_sender, Now())).size() <
                    kMaxDatagramBytes);
-    CPPUNIT_ASSERT(links::EncodeMessage(NewsOf(*m_sender)).size() <
+    CPPUNIT_ASSERT(links::EncodeMessage(MakeEntryUpdate(*m_sender)).size() <
                    kMaxDatagramBytes);
     CPPUNIT_ASSERT_EQUAL(uint64_t{7777},
                          SummaryOf(*m_sender, Now()).m_crashes.back().m_key);
@@ -202,7 +202,7 @@
     update.m_address = {"b2", "b", Endpoint("10.0.0.2", 80),
                         Endpoint("10.0.0.2", 81)};
     update.m_remote_entries = 78;
-    TakeNews(*m_receiver, update, Now());
+    ApplyUpdate(*m_receiver, update, Now());
     CPPUNIT_ASSERT(MaxExistingEntries(*m_receiver) >= 80);
     CPPUNIT_ASSERT(MaxExistingEntries(*m_receiver) < 100);
   }
--- a/src/libverbenalead/entry/update_sender.cc
+++ b/src/libverbenalead/entry/update_sender.cc
@@ -16,7 +16,7 @@
 /// The share of the slots of usable replicas that is in use.
 uint32_t UsedSlotsPercent(const decide::ReplicaPool& pool) {
   const decide::PoolLoad load = decide::LoadOf(pool, Now());
-  return load.m_places == 0 ? 100 : 100 * load.m_used_slots / load.m_places;
+  return load.m_slots == 0 ? 100 : 100 * load.m_used_slots / load.m_slots;
 }
 
 }  // namespace
@@ -44,7 +44,7 @@
 
 void UpdateSender::NotifyEntries(bool took_over) {
   const bool crashes = CollectOwnCrashes(m_state, Now());
-  links::EntryUpdate update = NewsOf(m_state);
+  links::EntryUpdate update = MakeEntryUpdate(m_state);
   ++m_update_rounds;
   const bool changed = update.m_ready != m_last_update.m_ready || crashes;
   const bool store_lost = update.m_operator_confirmed_at == Duration() &&
@@ -59,20 +59,20 @@
 }
 
 void UpdateSender::NotifyAllEntries() {
-  Broadcast(NewsOf(m_state));
+  Broadcast(MakeEntryUpdate(m_state));
 }
 
 void UpdateSender::NotifyStartingEntry(const links::EntryUpdate& update) {
-  const bool same_data_center =
-      update.m_address.m_data_center == m_state.m_options.m_self.m_data_center;
+  const bool same_data_center = update.m_address.m_data_center ==
+                                m_state.m_options.m_own_address.m_data_center;
   if (same_data_center && update.m_operator_revision == 0 &&
       m_state.m_operator_revision > 0)
-    m_datagrams.Send(update.m_address.m_peers, NewsOf(m_state));
+    m_datagrams.Send(update.m_address.m_peers, MakeEntryUpdate(m_state));
 }
 
 void UpdateSender::Broadcast(const links::EntryUpdate& update) {
   for (const auto& [host, peer] : m_state.m_peers) {
-    if (IsNear(m_state, peer))
+    if (IsInSameDataCenter(m_state, peer))
       m_datagrams.Send(peer.m_address.m_peers, update);
   }
 }
@@ -95,9 +95,10 @@
       request.m_used_slots_percent = fullness;
       request.m_weights_revision = m_state.m_weights_revision;
       request.m_replicas_hash = m_state.m_replicas_hash;
-      request.m_near = replica.m_replica.m_data_center ==
-                       m_state.m_options.m_self.m_data_center;
-      if (request.m_near == same_data_center)
+      request.m_same_data_center =
+          replica.m_replica.m_data_center ==
+          m_state.m_options.m_own_address.m_data_center;
+      if (request.m_same_data_center == same_data_center)
         m_datagrams.Send(TargetOf(replica), request);
     }
   }
--- a/src/libverbenalead/front/committed_change.h
+++ b/src/libverbenalead/front/committed_change.h
@@ -16,7 +16,7 @@
   /// Number of other entries. If there are some but none of them has received
   /// the change, the loss of this entry hides the change until the table is
   /// read again.
-  size_t m_others = 0;
+  size_t m_other_entries = 0;
 
   friend bool operator==(const CommittedChange&,
                          const CommittedChange&) = default;
--- a/src/libverbenalead/front/operators_api.cc
+++ b/src/libverbenalead/front/operators_api.cc
@@ -144,7 +144,8 @@
   body["held_by"] = accepted->m_received_by;
   // 202: the change is committed, but only this entry has it until the table is
   // read again.
-  const bool hidden = accepted->m_received_by == 0 && accepted->m_others > 0;
+  const bool hidden =
+      accepted->m_received_by == 0 && accepted->m_other_entries > 0;
   co_return wire::JsonResponse(hidden ? 202 : 200,
                                json::serialize(body) + "\n");
 }
--- a/src/libverbenalead/http/client.cc
+++ b/src/libverbenalead/http/client.cc
@@ -43,14 +43,14 @@
 }
 
 /// The idle connections of one thread, by endpoint.
-class Pool : public asio::execution_context::service {
+class IdleConnections : public asio::execution_context::service {
  public:
   static inline asio::execution_context::id id;
 
-  explicit Pool(asio::execution_context& context)
+  explicit IdleConnections(asio::execution_context& context)
       : asio::execution_context::service(context) {}
 
-  Stream Take(const Endpoint& endpoint) {
+  Stream Acquire(const Endpoint& endpoint) {
     auto& idle = m_idle[endpoint];
     while (!idle.empty()) {
       Stream stream = std::move(idle.back());
@@ -61,7 +61,7 @@
     return nullptr;
   }
 
-  void Give(const Endpoint& endpoint, Stream stream) {
+  void Release(const Endpoint& endpoint, Stream stream) {
     auto& idle = m_idle[endpoint];
     if (idle.size() < kMaxIdle)
       idle.push_back(std::move(stream));
@@ -85,8 +85,8 @@
   std::map<Endpoint, std::vector<Stream>> m_idle;
 };
 
-Pool& PoolOf(const asio::any_io_executor& executor) {
-  return asio::use_service<Pool>(
+IdleConnections& PoolOf(const asio::any_io_executor& executor) {
+  return asio::use_service<IdleConnections>(
       asio::query(executor, asio::execution::context));
 }
 
@@ -96,7 +96,7 @@
  public:
   /// `no_body` must be true for the answer to HEAD, whose Content-Length is not
   /// followed by a body.
-  Reader(Pool& pool,
+  Reader(IdleConnections& pool,
          Endpoint endpoint,
          std::string step,
          std::unique_ptr<Socket> stream,
@@ -178,12 +178,12 @@
       if (m_reuse_connections && m_parser.get().keep_alive() &&
           m_buffer.size() == 0 && m_stream) {
         m_stream->expires_never();
-        m_pool.Give(m_endpoint, std::move(m_stream));
+        m_pool.Release(m_endpoint, std::move(m_stream));
       }
     }
   }
 
-  Pool& m_pool;
+  IdleConnections& m_pool;
   Endpoint m_endpoint;
   std::string m_step;
   std::unique_ptr<Socket> m_stream;
@@ -238,7 +238,7 @@
     wire::Request request,
     TimePoint deadline,
     bool keep) {
-  Pool& pool = PoolOf(co_await asio::this_coro::executor);
+  IdleConnections& pool = PoolOf(co_await asio::this_coro::executor);
   const std::string step = request.m_method + " " + wire::PathOf(request);
   const bool no_body = request.m_method == "HEAD";
   const auto message = MessageFor(endpoint, std::move(request));
@@ -306,7 +306,7 @@
   }
   Stream stream;
   if (m_options.m_reuse_connections)
-    stream = PoolOf(executor).Take(endpoint);
+    stream = PoolOf(executor).Acquire(endpoint);
   if (!stream) {
     TimePoint connect_by = deadline;
     if (m_options.m_connect_timeout > Duration())
--- a/src/libverbenalead/http/disconnect_monitor.cc
+++ b/src/libverbenalead/http/disconnect_monitor.cc
@@ -18,13 +18,13 @@
 
 }  // namespace
 
-void DisconnectMonitor::Begin(std::function<void()> on_disconnect) {
+void DisconnectMonitor::Start(std::function<void()> on_disconnect) {
   m_on_disconnect = std::move(on_disconnect);
-  if (!m_armed)
+  if (!m_wait_pending)
     WaitForReadable();
 }
 
-void DisconnectMonitor::End() {
+void DisconnectMonitor::Stop() {
   m_on_disconnect = nullptr;
 }
 
@@ -35,30 +35,30 @@
 }
 
 void DisconnectMonitor::WaitForReadable() {
-  m_armed = true;
+  m_wait_pending = true;
   m_socket.async_wait(
       boost::asio::ip::tcp::socket::wait_read,
       [self = shared_from_this()](const boost::system::error_code& error) {
-        self->m_armed = false;
+        self->m_wait_pending = false;
         if (!error)
-          self->Look();
+          self->CheckState();
       });
 }
 
-void DisconnectMonitor::Look() {
+void DisconnectMonitor::CheckState() {
   if (m_detached || !m_on_disconnect)
     return;
   if (IsDisconnected()) {
     std::exchange(m_on_disconnect, nullptr)();
     return;
   }
-  m_armed = true;
+  m_wait_pending = true;
   m_timer.expires_after(kPollInterval);
   m_timer.async_wait(
       [self = shared_from_this()](const boost::system::error_code& error) {
-        self->m_armed = false;
+        self->m_wait_pending = false;
         if (!error)
-          self->Look();
+          self->CheckState();
       });
 }
 
--- a/src/libverbenalead/http/disconnect_monitor.h
+++ b/src/libverbenalead/http/disconnect_monitor.h
@@ -19,21 +19,21 @@
       : m_socket(socket), m_timer(socket.get_executor()) {}
 
   /// Calls `on_disconnect` once if the caller closes its connection before
-  /// End().
-  void Begin(std::function<void()> on_disconnect);
-  void End();
+  /// Stop().
+  void Start(std::function<void()> on_disconnect);
+  void Stop();
   /// Must be called before the socket is destroyed.
   void Detach();
 
  private:
   void WaitForReadable();
-  void Look();
+  void CheckState();
   bool IsDisconnected();
 
   boost::asio::ip::tcp::socket& m_socket;
   boost::asio::steady_timer m_timer;
   std::function<void()> m_on_disconnect;
-  bool m_armed = false;
+  bool m_wait_pending = false;
   bool m_detached = false;
 };
 
--- a/src/libverbenalead/http/http1_writer.h
+++ b/src/libverbenalead/http/http1_writer.h
@@ -77,7 +77,7 @@
     co_return Note(error, true);
   }
 
-  bool gone() const override { return m_disconnected; }
+  bool disconnected() const override { return m_disconnected; }
 
   void OnDisconnect(std::function<void()> function) override {
     if (function && m_disconnected)
--- a/src/libverbenalead/http/server.cc
+++ b/src/libverbenalead/http/server.cc
@@ -27,8 +27,10 @@
 /// Counts one request as in progress during the lifetime of the object.
 class BusyGuard {
  public:
-  explicit BusyGuard(ServerState& state) : m_state(state) { ++m_state.m_busy; }
-  ~BusyGuard() { --m_state.m_busy; }
+  explicit BusyGuard(ServerState& state) : m_state(state) {
+    ++m_state.m_requests_in_progress;
+  }
+  ~BusyGuard() { --m_state.m_requests_in_progress; }
 
   BusyGuard(const BusyGuard&) = delete;
   BusyGuard& operator=(const BusyGuard&) = delete;
@@ -89,7 +91,7 @@
       .With("peer", peer)
       .With("reason", error.message())
       .Warn();
-  Http1Writer<Stream> writer(stream, state.limits().m_idle,
+  Http1Writer<Stream> writer(stream, state.limits().m_idle_timeout,
                              [] { return false; });
   co_await writer.Send(ProblemFor(error));
   // TCP resets a connection that is closed with unread bytes, and the caller
@@ -129,7 +131,7 @@
                              std::string peer,
                              DisconnectMonitor& monitor) {
   const ServerLimits limits = state->limits();
-  beast::get_lowest_layer(stream).expires_after(limits.m_request);
+  beast::get_lowest_layer(stream).expires_after(limits.m_request_timeout);
   Parser parser;
   parser.header_limit(limits.m_max_header);
   parser.body_limit(limits.m_max_body);
@@ -146,11 +148,11 @@
   auto keep_alive = [state, client_keeps_alive] {
     return client_keeps_alive && !state->m_draining;
   };
-  Http1Writer<Stream> writer(stream, limits.m_idle, keep_alive);
+  Http1Writer<Stream> writer(stream, limits.m_idle_timeout, keep_alive);
   beast::get_lowest_layer(stream).expires_never();
-  monitor.Begin([&writer] { writer.RecordDisconnect(); });
+  monitor.Start([&writer] { writer.RecordDisconnect(); });
   co_await state->m_handler(request, writer);
-  monitor.End();
+  monitor.Stop();
   co_return writer.finished() && writer.kept_alive();
 }
 
@@ -167,7 +169,7 @@
   beast::flat_buffer buffer;
   bool more = true;
   while (more) {
-    tcp_layer.expires_after(state->limits().m_idle);
+    tcp_layer.expires_after(state->limits().m_idle_timeout);
     if (!co_await AwaitRequest(stream, buffer))
       break;
     connection->set_idle(false);
@@ -237,8 +239,8 @@
   m_state->m_draining = true;
 }
 
-int Server::busy() const {
-  return m_state->m_busy;
+int Server::requests_in_progress() const {
+  return m_state->m_requests_in_progress;
 }
 
 }  // namespace verbenalead::http
--- a/src/libverbenalead/http/server.h
+++ b/src/libverbenalead/http/server.h
@@ -37,7 +37,7 @@
   void Drain();
   /// Number of requests in progress, from their first byte to the last byte of
   /// the answer.
-  int busy() const;
+  int requests_in_progress() const;
 
  private:
   std::shared_ptr<ServerState> m_state;
--- a/src/libverbenalead/http/server_limits.h
+++ b/src/libverbenalead/http/server_limits.h
@@ -16,9 +16,9 @@
   uint64_t m_max_body = 4 * 1024 * 1024;
   /// How long a connection may be idle between requests, and how long writing
   /// an answer may make no progress.
-  Duration m_idle = 60s;
+  Duration m_idle_timeout = 60s;
   /// How long it may take to receive a request, from its first byte.
-  Duration m_request = 60s;
+  Duration m_request_timeout = 60s;
 };
 
 }  // namespace verbenalead::http
--- a/src/libverbenalead/http/server_state.h
+++ b/src/libverbenalead/http/server_state.h
@@ -38,7 +38,7 @@
   std::atomic<bool> m_draining{false};
   /// Number of requests of which a byte has been read and whose answer is not
   /// completely written.
-  std::atomic<int> m_busy{0};
+  std::atomic<int> m_requests_in_progress{0};
 
  private:
   mutable std::mutex m_mutex;
--- a/src/libverbenalead/links/data_center_summary.h
+++ b/src/libverbenalead/links/data_center_summary.h
@@ -21,7 +21,7 @@
   /// number: of two summaries by the same entry, the one with the higher number
   /// is newer.
   std::string m_sender;
-  uint64_t m_number = 0;
+  uint64_t m_sequence = 0;
   /// Set on the copies that the first recipient forwards to the other entries
   /// of its data centre; these copies aren't forwarded again.
   bool m_relayed = false;
--- a/src/libverbenalead/links/message.cc
+++ b/src/libverbenalead/links/message.cc
@@ -69,8 +69,8 @@
     object["closing"] = true;
   if (update.m_loading)
     object["loading"] = true;
-  if (update.m_waiting > 0)
-    object["waiting"] = update.m_waiting;
+  if (update.m_queued_calls > 0)
+    object["waiting"] = update.m_queued_calls;
   return object;
 }
 
@@ -89,16 +89,16 @@
           {"host", report.m_host},
           {"model", update.m_model},
           {"version", update.m_version},
-          {"under_way",
-           json::array(report.m_under_way.begin(), report.m_under_way.end())},
+          {"under_way", json::array(report.m_in_progress.begin(),
+                                    report.m_in_progress.end())},
           {"drawn", json::array(report.m_origin_fetched.begin(),
                                 report.m_origin_fetched.end())}};
 }
 
 json::object Encode(const SubscriptionRequest& request) {
   return {{"kind", kFollow},
-          {"chunks", request.m_chunks},
-          {"near", request.m_near},
+          {"chunks", request.m_wants_chunks},
+          {"near", request.m_same_data_center},
           {"revision", request.m_weights_revision},
           {"replicas", std::to_string(request.m_replicas_hash)},
           {"fullness", request.m_used_slots_percent}};
@@ -111,12 +111,12 @@
           {"tokens", request.m_prompt_tokens},
           {"fresh", request.m_can_be_on_time},
           {"read_ms", ToMilliseconds(request.m_read_within)},
-          {"wait_ms", ToMilliseconds(request.m_wait)},
+          {"wait_ms", ToMilliseconds(request.m_max_wait)},
           {"calls", EncodeCalls(request.m_calls)}};
 }
 
 json::object Encode(const SlotAnswer& answer) {
-  json::object object = Encode(answer.m_news);
+  json::object object = Encode(answer.m_update);
   object["kind"] = kSlotAnswer;
   object["ticket"] = answer.m_ticket;
   object["granted"] = answer.m_granted;
@@ -138,9 +138,10 @@
 
 Result<SubscriptionRequest> DecodeFollow(const json::object& object) {
   SubscriptionRequest request;
-  BOOST_LEAF_ASSIGN(request.m_chunks,
+  BOOST_LEAF_ASSIGN(request.m_wants_chunks,
                     model::FlagFieldOr(object, "chunks", false));
-  BOOST_LEAF_ASSIGN(request.m_near, model::FlagFieldOr(object, "near", false));
+  BOOST_LEAF_ASSIGN(request.m_same_data_center,
+                    model::FlagFieldOr(object, "near", false));
   BOOST_LEAF_ASSIGN(request.m_weights_revision,
                     model::NumberFieldOr(object, "revision", 0));
   BOOST_LEAF_AUTO(hash, model::TextFieldOr(object, "replicas", "0"));
@@ -205,7 +206,7 @@
   BOOST_LEAF_ASSIGN(update.m_other_entries_calls,
                     DecodeCalls(object, "elsewhere"));
   BOOST_LEAF_AUTO(waiting, model::NumberFieldOr(object, "waiting", 0));
-  update.m_waiting = static_cast<uint32_t>(waiting);
+  update.m_queued_calls = static_cast<uint32_t>(waiting);
   return update;
 }
 
@@ -218,7 +219,7 @@
   BOOST_LEAF_ASSIGN(request.m_can_be_on_time,
                     model::FlagFieldOr(object, "fresh", true));
   BOOST_LEAF_ASSIGN(request.m_read_within, TimeField(object, "read_ms"));
-  BOOST_LEAF_ASSIGN(request.m_wait, TimeField(object, "wait_ms"));
+  BOOST_LEAF_ASSIGN(request.m_max_wait, TimeField(object, "wait_ms"));
   BOOST_LEAF_ASSIGN(request.m_calls, DecodeCalls(object, "calls"));
   return request;
 }
@@ -230,7 +231,7 @@
                     model::FlagFieldOr(object, "granted", false));
   BOOST_LEAF_ASSIGN(answer.m_queued,
                     model::FlagFieldOr(object, "queued", false));
-  BOOST_LEAF_ASSIGN(answer.m_news, DecodeReplica(object));
+  BOOST_LEAF_ASSIGN(answer.m_update, DecodeReplica(object));
   return answer;
 }
 
@@ -271,7 +272,7 @@
   BOOST_LEAF_ASSIGN(update.m_version, model::NumberField(object, "version"));
   decide::OriginFetchReport& report = update.m_report;
   BOOST_LEAF_ASSIGN(report.m_host, model::TextField(object, "host"));
-  BOOST_LEAF_ASSIGN(report.m_under_way, ChunksField(object, "under_way"));
+  BOOST_LEAF_ASSIGN(report.m_in_progress, ChunksField(object, "under_way"));
   BOOST_LEAF_ASSIGN(report.m_origin_fetched, ChunksField(object, "drawn"));
   return update;
 }
--- a/src/libverbenalead/links/message_test.cc
+++ b/src/libverbenalead/links/message_test.cc
@@ -31,7 +31,7 @@
     DataCenterSummary summary;
     summary.m_data_center = "a";
     summary.m_sender = "e1";
-    summary.m_number = 77;
+    summary.m_sequence = 77;
     summary.m_relayed = true;
     summary.m_operator_revision = 5;
     summary.m_operator_confirmed_at = 1234ms;
@@ -48,7 +48,7 @@
     replica.m_closing = true;
     replica.m_loading = true;
     replica.m_other_entries_calls = {5, 900};
-    replica.m_waiting = 3;
+    replica.m_queued_calls = 3;
     const Message messages[] = {
         entry,
         entry_with_count,
--- a/src/libverbenalead/links/poll_schedule.h
+++ b/src/libverbenalead/links/poll_schedule.h
@@ -9,7 +9,7 @@
 /// each request, since it depends on who else reads the table.
 struct PollSchedule {
   /// How long the store may hold a request (long poll) until the table changes.
-  Duration m_wait{};
+  Duration m_long_poll{};
   /// Least time between the starts of two requests; TableFollower::PollNow()
   /// cuts it short.
   Duration m_interval{};
@@ -18,7 +18,7 @@
   Duration m_retry_pause{};
   /// Send no request for now, for example because another process is likely to
   /// send the rows.
-  bool m_hold = false;
+  bool m_paused = false;
 
   friend bool operator==(const PollSchedule&, const PollSchedule&) = default;
 };
--- a/src/libverbenalead/links/relayed_rows.cc
+++ b/src/libverbenalead/links/relayed_rows.cc
@@ -83,7 +83,7 @@
   wire::Headers headers = {{"content-type", "application/json"},
                            {kEncoding, kDeflate},
                            {kProof, TimeText(facts.m_confirmed_at)},
-                           {kSentAt, TimeText(facts.m_told_at)}};
+                           {kSentAt, TimeText(facts.m_sent_at)}};
   if (facts.m_store_regained_ago)
     headers[kRegainedAgo] = TimeText(*facts.m_store_regained_ago);
   return headers;
@@ -92,7 +92,7 @@
 RelayMetadata DecodeRelayMetadata(const wire::Headers& headers) {
   RelayMetadata facts;
   facts.m_confirmed_at = TimeField(headers, kProof).value_or(Duration());
-  facts.m_told_at = TimeField(headers, kSentAt).value_or(Duration());
+  facts.m_sent_at = TimeField(headers, kSentAt).value_or(Duration());
   facts.m_store_regained_ago = TimeField(headers, kRegainedAgo);
   return facts;
 }
@@ -134,8 +134,8 @@
     BOOST_LEAF_AUTO(seen,
                     model::NumberFieldOr(value.as_object(), "seen_ms", 0));
     const Duration seen_at = std::chrono::milliseconds(seen);
-    if (seen > 0 && facts.m_told_at >= seen_at)
-      relayed.m_max_ages[row.m_key] = facts.m_told_at - seen_at;
+    if (seen > 0 && facts.m_sent_at >= seen_at)
+      relayed.m_max_ages[row.m_key] = facts.m_sent_at - seen_at;
     rows.m_rows.push_back(std::move(row));
   }
   return relayed;
@@ -164,7 +164,7 @@
   auto relayed = CatchFailure([&] { return ReadRelayed(*response); });
   if (!relayed)
     co_return relayed.error();
-  // m_told_at was set at an unknown moment between the request and the answer,
+  // m_sent_at was set at an unknown moment between the request and the answer,
   // and the ages are upper bounds, so the whole duration of the request is
   // added.
   for (auto& [key, age] : relayed->m_max_ages)
--- a/src/libverbenalead/links/relayed_rows.h
+++ b/src/libverbenalead/links/relayed_rows.h
@@ -29,7 +29,7 @@
   Duration m_confirmed_at{};
   /// When the entry sent this, by its boot clock, which also counts the time
   /// for which the host was suspended.
-  Duration m_told_at{};
+  Duration m_sent_at{};
   /// Time since the entry's connection to the store was restored; absent if it
   /// was never lost.
   std::optional<Duration> m_store_regained_ago;
@@ -41,7 +41,7 @@
 RelayMetadata DecodeRelayMetadata(const wire::Headers& headers);
 
 /// Earliest times at which rows may have been written, by key, on the same
-/// clock as RelayMetadata::m_told_at.
+/// clock as RelayMetadata::m_sent_at.
 using EarliestWriteTimes = std::map<std::string, Duration>;
 
 /// All rows of a table as an entry has them, for other processes of its data
--- a/src/libverbenalead/links/replica_summary.h
+++ b/src/libverbenalead/links/replica_summary.h
@@ -19,7 +19,7 @@
   /// Calls of all entries at the replica.
   ReplicaCalls m_calls;
   /// Calls queued at the target process for a slot.
-  uint32_t m_waiting = 0;
+  uint32_t m_queued_calls = 0;
 
   friend bool operator==(const ReplicaSummary&,
                          const ReplicaSummary&) = default;
--- a/src/libverbenalead/links/replica_update.h
+++ b/src/libverbenalead/links/replica_update.h
@@ -23,7 +23,7 @@
   /// Calls of all other entries at the replica.
   ReplicaCalls m_other_entries_calls;
   /// Calls queued at the target process for a slot.
-  uint32_t m_waiting = 0;
+  uint32_t m_queued_calls = 0;
 
   friend bool operator==(const ReplicaUpdate&, const ReplicaUpdate&) = default;
 };
--- a/src/libverbenalead/links/slot_answer.h
+++ b/src/libverbenalead/links/slot_answer.h
@@ -15,7 +15,7 @@
   /// The call has been queued at the target process and waits for a slot.
   bool m_queued = false;
   /// State of the replica, without the slot granted by this answer.
-  ReplicaUpdate m_news;
+  ReplicaUpdate m_update;
 
   friend bool operator==(const SlotAnswer&, const SlotAnswer&) = default;
 };
--- a/src/libverbenalead/links/slot_request_message.h
+++ b/src/libverbenalead/links/slot_request_message.h
@@ -23,7 +23,7 @@
   bool m_can_be_on_time = true;
   Duration m_read_within{};
   /// How long the call may be queued if no slot is free; zero: not at all.
-  Duration m_wait{};
+  Duration m_max_wait{};
   /// The entry's calls at the replica, without calls that still wait for a slot
   /// like this one. Each request includes them, so that the first request after
   /// a restart of either process corrects the counts of the target process.
--- a/src/libverbenalead/links/subscription_request.h
+++ b/src/libverbenalead/links/subscription_request.h
@@ -8,11 +8,11 @@
 /// fetch what it lacks. Sent repeatedly while the sender needs the updates.
 struct SubscriptionRequest {
   /// Subscribes to ChunkUpdate if true, otherwise to ReplicaUpdate.
-  bool m_chunks = false;
+  bool m_wants_chunks = false;
   /// The sender is in the same data centre. An entry in another data centre
   /// only states its revisions and isn't subscribed: it gets the replica's
   /// state from the summary of the data centre.
-  bool m_near = false;
+  bool m_same_data_center = false;
   /// Revision of the newest change of declared weights that the sender has.
   /// Changes of the routing alone don't count, since a target process doesn't
   /// need them: when they did, 26 hosts fetched 100 KB each several times a
--- a/src/libverbenalead/links/summary_codec.cc
+++ b/src/libverbenalead/links/summary_codec.cc
@@ -82,7 +82,7 @@
           flags,
           replica.m_calls.m_calls,
           replica.m_calls.m_unread_tokens,
-          replica.m_waiting};
+          replica.m_queued_calls};
 }
 
 Result<ReplicaSummary> DecodeReplica(const json::value& value) {
@@ -101,7 +101,7 @@
   replica.m_loading = (flags & kLoadingFlag) != 0;
   replica.m_calls.m_calls = static_cast<uint32_t>(calls);
   replica.m_calls.m_unread_tokens = static_cast<uint64_t>(unread);
-  replica.m_waiting = static_cast<uint32_t>(waiting);
+  replica.m_queued_calls = static_cast<uint32_t>(waiting);
   return replica;
 }
 
@@ -116,7 +116,7 @@
     replicas.push_back(EncodeReplica(replica));
   return {{"data_center", summary.m_data_center},
           {"sender", summary.m_sender},
-          {"number", summary.m_number},
+          {"number", summary.m_sequence},
           {"relayed", summary.m_relayed},
           {"revision", summary.m_operator_revision},
           {"proof_ms", ToMilliseconds(summary.m_operator_confirmed_at)},
@@ -130,7 +130,7 @@
   BOOST_LEAF_ASSIGN(summary.m_data_center,
                     model::TextField(object, "data_center"));
   BOOST_LEAF_ASSIGN(summary.m_sender, model::TextField(object, "sender"));
-  BOOST_LEAF_ASSIGN(summary.m_number, model::NumberField(object, "number"));
+  BOOST_LEAF_ASSIGN(summary.m_sequence, model::NumberField(object, "number"));
   BOOST_LEAF_ASSIGN(summary.m_relayed,
                     model::FlagFieldOr(object, "relayed", false));
   BOOST_LEAF_ASSIGN(summary.m_operator_revision,
--- a/src/libverbenalead/links/table_follower.cc
+++ b/src/libverbenalead/links/table_follower.cc
@@ -14,7 +14,7 @@
 /// requests a second, of the 2,000 a second that the store can answer.
 constexpr Duration kMinRetryPause = 150ms;
 constexpr Duration kMaxRetryPause = 350ms;
-/// How often PollSchedule::m_hold is checked again while it is set.
+/// How often PollSchedule::m_paused is checked again while it is set.
 constexpr Duration kHoldPollInterval = 50ms;
 
 }  // namespace
@@ -35,12 +35,12 @@
   while (true) {
     const TimePoint requested_at = Now();
     const PollSchedule schedule = m_pace();
-    if (schedule.m_hold) {
+    if (schedule.m_paused) {
       co_await WaitUntil(requested_at + kHoldPollInterval);
       continue;
     }
     m_poll_requested = false;
-    const bool answered = co_await Ask(schedule.m_wait);
+    const bool answered = co_await Poll(schedule.m_long_poll);
     if (m_poll_requested)
       continue;
     const TimePoint next =
@@ -63,7 +63,7 @@
   m_timer.cancel();
 }
 
-Awaitable<bool> TableFollower::Ask(Duration wait) {
+Awaitable<bool> TableFollower::Poll(Duration wait) {
   const bool is_snapshot = m_revision == 0;
   AsyncResult<platform::Rows> rows = Failure();
   if (is_snapshot)
@@ -79,13 +79,13 @@
     RecordFailure(rows.error());
     co_return false;
   }
-  NoteSuccess();
+  RecordSuccess();
   m_revision = std::max(m_revision, rows->m_revision);
   m_on_rows(*rows, is_snapshot);
   co_return true;
 }
 
-void TableFollower::NoteSuccess() {
+void TableFollower::RecordSuccess() {
   if (m_connected)
     return;
   m_connected = true;
--- a/src/libverbenalead/links/table_follower.h
+++ b/src/libverbenalead/links/table_follower.h
@@ -46,16 +46,16 @@
   /// read.
   uint64_t revision() const { return m_revision; }
   /// Whether the last request failed after an earlier one had succeeded.
-  bool lost() const { return m_was_connected && !m_connected; }
+  bool connection_lost() const { return m_was_connected && !m_connected; }
   /// When the connection to the store was last restored after a failure; the
   /// epoch of the clock if it was never lost.
   TimePoint regained_at() const { return m_regained_at; }
 
  private:
-  Awaitable<bool> Ask(Duration wait);
+  Awaitable<bool> Poll(Duration wait);
   /// Waits until `time` or until PollNow() is called.
   Awaitable<void> WaitUntil(TimePoint time);
-  void NoteSuccess();
+  void RecordSuccess();
   void RecordFailure(const Failure& failure);
   Duration RetryPause();
 
--- a/src/libverbenalead/model/inbound_call.h
+++ b/src/libverbenalead/model/inbound_call.h
@@ -16,7 +16,7 @@
   /// Path of the request without the query.
   std::string m_path;
   /// The caller's API key; empty if the caller sent none.
-  std::string m_key;
+  std::string m_api_key;
   /// How long the caller will still wait; absent if it did not say.
   std::optional<Duration> m_time_left;
   uint32_t m_prompt_tokens = 0;
--- a/src/libverbenalead/model/manifest.cc
+++ b/src/libverbenalead/model/manifest.cc
@@ -19,7 +19,7 @@
   json::array chunks;
   for (const Digest& digest : manifest.chunks())
     chunks.emplace_back(ToString(digest));
-  return json::serialize(json::object{{"whole", ToString(manifest.whole())},
+  return json::serialize(json::object{{"whole", ToString(manifest.digest())},
                                       {"size", manifest.size()},
                                       {"chunk_size", manifest.chunk_size()},
                                       {"chunks", std::move(chunks)}});
@@ -35,7 +35,7 @@
   if (chunks == nullptr || !chunks->is_array())
     return BadField("chunks", "a list of digests");
   ManifestBuilder builder;
-  builder.Whole(weights_digest).Size(size).ChunkSize(chunk_size);
+  builder.WeightsDigest(weights_digest).Size(size).ChunkSize(chunk_size);
   for (const json::value& chunk : chunks->get_array()) {
     if (!chunk.is_string())
       return BadField("chunks", "a list of digests");
--- a/src/libverbenalead/model/manifest.h
+++ b/src/libverbenalead/model/manifest.h
@@ -22,7 +22,7 @@
   Manifest() = default;
 
   /// Digest of all bytes of the weights.
-  const Digest& whole() const { return m_whole; }
+  const Digest& digest() const { return m_digest; }
   /// Total size in bytes.
   uint64_t size() const { return m_size; }
   /// Size in bytes of each chunk except the last, which may be shorter.
@@ -39,7 +39,7 @@
  private:
   friend class ManifestBuilder;
 
-  Digest m_whole;
+  Digest m_digest;
   uint64_t m_size = 0;
   uint64_t m_chunk_size = 0;
   std::vector<Digest> m_chunks;
--- a/src/libverbenalead/model/manifest_builder.cc
+++ b/src/libverbenalead/model/manifest_builder.cc
@@ -2,8 +2,8 @@
 
 namespace verbenalead::model {
 
-ManifestBuilder& ManifestBuilder::Whole(const Digest& weights_digest) {
-  m_manifest.m_whole = weights_digest;
+ManifestBuilder& ManifestBuilder::WeightsDigest(const Digest& weights_digest) {
+  m_manifest.m_digest = weights_digest;
   return *this;
 }
 
--- a/src/libverbenalead/model/manifest_builder.h
+++ b/src/libverbenalead/model/manifest_builder.h
@@ -8,7 +8,7 @@
 /// Builds a Manifest and checks that the size matches the number of chunks.
 class ManifestBuilder {
  public:
-  ManifestBuilder& Whole(const Digest& weights_digest);
+  ManifestBuilder& WeightsDigest(const Digest& weights_digest);
   ManifestBuilder& Size(uint64_t bytes);
   ManifestBuilder& ChunkSize(uint64_t bytes);
   ManifestBuilder& Chunk(const Digest& digest);
--- a/src/libverbenalead/model/manifest_test.cc
+++ b/src/libverbenalead/model/manifest_test.cc
@@ -26,7 +26,7 @@
       const auto size = *rc::gen::inRange<uint64_t>(1, 5000);
       const auto chunk = *rc::gen::inRange<uint64_t>(1, 600);
       ManifestBuilder builder;
-      builder.Whole(Sha256("w")).Size(size).ChunkSize(chunk);
+      builder.WeightsDigest(Sha256("w")).Size(size).ChunkSize(chunk);
       uint64_t sum = 0;
       for (uint64_t i = 0; i * chunk < size; ++i)
         builder.Chunk(Sha256(std::to_string(i)));
@@ -42,7 +42,7 @@
 
   void RejectsWrongChunkCount() {
     ManifestBuilder builder;
-    builder.Whole(Sha256("w")).Size(10).ChunkSize(5).Chunk(Sha256("a"));
+    builder.WeightsDigest(Sha256("w")).Size(10).ChunkSize(5).Chunk(Sha256("a"));
     CPPUNIT_ASSERT(!CatchFailure([&] { return builder.Build(); }));
     builder.Chunk(Sha256("b"));
     CPPUNIT_ASSERT(CatchFailure([&] { return builder.Build(); }).has_value());
@@ -53,7 +53,7 @@
   // Guards against accepting a manifest truncated in transit as a shorter one.
   void RejectsTruncatedDocument() {
     ManifestBuilder builder;
-    builder.Whole(Sha256("w")).Size(10).ChunkSize(5);
+    builder.WeightsDigest(Sha256("w")).Size(10).ChunkSize(5);
     builder.Chunk(Sha256("a")).Chunk(Sha256("b"));
     const std::string text =
         ToJson(*CatchFailure([&] { return builder.Build(); }));
--- a/src/libverbenalead/model/target_report.cc
+++ b/src/libverbenalead/model/target_report.cc
@@ -22,7 +22,7 @@
                                       {"revision", report.m_revision},
                                       {"stage", report.m_stage},
                                       {"reason", report.m_reason},
-                                      {"loading", report.m_loading},
+                                      {"loading", report.m_loading_version},
                                       {"chunks_held", report.m_chunks_held},
                                       {"chunks_total", report.m_chunks_total},
                                       {"origin_bytes", report.m_origin_bytes},
@@ -40,7 +40,8 @@
 Result<void> ReadProgress(const json::object& object, TargetReport& report) {
   BOOST_LEAF_ASSIGN(report.m_stage, TextFieldOr(object, "stage", ""));
   BOOST_LEAF_ASSIGN(report.m_reason, TextFieldOr(object, "reason", ""));
-  BOOST_LEAF_ASSIGN(report.m_loading, TextFieldOr(object, "loading", ""));
+  BOOST_LEAF_ASSIGN(report.m_loading_version,
+                    TextFieldOr(object, "loading", ""));
   BOOST_LEAF_ASSIGN(report.m_chunks_held,
                     Uint32FieldOrZero(object, "chunks_held"));
   BOOST_LEAF_ASSIGN(report.m_chunks_total,
--- a/src/libverbenalead/model/target_report.h
+++ b/src/libverbenalead/model/target_report.h
@@ -33,7 +33,7 @@
   std::string m_reason;
   /// The version being fetched or loaded, with its number of chunks held by the
   /// target and in total.
-  std::string m_loading;
+  std::string m_loading_version;
   uint32_t m_chunks_held = 0;
   uint32_t m_chunks_total = 0;
   /// Bytes of weights fetched since the process started, by source.
--- a/src/libverbenalead/peer/client.cc
+++ b/src/libverbenalead/peer/client.cc
@@ -86,7 +86,7 @@
   // an error at either end. A request sent on it would be lost, and so would a
   // query for the outcome of an earlier request. The PING that detects this
   // costs one round trip, and is sent only if nothing was received recently.
-  if (session && !session->fresh() && !co_await session->Probe()) {
+  if (session && !session->recently_active() && !co_await session->Probe()) {
     LogLine("connection_doubtful").With("peer", ToString(endpoint)).Warn();
     session->Retire();
     session = pool.Find(endpoint);
--- a/src/libverbenalead/peer/session.cc
+++ b/src/libverbenalead/peer/session.cc
@@ -43,7 +43,7 @@
   state->m_peer =
       ToString(Endpoint(remote.address().to_string(), remote.port()));
   std::shared_ptr<Session> session(new Session(std::move(state)));
-  session->Begin();
+  session->Start();
   return session;
 }
 
@@ -53,11 +53,11 @@
   auto state = std::make_unique<State>(std::move(socket), limits);
   state->m_peer = ToString(endpoint);
   std::shared_ptr<Session> session(new Session(std::move(state)));
-  session->Begin();
+  session->Start();
   return session;
 }
 
-void Session::Begin() {
+void Session::Start() {
   boost::system::error_code ignored;
   m_state->m_socket.set_option(tcp::no_delay(true), ignored);
   nghttp2_session_callbacks* callbacks = nullptr;
@@ -147,7 +147,7 @@
   return !m_state->m_closed && !m_state->m_retired;
 }
 
-bool Session::fresh() const {
+bool Session::recently_active() const {
   return Now() - m_state->m_last_received_at < m_state->m_limits.m_ping_after;
 }
 
@@ -241,8 +241,8 @@
             nghttp2_strerror(static_cast<int>(consumed)));
       co_return;
     }
-    auto ready = std::move(m_state->m_ready);
-    m_state->m_ready.clear();
+    auto ready = std::move(m_state->m_ready_requests);
+    m_state->m_ready_requests.clear();
     for (int32_t id : ready)
       Spawn(m_state->m_socket.get_executor(), Answer(self, id), "answer");
     Flush();
--- a/src/libverbenalead/peer/session.h
+++ b/src/libverbenalead/peer/session.h
@@ -67,7 +67,7 @@
   /// True if new streams can be opened.
   bool usable() const;
   /// True if something was received within the last m_ping_after.
-  bool fresh() const;
+  bool recently_active() const;
   /// Sends a PING and waits until anything is received; false if nothing is
   /// within m_probe_timeout.
   Awaitable<bool> Probe();
@@ -84,7 +84,7 @@
   struct Callbacks;
 
   explicit Session(std::unique_ptr<State> state);
-  void Begin();
+  void Start();
   void Flush();
   void Close(const std::string& reason);
   void SendPing();
--- a/src/libverbenalead/peer/session_callbacks.cc
+++ b/src/libverbenalead/peer/session_callbacks.cc
@@ -64,7 +64,7 @@
   if (carries_end && (frame->hd.flags & NGHTTP2_FLAG_END_STREAM)) {
     stream->m_ended = true;
     if (state.m_handler)
-      state.m_ready.push_back(stream->m_id);
+      state.m_ready_requests.push_back(stream->m_id);
   }
   stream->m_inbound_event.cancel();
   return 0;
@@ -111,7 +111,7 @@
   if (!stream)
     return 0;
   state.m_streams.erase(id);
-  state.m_sent.push_back(stream);
+  state.m_flushing_streams.push_back(stream);
   stream->Close(
       std::string("stream closed: ") + nghttp2_http2_strerror(error_code),
       error_code == NGHTTP2_NO_ERROR);
--- a/src/libverbenalead/peer/session_state.h
+++ b/src/libverbenalead/peer/session_state.h
@@ -33,7 +33,7 @@
   }
 
   void MarkFlushed() {
-    for (const StreamPtr& stream : std::exchange(m_sent, {})) {
+    for (const StreamPtr& stream : std::exchange(m_flushing_streams, {})) {
       stream->m_flushed = true;
       stream->m_outbound_event.cancel();
     }
@@ -56,9 +56,9 @@
   boost::asio::steady_timer m_watch_timer;
   /// Streams whose request has been received completely. They are answered
   /// after nghttp2_session_mem_recv() has returned.
-  std::vector<int32_t> m_ready;
+  std::vector<int32_t> m_ready_requests;
   /// Streams whose last frame is in the buffer that is being written.
-  std::vector<StreamPtr> m_sent;
+  std::vector<StreamPtr> m_flushing_streams;
 };
 
 }  // namespace verbenalead::peer
--- a/src/libverbenalead/peer/session_writer.cc
+++ b/src/libverbenalead/peer/session_writer.cc
@@ -26,7 +26,7 @@
 }
 
 Awaitable<bool> Session::Writer::Start(wire::ResponseHead head) {
-  if (gone())
+  if (disconnected())
     co_return false;
   Fields fields = {{":status", std::to_string(head.m_status)}};
   for (const auto& field : head.m_headers)
@@ -42,9 +42,9 @@
 }
 
 Awaitable<bool> Session::Writer::Write(std::string bytes) {
-  while (!gone() && m_stream->m_outbound_bytes >= kMaxOutbound)
+  while (!disconnected() && m_stream->m_outbound_bytes >= kMaxOutbound)
     co_await WaitForEvent(m_stream->m_outbound_event, kNever);
-  if (gone())
+  if (disconnected())
     co_return false;
   if (bytes.empty())
     co_return true;
@@ -55,7 +55,7 @@
 }
 
 Awaitable<bool> Session::Writer::Finish(wire::Headers trailers) {
-  if (gone())
+  if (disconnected())
     co_return false;
   m_stream->m_outbound_trailers = std::move(trailers);
   m_stream->m_outbound_finished = true;
@@ -68,19 +68,19 @@
   co_return m_stream->m_flushed;
 }
 
-bool Session::Writer::gone() const {
+bool Session::Writer::disconnected() const {
   return m_stream->m_closed || m_session->closed();
 }
 
 void Session::Writer::OnDisconnect(std::function<void()> function) {
-  if (function && gone())
+  if (function && disconnected())
     function();
   else
     m_stream->m_on_disconnect = std::move(function);
 }
 
 void Session::Writer::Abandon() {
-  if (gone() || m_stream->m_outbound_finished)
+  if (disconnected() || m_stream->m_outbound_finished)
     return;
   nghttp2_submit_rst_stream(m_session->m_state->m_session, NGHTTP2_FLAG_NONE,
                             m_stream->m_id, NGHTTP2_INTERNAL_ERROR);
--- a/src/libverbenalead/peer/session_writer.h
+++ b/src/libverbenalead/peer/session_writer.h
@@ -23,7 +23,7 @@
 
   Awaitable<bool> Finish(wire::Headers trailers) override;
 
-  bool gone() const override;
+  bool disconnected() const override;
 
   void OnDisconnect(std::function<void()> function) override;
 
--- a/src/libverbenalead/platform/call_headers.cc
+++ b/src/libverbenalead/platform/call_headers.cc
@@ -48,7 +48,7 @@
   call.m_id = wire::Get(request.m_headers, kRequestId);
   call.m_host = WithoutPort(wire::Get(request.m_headers, "host"));
   call.m_path = wire::PathOf(request);
-  call.m_key = wire::Get(request.m_headers, kKey);
+  call.m_api_key = wire::Get(request.m_headers, kKey);
   if (const auto left = ParseUnsigned(wire::Get(request.m_headers, kTimeLeft)))
     call.m_time_left = std::chrono::milliseconds(*left);
   const std::string usage = wire::Get(request.m_headers, kTokenUsage);
--- a/src/libverbenalead/target/chunk_cache.cc
+++ b/src/libverbenalead/target/chunk_cache.cc
@@ -41,7 +41,8 @@
 
 }  // namespace
 
-void ChunkCache::Begin(uint64_t version, const std::vector<Digest>& digests) {
+void ChunkCache::AddVersion(uint64_t version,
+                            const std::vector<Digest>& digests) {
   if (m_versions.contains(version))
     return;
   CachedVersion cached;
--- a/src/libverbenalead/target/chunk_cache.h
+++ b/src/libverbenalead/target/chunk_cache.h
@@ -39,7 +39,7 @@
  public:
   /// Adds `version`, without any chunks, unless it exists; removes all but the
   /// two newest versions.
-  void Begin(uint64_t version, const std::vector<Digest>& digests);
+  void AddVersion(uint64_t version, const std::vector<Digest>& digests);
   /// Returns null for a version that was not added or has been removed.
   const CachedVersion* Find(uint64_t version) const;
   const std::map<uint64_t, CachedVersion>& versions() const {
--- a/src/libverbenalead/target/chunk_cache_test.cc
+++ b/src/libverbenalead/target/chunk_cache_test.cc
@@ -17,7 +17,7 @@
  public:
   void AcceptsOnlyDeclaredChunks() {
     ChunkCache cache;
-    cache.Begin(1, {Sha256("a"), Sha256("b")});
+    cache.AddVersion(1, {Sha256("a"), Sha256("b")});
     CPPUNIT_ASSERT(!cache.Put(1, 0, "spoilt"));
     CPPUNIT_ASSERT(!cache.Put(1, 2, "a"));
     CPPUNIT_ASSERT(cache.Put(1, 0, "a"));
@@ -33,8 +33,8 @@
   // be stored in the newer one.
   void NeverMixesVersions() {
     ChunkCache cache;
-    cache.Begin(1, {Sha256("old")});
-    cache.Begin(2, {Sha256("new")});
+    cache.AddVersion(1, {Sha256("old")});
+    cache.AddVersion(2, {Sha256("new")});
     CPPUNIT_ASSERT(!cache.Put(2, 0, "old"));
     CPPUNIT_ASSERT(cache.Put(1, 0, "old"));
     CPPUNIT_ASSERT(!cache.Complete(2));
@@ -43,7 +43,7 @@
   void KeepsTwoNewestVersions() {
     ChunkCache cache;
     for (uint64_t version : {1, 3, 2, 4})
-      cache.Begin(version, {Sha256("x")});
+      cache.AddVersion(version, {Sha256("x")});
     CPPUNIT_ASSERT(!cache.Find(1) && !cache.Find(2));
     CPPUNIT_ASSERT(cache.Find(3) && cache.Find(4));
   }
@@ -52,8 +52,8 @@
   // that was overwritten by that of the other must not be reported as held.
   void ReleasesMemoryOfStagedChunks() {
     ChunkCache cache;
-    cache.Begin(1, {Sha256("old")});
-    cache.Begin(2, {Sha256("new")});
+    cache.AddVersion(1, {Sha256("old")});
+    cache.AddVersion(2, {Sha256("new")});
     CPPUNIT_ASSERT(cache.Put(1, 0, "old"));
     CPPUNIT_ASSERT(!cache.Staged(1));
     cache.RecordStaged(1, 0);
@@ -69,7 +69,7 @@
   // missing, so that it is fetched again.
   void CorruptStagedChunkIsMissing() {
     ChunkCache cache;
-    cache.Begin(1, {Sha256("right")});
+    cache.AddVersion(1, {Sha256("right")});
     CPPUNIT_ASSERT(cache.VerifyStaged(1, 0, "right"));
     CPPUNIT_ASSERT(cache.Complete(1));
     CPPUNIT_ASSERT(!cache.VerifyStaged(1, 0, "wrong"));
--- a/src/libverbenalead/target/chunk_fetcher.cc
+++ b/src/libverbenalead/target/chunk_fetcher.cc
@@ -33,7 +33,7 @@
 /// An origin fetch that was not announced within this time after it was due is
 /// taken over by the next host: all hosts must have the complete version within
 /// 8 s.
-constexpr Duration kPatience = 1s;
+constexpr Duration kOriginTakeoverDelay = 1s;
 /// Longest backoff of origin fetches. After an outage of the origin the missing
 /// chunks delay all hosts, so the hosts that fetch them retry often; only few
 /// hosts do.
@@ -86,7 +86,7 @@
   limits.m_slow_fetch_threshold =
       std::chrono::duration_cast<Duration>(std::chrono::duration<double>(
           chunk_seconds * kMaxFetches * kSlowLinkFactor));
-  limits.m_patience = kPatience;
+  limits.m_takeover_delay = kOriginTakeoverDelay;
   limits.m_max_origin_fetches = kMaxOriginFetches;
   limits.m_max_origin_backoff = kMaxOriginBackoff;
   return limits;
@@ -158,7 +158,7 @@
 }
 
 bool ChunkFetcher::OriginNoLongerNeeded() const {
-  return m_transfer && m_transfer->m_core.m_draws.empty() &&
+  return m_transfer && m_transfer->m_core.m_origin_schedule.empty() &&
          m_transfer->m_core.m_origin_fetching == 0;
 }
 
@@ -172,7 +172,7 @@
 
 std::vector<std::string> ChunkFetcher::FollowedHosts() const {
   std::set<std::string> hosts;
-  for (const auto& transfer : {m_transfer, m_ahead}) {
+  for (const auto& transfer : {m_transfer, m_prefetch}) {
     if (transfer)
       hosts.insert(transfer->m_followed_hosts.begin(),
                    transfer->m_followed_hosts.end());
@@ -180,10 +180,10 @@
   return {hosts.begin(), hosts.end()};
 }
 
-void ChunkFetcher::TakeNews(const links::ChunkUpdate& update) {
+void ChunkFetcher::HandleChunkUpdate(const links::ChunkUpdate& update) {
   if (!m_state.m_engine || update.m_model != m_state.m_engine->m_model)
     return;
-  for (const auto& transfer : {m_transfer, m_ahead}) {
+  for (const auto& transfer : {m_transfer, m_prefetch}) {
     if (!transfer || transfer->m_version != update.m_version)
       continue;
     decide::RecordNeighbourChunks(transfer->m_core, update.m_host,
@@ -204,7 +204,7 @@
         .Warn();
     return;
   }
-  for (const auto& transfer : {m_transfer, m_ahead}) {
+  for (const auto& transfer : {m_transfer, m_prefetch}) {
     if (!transfer || transfer->m_version != update.m_version)
       continue;
     decide::RecordOriginFetches(transfer->m_core, update.m_report, Now());
@@ -215,7 +215,7 @@
 }
 
 void ChunkFetcher::RecordCorruptChunk(uint64_t version, uint32_t chunk) {
-  for (const auto& transfer : {m_transfer, m_ahead}) {
+  for (const auto& transfer : {m_transfer, m_prefetch}) {
     if (!transfer || transfer->m_version != version)
       continue;
     decide::RecordChunkLoss(transfer->m_core, chunk, Now());
@@ -242,16 +242,16 @@
   update.m_report.m_host = m_state.m_options.m_peers.address();
   for (const auto& [chunk, fetch] : transfer.m_core.m_fetching) {
     if (fetch.m_source.IsOrigin())
-      update.m_report.m_under_way.push_back(chunk);
+      update.m_report.m_in_progress.push_back(chunk);
   }
-  if (update.m_report.m_under_way.empty() && fetched.empty())
+  if (update.m_report.m_in_progress.empty() && fetched.empty())
     return;
   update.m_report.m_origin_fetched = std::move(fetched);
   m_announce_origin_fetches(update);
   transfer.m_next_announcement = Now() + kAnnouncementInterval;
 }
 
-std::shared_ptr<ChunkFetcher::Transfer> ChunkFetcher::Begin(
+std::shared_ptr<ChunkFetcher::Transfer> ChunkFetcher::CreateTransfer(
     uint64_t version,
     const decide::TransferLimits& limits,
     const asio::any_io_executor& executor) {
@@ -301,25 +301,25 @@
 Awaitable<void> ChunkFetcher::Fetch(uint64_t version) {
   const auto executor = co_await asio::this_coro::executor;
   StopTransfer(m_transfer);
-  if (m_ahead && m_ahead->m_version == version) {
+  if (m_prefetch && m_prefetch->m_version == version) {
     // Continuing the transfer keeps its origin fetches and what is known of the
     // origin fetches of other hosts.
-    m_transfer = std::move(m_ahead);
-    m_ahead.reset();
+    m_transfer = std::move(m_prefetch);
+    m_prefetch.reset();
     decide::SetLimits(m_transfer->m_core, LimitsOf(m_state));
     m_transfer->m_wake.cancel();
     co_return;
   }
-  StopTransfer(m_ahead);
-  const auto transfer = Begin(version, LimitsOf(m_state), executor);
+  StopTransfer(m_prefetch);
+  const auto transfer = CreateTransfer(version, LimitsOf(m_state), executor);
   m_transfer = transfer;
   co_await Run(transfer, executor);
   End(transfer);
 }
 
 void ChunkFetcher::End(const std::shared_ptr<Transfer>& transfer) {
-  if (m_ahead == transfer)
-    m_ahead.reset();
+  if (m_prefetch == transfer)
+    m_prefetch.reset();
   if (m_transfer == transfer)
     m_transfer.reset();
 }
@@ -330,17 +330,17 @@
   m_prefetch_version = version;
   const auto executor = co_await asio::this_coro::executor;
   const uint64_t previous = this->version();
-  const bool has_digests = co_await m_digests.Learn(version);
+  const bool has_digests = co_await m_digests.Obtain(version);
   const auto is_current = [&] {
     return m_prefetch_version == version && this->version() == previous;
   };
   while (has_digests && is_current() && !OriginNoLongerNeeded())
     co_await Sleep(decide::kTransferTick);
-  if (has_digests && is_current() && !m_ahead) {
+  if (has_digests && is_current() && !m_prefetch) {
     decide::TransferLimits limits = LimitsOf(m_state);
     limits.m_max_fetches = kMaxFetchesAhead;
-    const auto transfer = Begin(version, limits, executor);
-    m_ahead = transfer;
+    const auto transfer = CreateTransfer(version, limits, executor);
+    m_prefetch = transfer;
     co_await Run(transfer, executor);
     End(transfer);
   }
@@ -348,7 +348,7 @@
     m_prefetch_version = 0;
 }
 
-bool ChunkFetcher::IsNear(const std::string& host) const {
+bool ChunkFetcher::IsInSameDataCenter(const std::string& host) const {
   for (const auto& [id, replica] : m_state.m_replicas) {
     if (replica.m_endpoint.address() == host)
       return replica.m_data_center == m_state.m_options.m_data_center;
@@ -407,7 +407,7 @@
   request.m_path =
       ChunkPath(m_state.m_engine->m_model, transfer->m_version, chunk) + "?" +
       kHeldField + "=" + std::to_string(transfer->m_core.m_have_count);
-  if (!IsNear(host))
+  if (!IsInSameDataCenter(host))
     request.m_path += std::string("&") + kRemoteField + "=1";
   const Endpoint endpoint(host, m_state.m_options.m_peers.port());
   auto opened = co_await m_peers.Open(endpoint, std::move(request),
@@ -489,7 +489,7 @@
           .With("chunk", uint64_t{chunk})
           .With("version", transfer->m_version)
           .Info();
-    } else if (IsNear(host)) {
+    } else if (IsInSameDataCenter(host)) {
       ++transfer->m_from_local;
     } else {
       ++transfer->m_from_remote;
--- a/src/libverbenalead/target/chunk_fetcher.h
+++ b/src/libverbenalead/target/chunk_fetcher.h
@@ -49,7 +49,7 @@
   /// stalled.
   bool is_progressing() const;
   /// Handles an update from another host about the chunks that it holds.
-  void TakeNews(const links::ChunkUpdate& update);
+  void HandleChunkUpdate(const links::ChunkUpdate& update);
   /// Handles an announcement of another host's origin fetches.
   void HandleOriginFetches(const links::OriginFetchUpdate& update);
   /// A staged chunk of `version` was found to be corrupt and has to be fetched
@@ -57,9 +57,9 @@
   void RecordCorruptChunk(uint64_t version, uint32_t chunk);
   /// Hosts whose chunk updates the transfers need.
   std::vector<std::string> FollowedHosts() const;
-  /// See `DigestReader::Learn`.
+  /// See `DigestReader::Obtain`.
   Awaitable<bool> ObtainDigests(uint64_t version) {
-    return m_digests.Learn(version);
+    return m_digests.Obtain(version);
   }
 
  private:
@@ -72,9 +72,10 @@
   };
 
   /// Creates the transfer of `version`, which starts now.
-  std::shared_ptr<Transfer> Begin(uint64_t version,
-                                  const decide::TransferLimits& limits,
-                                  const boost::asio::any_io_executor& executor);
+  std::shared_ptr<Transfer> CreateTransfer(
+      uint64_t version,
+      const decide::TransferLimits& limits,
+      const boost::asio::any_io_executor& executor);
   /// Performs the actions that the transfer decides on, until it is complete or
   /// stopped, or the digests are found to be wrong.
   Awaitable<void> Run(std::shared_ptr<Transfer> transfer,
@@ -87,7 +88,7 @@
   void AnnounceOriginFetches(Transfer& transfer, std::vector<uint32_t> fetched);
   /// Records and logs whether the origin answers. `reason`: the failure if not.
   void RecordOriginState(bool answers, const std::string& reason);
-  bool IsNear(const std::string& host) const;
+  bool IsInSameDataCenter(const std::string& host) const;
   void UpdateMembers(Transfer& transfer);
   void DoStep(const std::shared_ptr<Transfer>& transfer,
               const boost::asio::any_io_executor& executor);
@@ -114,7 +115,7 @@
       m_announce_origin_fetches;
   std::shared_ptr<Transfer> m_transfer;
   /// The transfer of a newer version, fetched ahead.
-  std::shared_ptr<Transfer> m_ahead;
+  std::shared_ptr<Transfer> m_prefetch;
   bool m_origin_reachable = true;
   /// The version that `Prefetch` prepares or fetches; 0: none.
   uint64_t m_prefetch_version = 0;
--- a/src/libverbenalead/target/chunk_server.cc
+++ b/src/libverbenalead/target/chunk_server.cc
@@ -21,8 +21,8 @@
                                          uint32_t chunk) {
   decide::UploadRequest upload;
   upload.m_chunk = chunk;
-  upload.m_far = wire::QueryValue(request, kRemoteField) == "1";
-  upload.m_held = static_cast<uint32_t>(
+  upload.m_other_region = wire::QueryValue(request, kRemoteField) == "1";
+  upload.m_chunk_count = static_cast<uint32_t>(
       std::strtoul(wire::QueryValue(request, kHeldField).c_str(), nullptr, 10));
   return upload;
 }
@@ -42,10 +42,10 @@
       m_engine(engine),
       m_has_calls(std::move(has_calls)),
       m_on_corrupt_chunk(std::move(on_corrupt_chunk)),
-      m_upload(UploadRate(state.m_options), kUploadCredit) {}
+      m_upload_pacer(UploadRate(state.m_options), kUploadCredit) {}
 
-Awaitable<void> ChunkServer::Tell(const wire::Request& request,
-                                  wire::ResponseWriter& caller) {
+Awaitable<void> ChunkServer::Respond(const wire::Request& request,
+                                     wire::ResponseWriter& caller) {
   if (const CachedVersion* cached = FindDigests(request.m_path)) {
     co_await caller.Send(wire::Response(200, {}, FormatDigests(*cached)));
     co_return;
@@ -55,12 +55,12 @@
     co_await caller.Send(wire::Response(404, {}, ""));
     co_return;
   }
-  const uint64_t id = m_gate.NewId();
-  co_await m_gate.Wait(id, name->m_version,
-                       ParseUploadRequest(request, name->m_chunk));
-  if (!caller.gone())
+  const uint64_t id = m_admission.NewId();
+  co_await m_admission.Wait(id, name->m_version,
+                            ParseUploadRequest(request, name->m_chunk));
+  if (!caller.disconnected())
     co_await Upload(*name, caller);
-  m_gate.End(id);
+  m_admission.End(id);
 }
 
 Awaitable<void> ChunkServer::Upload(ChunkId name,
@@ -77,7 +77,7 @@
     std::string piece = bytes->substr(begin, kUploadPieceBytes);
     // Without live calls there are no events that the chunks could delay.
     if (m_has_calls())
-      co_await m_upload.Take(piece.size());
+      co_await m_upload_pacer.Acquire(piece.size());
     if (!co_await caller.Write(std::move(piece)))
       co_return;
   }
--- a/src/libverbenalead/target/chunk_server.h
+++ b/src/libverbenalead/target/chunk_server.h
@@ -30,8 +30,8 @@
 
   /// Answers one request for digests or a chunk; status 404 if this host does
   /// not have them.
-  Awaitable<void> Tell(const wire::Request& request,
-                       wire::ResponseWriter& caller);
+  Awaitable<void> Respond(const wire::Request& request,
+                          wire::ResponseWriter& caller);
 
  private:
   /// Identifies a chunk.
@@ -46,7 +46,7 @@
   /// Returns the bytes of the chunk; null if the version was removed or the
   /// bytes could not be read or are corrupt.
   Awaitable<std::shared_ptr<const std::string>> ReadChunk(ChunkId name);
-  /// Sends a chunk; called once `m_gate` has admitted the upload.
+  /// Sends a chunk; called once `m_admission` has admitted the upload.
   Awaitable<void> Upload(ChunkId name, wire::ResponseWriter& caller);
   /// Reads a staged chunk from the engine. If it is corrupt, records it as not
   /// staged and returns null.
@@ -59,8 +59,8 @@
   platform::EngineClient& m_engine;
   const std::function<bool()> m_has_calls;
   const OnCorruptChunk m_on_corrupt_chunk;
-  Pacer m_upload;
-  UploadAdmission m_gate;
+  Pacer m_upload_pacer;
+  UploadAdmission m_admission;
 };
 
 }  // namespace verbenalead::target
--- a/src/libverbenalead/target/chunk_stager_test.cc
+++ b/src/libverbenalead/target/chunk_stager_test.cc
@@ -118,7 +118,7 @@
     m_state->m_engine = model::EngineProfile();
     m_state->m_engine->m_model = "m";
     m_state->m_engine->m_chunks = static_cast<uint32_t>(kNew.size());
-    m_state->m_cache.Begin(2, DigestsOf(kNew));
+    m_state->m_cache.AddVersion(2, DigestsOf(kNew));
     m_stager = std::make_unique<ChunkStager>(*m_state, *m_engine);
   }
 
@@ -127,7 +127,7 @@
             const std::vector<std::string>& chunks,
             uint32_t count) {
     m_state->m_cache.Drop(version);
-    m_state->m_cache.Begin(version, DigestsOf(chunks));
+    m_state->m_cache.AddVersion(version, DigestsOf(chunks));
     for (uint32_t chunk = 0; chunk < count; ++chunk)
       CPPUNIT_ASSERT(m_state->m_cache.Put(version, chunk, chunks[chunk]));
   }
--- a/src/libverbenalead/target/digest_reader.cc
+++ b/src/libverbenalead/target/digest_reader.cc
@@ -13,7 +13,7 @@
 constexpr Duration kOriginTimeout = 3s;
 /// Number of hosts from which the digests are requested, among those first in
 /// line at the origin (`decide::kDigestReaders`).
-constexpr size_t kMaxHostsAsked = 2;
+constexpr size_t kMaxHostsQueried = 2;
 constexpr Duration kDigestsTimeout = 300ms;
 constexpr int kMaxOriginAttempts = 3;
 /// Bounds of the random pause after a failure to obtain the digests.
@@ -34,10 +34,11 @@
 
 }  // namespace
 
-Awaitable<bool> DigestReader::Learn(uint64_t version) {
+Awaitable<bool> DigestReader::Obtain(uint64_t version) {
   if (m_state.m_cache.Find(version))
     co_return true;
-  const TimePoint since = m_wanted.try_emplace(version, Now()).first->second;
+  const TimePoint since =
+      m_missing_since.try_emplace(version, Now()).first->second;
   if (Now() < m_next)
     co_return false;
   const std::vector<std::string> order = Order(version);
@@ -49,8 +50,8 @@
   if (!agreed && Now() - since >= decide::DigestReadDelay(rank))
     agreed = co_await ReadFromOrigin(version, std::move(answers));
   if (agreed) {
-    m_state.m_cache.Begin(version, *agreed);
-    m_wanted.erase(version);
+    m_state.m_cache.AddVersion(version, *agreed);
+    m_missing_since.erase(version);
     co_return true;
   }
   m_next = Now() + Duration(std::uniform_int_distribution<int64_t>(
@@ -100,8 +101,8 @@
   hosts.resize(std::min(hosts.size(), decide::kDigestReaders));
   std::erase(hosts, Self());
   std::shuffle(hosts.begin(), hosts.end(), m_state.m_random);
-  if (hosts.size() > kMaxHostsAsked)
-    hosts.resize(kMaxHostsAsked);
+  if (hosts.size() > kMaxHostsQueried)
+    hosts.resize(kMaxHostsQueried);
   for (const std::string& host : hosts) {
     wire::Request request;
     request.m_path = DigestsPath(m_state.m_engine->m_model, version);
--- a/src/libverbenalead/target/digest_reader.h
+++ b/src/libverbenalead/target/digest_reader.h
@@ -24,7 +24,7 @@
   /// Adds `version` with its digests to the cache; returns false if they can't
   /// be obtained now. The origin may send wrong digests, and another host may
   /// have accepted and passed on wrong ones, so two answers must agree.
-  Awaitable<bool> Learn(uint64_t version);
+  Awaitable<bool> Obtain(uint64_t version);
 
  private:
   std::string Self() const;
@@ -46,7 +46,7 @@
   platform::OriginClient& m_origin;
   /// Versions whose digests are missing, with the time of the first attempt to
   /// obtain them.
-  std::map<uint64_t, TimePoint> m_wanted;
+  std::map<uint64_t, TimePoint> m_missing_since;
   /// Earliest time of the next attempt.
   TimePoint m_next{};
 };
--- a/src/libverbenalead/target/engine_controller.cc
+++ b/src/libverbenalead/target/engine_controller.cc
@@ -21,7 +21,7 @@
 constexpr Duration kDeadlineMargin = 700ms;
 /// Time from the scheduled start of a load to its end: calls finish or are
 /// aborted, and the load takes 0.3 s.
-constexpr Duration kOutage = 1000ms;
+constexpr Duration kLoadOutage = 1000ms;
 /// Entries are notified this long before the scheduled load, and then send new
 /// calls to the replica only if no other one has a free slot. Three quarters of
 /// the users' streams end within this time, so few have to be aborted. An
@@ -77,18 +77,18 @@
     : m_state(state),
       m_engine(engine),
       m_fetcher(fetcher),
-      m_tell(std::move(notify)),
+      m_notify(std::move(notify)),
       m_get_utilisation(std::move(fullness)),
       m_stager(state, engine) {}
 
 Awaitable<void> EngineController::Run() {
   while (true) {
     if (m_state.m_engine && !m_state.m_engine->m_model.empty())
-      co_await Look();
-    const links::ReplicaUpdate update = News();
-    if (update != m_told || update.m_loading) {
-      m_told = update;
-      m_tell();
+      co_await Poll();
+    const links::ReplicaUpdate update = CurrentUpdate();
+    if (update != m_last_update || update.m_loading) {
+      m_last_update = update;
+      m_notify();
     }
     co_await Sleep(kEnginePollInterval);
   }
@@ -101,7 +101,7 @@
   return found == m_report->m_weights.end() ? 0 : found->second;
 }
 
-links::ReplicaUpdate EngineController::News() const {
+links::ReplicaUpdate EngineController::CurrentUpdate() const {
   links::ReplicaUpdate update;
   const model::Replica* replica = OwnReplica(m_state);
   update.m_replica = replica ? replica->m_id : "";
@@ -146,7 +146,7 @@
   }
 }
 
-std::optional<decide::LoadPlan> EngineController::Plan() const {
+std::optional<decide::LoadPlan> EngineController::PlanNextLoad() const {
   const decide::LoadTimes times = LoadTimesOf(m_state);
   std::map<uint64_t, decide::DeclaredVersion> declared;
   for (const auto& [version, when] : m_state.m_declared) {
@@ -190,16 +190,16 @@
   return false;
 }
 
-Awaitable<void> EngineController::Look() {
+Awaitable<void> EngineController::Poll() {
   RecordEngineReport(co_await m_engine.Report());
   if (m_report && m_report->m_loading)
     co_return;
   m_calls_stopped = false;
   RecordCompleteVersions();
-  const auto plan = Plan();
+  const auto plan = PlanNextLoad();
   const uint64_t version = plan ? plan->m_version : Loaded();
   m_closing = plan && Loaded() > 0 && m_state.m_cache.Staged(version) &&
-              Now() + kClosingNotice >= Turn(*plan);
+              Now() + kClosingNotice >= LoadTime(*plan);
   if (!m_report) {
     // A new host is up one second before its engine. Fetching from then on puts
     // its replica into service one second earlier.
@@ -210,7 +210,7 @@
   co_await m_stager.Stage(version, Loaded());
   if (!m_state.m_cache.Complete(version)) {
     co_await Obtain(version);
-    co_await FetchNewestAhead();
+    co_await PrefetchNewest();
     co_return;
   }
   if (!plan)
@@ -220,7 +220,7 @@
     co_await Obtain(NewestVersion(m_state));
   // An engine without weights serves no calls, so it loads at once.
   if (m_state.m_cache.Staged(version) &&
-      (Loaded() == 0 || Now() >= Turn(*plan)))
+      (Loaded() == 0 || Now() >= LoadTime(*plan)))
     co_await Load(version);
 }
 
@@ -240,14 +240,14 @@
   if (m_report && m_staging_searched_for < version && !loaded_is_staged) {
     m_staging_searched_for = version;
     co_await m_stager.FindStaged(version);
-    m_tell();
+    m_notify();
   }
   if (m_state.m_cache.Complete(version))
     co_return;
   Spawn(executor, m_fetcher.Fetch(version), "fetch");
 }
 
-Awaitable<void> EngineController::FetchNewestAhead() {
+Awaitable<void> EngineController::PrefetchNewest() {
   const uint64_t newest = NewestVersion(m_state);
   if (m_fetcher.version() == 0 || newest <= m_fetcher.version())
     co_return;
@@ -255,7 +255,7 @@
         "fetch_ahead");
 }
 
-TimePoint EngineController::Turn(const decide::LoadPlan& plan) const {
+TimePoint EngineController::LoadTime(const decide::LoadPlan& plan) const {
   const model::Replica* own = OwnReplica(m_state);
   std::vector<std::string> replicas;
   for (const auto& [id, replica] : m_state.m_replicas) {
@@ -281,7 +281,7 @@
   if (!co_await m_stager.Verify(version) || !m_report)
     co_return;
   m_calls_stopped = true;
-  m_tell();
+  m_notify();
   const double fullness = m_get_utilisation();
   if (Loaded() > 0)
     co_await WaitForDrain(Now() + decide::DrainTime(fullness));
@@ -300,7 +300,7 @@
     m_calls_stopped = false;
   }
   line.Info();
-  const TimePoint until = Now() + m_state.m_engine->m_load + kOutage;
+  const TimePoint until = Now() + m_state.m_engine->m_load + kLoadOutage;
   do {
     co_await Sleep(kLoadPollInterval);
     RecordEngineReport(co_await m_engine.Report());
