--- a/src/libverbenalead/target/engine_controller.h
+++ b/src/libverbenalead/target/engine_controller.h
@@ -32,12 +32,12 @@
   /// Doesn't return.
   Awaitable<void> Run();
   /// The state of the replica to be sent to entries, without its calls.
-  links::ReplicaUpdate News() const;
+  links::ReplicaUpdate CurrentUpdate() const;
 
  private:
   /// Queries the engine once and takes the next step towards the planned
   /// version.
-  Awaitable<void> Look();
+  Awaitable<void> Poll();
   /// Records the status of the engine, or that the query failed. After a
   /// restart of the engine, its staged chunks are no longer relied on.
   void RecordEngineReport(AsyncResult<model::EngineReport> report);
@@ -55,22 +55,22 @@
   /// Handles two versions declared in quick succession: obtains the digests of
   /// the newer one now, as the origin may be unreachable later, and fetches the
   /// newer one once the older one no longer needs the origin.
-  Awaitable<void> FetchNewestAhead();
+  Awaitable<void> PrefetchNewest();
   /// Whether the current transfer should finish before another one starts.
   bool ShouldFinishFetch() const;
   /// Records when each version in the cache became complete.
   void RecordCompleteVersions();
   /// What to load next; nothing if the engine runs the version that it should.
-  std::optional<decide::LoadPlan> Plan() const;
+  std::optional<decide::LoadPlan> PlanNextLoad() const;
   /// When this replica starts its load under `plan`.
-  TimePoint Turn(const decide::LoadPlan& plan) const;
+  TimePoint LoadTime(const decide::LoadPlan& plan) const;
   /// The version that the engine runs; 0: none, or not known.
   uint64_t Loaded() const;
 
   TargetState& m_state;
   platform::EngineClient& m_engine;
   ChunkFetcher& m_fetcher;
-  const std::function<void()> m_tell;
+  const std::function<void()> m_notify;
   const std::function<double()> m_get_utilisation;
   /// The last status of the engine; empty if the last query failed.
   std::optional<model::EngineReport> m_report;
@@ -84,8 +84,8 @@
   bool m_calls_stopped = false;
   /// When each version became complete; incomplete versions are absent.
   std::map<uint64_t, TimePoint> m_version_complete_at;
-  /// The state at the last call of `m_tell` from `Run`.
-  links::ReplicaUpdate m_told;
+  /// The state at the last call of `m_notify` from `Run`.
+  links::ReplicaUpdate m_last_update;
 };
 
 }  // namespace verbenalead::target
--- a/src/libverbenalead/target/entry_subscription.h
+++ b/src/libverbenalead/target/entry_subscription.h
@@ -9,7 +9,7 @@
 /// An entry that uses the replica or subscribed to its state.
 struct EntrySubscription {
   /// End of the subscription; each request of the entry extends it.
-  TimePoint m_until{};
+  TimePoint m_expires_at{};
   /// Calls of the entry at the replica, and when the entry reported them.
   links::ReplicaCalls m_calls;
   TimePoint m_calls_reported_at{};
@@ -17,7 +17,7 @@
   /// waiting at the entry for a free slot.
   bool m_slot_denied = false;
   /// The last update sent to the entry.
-  links::ReplicaUpdate m_told;
+  links::ReplicaUpdate m_last_update;
 };
 
 }  // namespace verbenalead::target
--- a/src/libverbenalead/target/platform_target.cc
+++ b/src/libverbenalead/target/platform_target.cc
@@ -76,13 +76,13 @@
                     AnnounceOriginFetches(update);
                   }),
         m_datagrams(m_threads.main(), m_state.m_options.m_peers),
-        m_places(m_state,
-                 m_datagrams,
-                 [this] { return m_engine_controller.News(); }),
+        m_slot_granter(m_state,
+                       m_datagrams,
+                       [this] { return m_engine_controller.CurrentUpdate(); }),
         m_chunks(
             m_state,
             m_engine,
-            [this] { return m_places.Calls().m_calls > 0; },
+            [this] { return m_slot_granter.Calls().m_calls > 0; },
             [this](uint64_t version, uint32_t chunk) {
               m_fetcher.RecordCorruptChunk(version, chunk);
             }),
@@ -90,14 +90,14 @@
             m_state,
             m_engine,
             m_fetcher,
-            [this] { m_places.SendToAll(); },
+            [this] { m_slot_granter.SendToAll(); },
             [this] { return m_pool_utilisation; }),
         m_rows(m_threads.main(), m_state, m_store, m_http),
         m_chunk_server(
             m_threads,
             {},
             [this](const wire::Request& request, wire::ResponseWriter& caller) {
-              return m_chunks.Tell(request, caller);
+              return m_chunks.Respond(request, caller);
             }),
         m_metrics(m_threads, {}, links::MetricsHandler(m_state.m_metrics)),
         m_signals(m_threads.main(), SIGTERM, SIGINT, SIGHUP) {}
@@ -108,16 +108,16 @@
       HandleFollowRequest(sender, *follow);
     } else if (const auto* calls = std::get_if<links::CallUpdate>(&message)) {
       if (IsOwnReplica(sender, calls->m_replica))
-        m_places.HandleCallReport(sender, *calls);
+        m_slot_granter.HandleCallReport(sender, *calls);
     } else if (const auto* slot_request =
                    std::get_if<links::SlotRequestMessage>(&message)) {
       if (IsOwnReplica(sender, slot_request->m_replica))
-        m_places.Grant(sender, *slot_request);
+        m_slot_granter.Grant(sender, *slot_request);
     } else if (const auto* withdrawal =
                    std::get_if<links::SlotWithdrawal>(&message)) {
-      m_places.Withdraw(sender, withdrawal->m_ticket);
+      m_slot_granter.Withdraw(sender, withdrawal->m_ticket);
     } else if (const auto* update = std::get_if<links::ChunkUpdate>(&message)) {
-      m_fetcher.TakeNews(*update);
+      m_fetcher.HandleChunkUpdate(*update);
     } else if (const auto* origin_fetches =
                    std::get_if<links::OriginFetchUpdate>(&message)) {
       m_fetcher.HandleOriginFetches(*origin_fetches);
@@ -140,7 +140,7 @@
   void HandleFollowRequest(const Endpoint& sender,
                            const links::SubscriptionRequest& request) {
     const TimePoint until = Now() + kSubscriptionLifetime;
-    if (request.m_chunks) {
+    if (request.m_wants_chunks) {
       const bool known = m_chunk_subscribers.contains(sender);
       m_chunk_subscribers[sender] = until;
       if (!known)
@@ -150,8 +150,8 @@
     m_rows.HandleAnnouncement(sender, request);
     // Entries elsewhere learn the state of this replica from the entries of
     // this data centre.
-    if (request.m_near) {
-      m_places.Follow(sender, until);
+    if (request.m_same_data_center) {
+      m_slot_granter.Follow(sender, until);
       m_pool_utilisation = request.m_used_slots_percent / kPercent;
     }
   }
@@ -193,7 +193,7 @@
       std::erase_if(m_chunk_subscribers, [now](const auto& follower) {
         return follower.second <= now;
       });
-      m_places.ExpireSilentEntries(now);
+      m_slot_granter.ExpireSilentEntries(now);
       const bool all = ++round % kRoundsPerFullUpdate == 0;
       if (HeldChunkCount() != last_sent || all) {
         last_sent = HeldChunkCount();
@@ -201,9 +201,9 @@
           SendChunkUpdate(host);
       }
       if (all)
-        m_places.SendToAll();
+        m_slot_granter.SendToAll();
       else if (round % kRoundsPerChangeUpdate == 0)
-        m_places.SendChanges();
+        m_slot_granter.SendChanges();
     }
   }
 
@@ -222,7 +222,7 @@
         if (!all && subscribed.contains(host))
           continue;
         links::SubscriptionRequest request;
-        request.m_chunks = true;
+        request.m_wants_chunks = true;
         m_datagrams.Send(Endpoint(host, m_state.m_options.m_peers.port()),
                          request);
       }
@@ -254,7 +254,7 @@
   platform::OriginClient m_origin;
   ChunkFetcher m_fetcher;
   links::DatagramSocket m_datagrams;
-  SlotGranter m_places;
+  SlotGranter m_slot_granter;
   ChunkServer m_chunks;
   EngineController m_engine_controller;
   RowSource m_rows;
--- a/src/libverbenalead/target/row_source.cc
+++ b/src/libverbenalead/target/row_source.cc
@@ -70,7 +70,7 @@
 links::PollSchedule RowSource::Pace() const {
   links::PollSchedule schedule;
   schedule.m_interval = decide::kUnannouncedReadInterval;
-  schedule.m_hold =
+  schedule.m_paused =
       IsIdle() || decide::DefersStoreRead(m_changes, m_start_jitter, Now());
   return schedule;
 }
@@ -182,12 +182,12 @@
 void RowSource::HandleAnnouncement(const Endpoint& entry,
                                    const links::SubscriptionRequest& request) {
   const bool is_newer = decide::HandleAnnouncement(
-      m_changes, request.m_near, request.m_weights_revision, Now());
+      m_changes, request.m_same_data_center, request.m_weights_revision, Now());
   const bool other_replicas =
       request.m_replicas_hash != decide::HashOf(m_state.m_replicas);
   if (is_newer && !m_fetching)
     Spawn(m_executor, ReadRowsExclusively(entry, other_replicas), "take_over");
-  else if (request.m_near && m_changes.m_known && other_replicas)
+  else if (request.m_same_data_center && m_changes.m_known && other_replicas)
     RequestReplicaRows(entry);
 }
 
--- a/src/libverbenalead/target/row_source_test.cc
+++ b/src/libverbenalead/target/row_source_test.cc
@@ -101,7 +101,7 @@
     m_io->run_for(400ms);
     m_http->m_asked.clear();
     links::SubscriptionRequest request;
-    request.m_near = true;
+    request.m_same_data_center = true;
     request.m_weights_revision = 5;
     request.m_replicas_hash = 0;
     m_rows->HandleAnnouncement(Endpoint("10.0.0.1", 2), request);
@@ -128,7 +128,7 @@
     m_io->run_for(400ms);
     m_http->m_asked.clear();
     links::SubscriptionRequest request;
-    request.m_near = true;
+    request.m_same_data_center = true;
     request.m_weights_revision = 6;
     request.m_replicas_hash = decide::HashOf(m_state->m_replicas);
     m_rows->HandleAnnouncement(Endpoint("10.0.0.1", 2), request);
--- a/src/libverbenalead/target/slot_granter.cc
+++ b/src/libverbenalead/target/slot_granter.cc
@@ -24,12 +24,13 @@
   slot_request.m_prompt_tokens = request.m_prompt_tokens;
   slot_request.m_can_be_on_time = request.m_can_be_on_time;
   slot_request.m_read_deadline = now + request.m_read_within;
-  slot_request.m_until = now + request.m_wait;
+  slot_request.m_until = now + request.m_max_wait;
   links::SlotAnswer answer;
   answer.m_ticket = request.m_ticket;
-  answer.m_news = UpdateFor(follower);
-  if (!answer.m_news.m_loading) {
-    const auto decision = decide::Ask(m_queue, slot_request, Load(), now);
+  answer.m_update = UpdateFor(follower);
+  if (!answer.m_update.m_loading) {
+    const auto decision =
+        decide::RequestSlot(m_queue, slot_request, Load(), now);
     answer.m_granted = decision == decide::SlotVerdict::kGranted;
     answer.m_queued = decision == decide::SlotVerdict::kQueued;
   }
@@ -40,7 +41,7 @@
 }
 
 void SlotGranter::Withdraw(const Endpoint& entry, uint64_t ticket) {
-  decide::Withdraw(m_queue, entry, ticket);
+  decide::WithdrawRequest(m_queue, entry, ticket);
 }
 
 void SlotGranter::CountGranted(EntrySubscription& follower,
@@ -50,15 +51,15 @@
 }
 
 void SlotGranter::GrantWaiting() {
-  if (m_queue.m_slot_requests.empty() || m_engine_news().m_loading)
+  if (m_queue.m_slot_requests.empty() || m_engine_update().m_loading)
     return;
   for (const decide::SlotRequest& slot_request :
-       decide::Grant(m_queue, Load(), Now())) {
+       decide::GrantSlots(m_queue, Load(), Now())) {
     EntrySubscription& follower = m_entries[slot_request.m_entry];
     links::SlotAnswer answer;
     answer.m_ticket = slot_request.m_ticket;
     answer.m_granted = true;
-    answer.m_news = UpdateFor(follower);
+    answer.m_update = UpdateFor(follower);
     CountGranted(follower, slot_request.m_prompt_tokens);
     m_datagrams.Send(slot_request.m_entry, answer);
   }
@@ -72,25 +73,25 @@
   GrantWaiting();
   // Entries that were denied a slot may have calls waiting, so they are
   // notified of the change at once.
-  Tell([](const EntrySubscription& other, const links::ReplicaUpdate&) {
+  SendUpdates([](const EntrySubscription& other, const links::ReplicaUpdate&) {
     return other.m_slot_denied;
   });
 }
 
 void SlotGranter::Follow(const Endpoint& entry, TimePoint until) {
-  m_entries[entry].m_until = until;
+  m_entries[entry].m_expires_at = until;
 }
 
 void SlotGranter::SendToAll() {
-  Tell([](const EntrySubscription&, const links::ReplicaUpdate&) {
+  SendUpdates([](const EntrySubscription&, const links::ReplicaUpdate&) {
     return true;
   });
 }
 
 void SlotGranter::SendChanges() {
-  Tell([](const EntrySubscription& follower,
-          const links::ReplicaUpdate& update) {
-    return update != follower.m_told;
+  SendUpdates([](const EntrySubscription& follower,
+                 const links::ReplicaUpdate& update) {
+    return update != follower.m_last_update;
   });
 }
 
@@ -102,7 +103,8 @@
   }
   GrantWaiting();
   std::erase_if(m_entries, [now](const auto& entry) {
-    return entry.second.m_until <= now && entry.second.m_calls.m_calls == 0;
+    return entry.second.m_expires_at <= now &&
+           entry.second.m_calls.m_calls == 0;
   });
 }
 
@@ -122,24 +124,24 @@
 
 links::ReplicaUpdate SlotGranter::UpdateFor(
     const EntrySubscription& follower) const {
-  links::ReplicaUpdate update = m_engine_news();
+  links::ReplicaUpdate update = m_engine_update();
   const links::ReplicaCalls all = Calls();
   update.m_other_entries_calls.m_calls = all.m_calls - follower.m_calls.m_calls;
   update.m_other_entries_calls.m_unread_tokens =
       all.m_unread_tokens - follower.m_calls.m_unread_tokens;
-  update.m_waiting = static_cast<uint32_t>(m_queue.m_slot_requests.size());
+  update.m_queued_calls = static_cast<uint32_t>(m_queue.m_slot_requests.size());
   return update;
 }
 
 template <typename Which>
-void SlotGranter::Tell(Which which) {
+void SlotGranter::SendUpdates(Which which) {
   if (!OwnReplica(m_state))
     return;
   for (auto& [entry, follower] : m_entries) {
     const links::ReplicaUpdate update = UpdateFor(follower);
-    if (follower.m_until <= Now() || !which(follower, update))
+    if (follower.m_expires_at <= Now() || !which(follower, update))
       continue;
-    follower.m_told = update;
+    follower.m_last_update = update;
     follower.m_slot_denied = false;
     m_datagrams.Send(entry, update);
   }
--- a/src/libverbenalead/target/slot_granter.h
+++ b/src/libverbenalead/target/slot_granter.h
@@ -23,7 +23,7 @@
               std::function<links::ReplicaUpdate()> engine_update)
       : m_state(state),
         m_datagrams(datagrams),
-        m_engine_news(std::move(engine_update)) {}
+        m_engine_update(std::move(engine_update)) {}
 
   /// Answers a request for a slot: granted if the replica can take one more
   /// call, else queued or denied.
@@ -57,11 +57,11 @@
   void GrantWaiting();
   /// Sends an update to the subscribed entries that `which` selects.
   template <typename Which>
-  void Tell(Which which);
+  void SendUpdates(Which which);
 
   TargetState& m_state;
   links::DatagramSocket& m_datagrams;
-  const std::function<links::ReplicaUpdate()> m_engine_news;
+  const std::function<links::ReplicaUpdate()> m_engine_update;
   std::map<Endpoint, EntrySubscription> m_entries;
   decide::SlotQueue m_queue;
 };
--- a/src/libverbenalead/target/slot_granter_test.cc
+++ b/src/libverbenalead/target/slot_granter_test.cc
@@ -24,9 +24,9 @@
     m_state = std::make_unique<TargetState>(TargetOptions());
     m_state->m_engine = model::EngineProfile();
     m_state->m_engine->m_slots = kSlots;
-    m_news = {};
+    m_update = {};
     m_slot_granter = std::make_unique<SlotGranter>(*m_state, m_datagrams,
-                                                   [this] { return m_news; });
+                                                   [this] { return m_update; });
   }
 
   void GrantsNoMoreThanAvailableSlots() {
@@ -58,7 +58,7 @@
   }
 
   void GrantsNothingWhileLoading() {
-    m_news.m_loading = true;
+    m_update.m_loading = true;
     RequestSlot(kEntry, 0);
     CPPUNIT_ASSERT_EQUAL(0U, m_slot_granter->Calls().m_calls);
   }
@@ -75,7 +75,7 @@
   links::DatagramSocket m_datagrams{m_io.get_executor(),
                                     Endpoint("127.0.0.1", 0)};
   std::unique_ptr<TargetState> m_state;
-  links::ReplicaUpdate m_news;
+  links::ReplicaUpdate m_update;
   std::unique_ptr<SlotGranter> m_slot_granter;
 };
 
--- a/src/libverbenalead/target/target_rows.cc
+++ b/src/libverbenalead/target/target_rows.cc
@@ -14,7 +14,7 @@
 namespace {
 
 /// Applies a newer configuration; logs and ignores a malformed one.
-void TakeConfig(TargetState& state, const std::string& text) {
+void ApplyConfig(TargetState& state, const std::string& text) {
   auto config = CatchFailure([&] { return platform::DecodeConfig(text); });
   if (!config) {
     LogLine("bad_config").With(config.error()).Error();
@@ -73,7 +73,7 @@
   // The configuration comes first, as it defines which model this host runs.
   for (const platform::Row& row : rows.m_rows) {
     if (!row.m_deleted && row.m_key == platform::kConfigKey)
-      TakeConfig(state, row.m_value);
+      ApplyConfig(state, row.m_value);
   }
   for (const platform::Row& row : rows.m_rows) {
     if (row.m_deleted || !row.m_key.starts_with(platform::kWeightsKeyPrefix))
--- a/src/libverbenalead/target/upload_admission.cc
+++ b/src/libverbenalead/target/upload_admission.cc
@@ -18,7 +18,7 @@
                                       uint64_t version,
                                       decide::UploadRequest request) {
   request.m_id = id;
-  decide::Ask(m_turns, version, request);
+  decide::EnqueueRequest(m_slots, version, request);
   auto timer = std::make_shared<boost::asio::steady_timer>(
       co_await boost::asio::this_coro::executor);
   m_waiting[id] = timer;
@@ -33,16 +33,16 @@
 }
 
 void UploadAdmission::End(uint64_t id) {
-  decide::End(m_turns, id);
+  decide::EndUpload(m_slots, id);
   m_waiting.erase(id);
   Admit();
 }
 
 void UploadAdmission::Admit() {
-  while (const auto id = decide::Next(m_turns, Now())) {
+  while (const auto id = decide::StartNextUpload(m_slots, Now())) {
     const auto found = m_waiting.find(*id);
     if (found == m_waiting.end()) {
-      decide::End(m_turns, *id);
+      decide::EndUpload(m_slots, *id);
       continue;
     }
     found->second->cancel();
--- a/src/libverbenalead/target/upload_admission.h
+++ b/src/libverbenalead/target/upload_admission.h
@@ -33,7 +33,7 @@
   /// Resumes the waiting uploads that may begin now.
   void Admit();
 
-  decide::UploadSlots m_turns;
+  decide::UploadSlots m_slots;
   uint64_t m_last_id = 0;
   /// Waiting uploads by id; cancelling the timer resumes the upload.
   std::map<uint64_t, std::shared_ptr<boost::asio::steady_timer>> m_waiting;
--- a/src/libverbenalead/wire/client.cc
+++ b/src/libverbenalead/wire/client.cc
@@ -36,7 +36,7 @@
                                                  Endpoint endpoint,
                                                  Request request,
                                                  ProgressTimeouts timeouts) {
-  const TimePoint end = Now() + timeouts.m_whole;
+  const TimePoint end = Now() + timeouts.m_total;
   const TimePoint head_deadline = Now() + timeouts.m_head;
   auto opened =
       co_await client.Open(endpoint, std::move(request), head_deadline);
--- a/src/libverbenalead/wire/client.h
+++ b/src/libverbenalead/wire/client.h
@@ -40,7 +40,7 @@
   /// From one piece of the body to the next.
   Duration m_piece{};
   /// From the request to the end of the response.
-  Duration m_whole{};
+  Duration m_total{};
 };
 
 /// Like Fetch, but with a timeout for each part of the response and without a
--- a/src/libverbenalead/wire/recording_writer.h
+++ b/src/libverbenalead/wire/recording_writer.h
@@ -13,11 +13,11 @@
 class RecordingWriter : public ResponseWriter {
  public:
   Awaitable<bool> Send(Response response) override {
-    m_head_count += m_whole ? 2 : 1;
+    m_head_count += m_complete ? 2 : 1;
     m_status = response.m_status;
     m_headers = std::move(response.m_headers);
     m_body += response.m_body;
-    m_whole = true;
+    m_complete = true;
     co_return true;
   }
   Awaitable<bool> Start(ResponseHead head) override {
@@ -31,16 +31,16 @@
     co_return true;
   }
   Awaitable<bool> Finish(Headers) override {
-    m_whole = true;
+    m_complete = true;
     co_return true;
   }
-  bool gone() const override { return m_disconnected; }
+  bool disconnected() const override { return m_disconnected; }
   void OnDisconnect(std::function<void()> function) override {
     m_on_disconnect = std::move(function);
   }
 
   /// Simulates that the caller closes its connection.
-  void Leave() {
+  void Disconnect() {
     m_disconnected = true;
     if (const auto on_disconnect = std::exchange(m_on_disconnect, nullptr))
       on_disconnect();
@@ -53,7 +53,7 @@
   Headers m_headers;
   std::string m_body;
   /// Whether the response was completed.
-  bool m_whole = false;
+  bool m_complete = false;
 
  private:
   std::function<void()> m_on_disconnect;
--- a/src/libverbenalead/wire/response_writer.h
+++ b/src/libverbenalead/wire/response_writer.h
@@ -26,7 +26,7 @@
   virtual Awaitable<bool> Write(std::string bytes) = 0;
   virtual Awaitable<bool> Finish(Headers trailers) = 0;
   /// Whether the client is known to have disconnected.
-  virtual bool gone() const = 0;
+  virtual bool disconnected() const = 0;
   /// Registers `function`, which is called when the client is known to have
   /// disconnected; immediately if that is already the case. An empty function
   /// removes the registration.
--- a/src/vlctl/answer.cc
+++ b/src/vlctl/answer.cc
@@ -36,8 +36,8 @@
   return code;
 }
 
-ExitCode ReadObject(const AsyncResult<wire::Response>& response,
-                    json::object& out) {
+ExitCode ParseResponse(const AsyncResult<wire::Response>& response,
+                       json::object& out) {
   if (!response)
     return PrintError(kFailed, ToString(response.error()));
   auto object = CatchFailure(
@@ -53,7 +53,7 @@
                         : "status " + std::to_string(response->m_status));
 }
 
-std::string Show(const json::value& value) {
+std::string ToDisplayText(const json::value& value) {
   return value.is_string() ? std::string(value.get_string())
                            : json::serialize(value);
 }
--- a/src/vlctl/answer.h
+++ b/src/vlctl/answer.h
@@ -18,12 +18,12 @@
 /// a successful response. Otherwise prints the error to standard error and
 /// returns the exit code that corresponds to the status of the response, or
 /// kFailed if there was no response or its body is not a JSON object.
-ExitCode ReadObject(const AsyncResult<wire::Response>& response,
-                    boost::json::object& out);
+ExitCode ParseResponse(const AsyncResult<wire::Response>& response,
+                       boost::json::object& out);
 
 /// Formats `value` for terminal output: a string without quotes, anything else
 /// as JSON.
-std::string Show(const boost::json::value& value);
+std::string ToDisplayText(const boost::json::value& value);
 
 }  // namespace verbenalead::vlctl
 
--- a/src/vlctl/apply.cc
+++ b/src/vlctl/apply.cc
@@ -25,7 +25,7 @@
   return text.str();
 }
 
-ExitCode ApplyOne(const Context& context,
+ExitCode ApplyOne(const CommandContext& context,
                   const json::object& resource,
                   const std::string& operation) {
   if (!resource.contains("kind") || !resource.contains("name") ||
@@ -35,14 +35,15 @@
                         {"x-operator", context.m_operator},
                         {"content-type", "application/json"}};
   if (resource.contains("revision"))
-    headers["if-match"] = Show(resource.at("revision"));
-  const std::string path = "/v1/resources/" + Show(resource.at("kind")) + "/" +
-                           Show(resource.at("name"));
+    headers["if-match"] = ToDisplayText(resource.at("revision"));
+  const std::string path = "/v1/resources/" +
+                           ToDisplayText(resource.at("kind")) + "/" +
+                           ToDisplayText(resource.at("name"));
   json::object answer;
   const ExitCode code =
-      ReadObject(context.m_client.Call("PUT", path, headers,
-                                       json::serialize(resource.at("spec"))),
-                 answer);
+      ParseResponse(context.m_client.Call("PUT", path, headers,
+                                          json::serialize(resource.at("spec"))),
+                    answer);
   if (code != kOk) {
     std::cerr << "vlctl: operation " << operation << "\n";
     return code;
@@ -51,8 +52,10 @@
     std::cout << json::serialize(answer) << "\n";
   else
     fmt::print("{}/{} accepted at revision {}, held by {} other entries\n",
-               Show(answer.at("kind")), Show(answer.at("name")),
-               Show(answer.at("revision")), Show(answer.at("held_by")));
+               ToDisplayText(answer.at("kind")),
+               ToDisplayText(answer.at("name")),
+               ToDisplayText(answer.at("revision")),
+               ToDisplayText(answer.at("held_by")));
   return kOk;
 }
 
@@ -61,7 +64,7 @@
 /// last.
 size_t DeclarationOrder(const json::object& resource) {
   const json::value* kind = resource.if_contains("kind");
-  const std::string name = kind != nullptr ? Show(*kind) : "";
+  const std::string name = kind != nullptr ? ToDisplayText(*kind) : "";
   const std::vector<std::string>& kinds = model::ResourceKinds();
   return static_cast<size_t>(std::find(kinds.begin(), kinds.end(), name) -
                              kinds.begin());
@@ -69,7 +72,7 @@
 
 }  // namespace
 
-ExitCode Apply(const Context& context,
+ExitCode Apply(const CommandContext& context,
                const std::string& path,
                const std::string& operation) {
   auto text = ReadFile(path);
--- a/src/vlctl/commands.cc
+++ b/src/vlctl/commands.cc
@@ -12,16 +12,16 @@
 
 namespace json = boost::json;
 
-ExitCode Drain(const Context& context, const std::string& target) {
+ExitCode Drain(const CommandContext& context, const std::string& target) {
   json::object answer;
-  const ExitCode code =
-      ReadObject(context.m_client.Call("POST", "/v1/drain/" + target), answer);
+  const ExitCode code = ParseResponse(
+      context.m_client.Call("POST", "/v1/drain/" + target), answer);
   if (code == kOk)
     fmt::print("{} takes nothing new\n", target);
   return code;
 }
 
-ExitCode Status(const Context& context) {
+ExitCode Status(const CommandContext& context) {
   json::object status;
   std::vector<model::TargetReport> targets;
   const ExitCode code = ReadTargets(context, "", status, targets);
@@ -31,13 +31,13 @@
     std::cout << json::serialize(status) << "\n";
     return kOk;
   }
-  fmt::print("entry {} at revision {}\n", Show(status.at("host")),
-             Show(status.at("revision")));
+  fmt::print("entry {} at revision {}\n", ToDisplayText(status.at("host")),
+             ToDisplayText(status.at("revision")));
   fmt::print("{:<16} {:<12} {:<12} {:<12} {:>8} {:>8}\n", "TARGET", "POOL",
              "STATE", "VERSION", "REVISION", "RUNNING");
   for (const model::TargetReport& report : targets)
     fmt::print("{:<16} {:<12} {:<12} {:<12} {:>8} {:>8}\n", report.m_name,
-               report.m_pool, StateOf(report), report.m_version,
+               report.m_pool, StateLabel(report), report.m_version,
                report.m_revision, report.m_running);
   return kOk;
 }
--- a/src/vlctl/commands.h
+++ b/src/vlctl/commands.h
@@ -11,7 +11,7 @@
 namespace verbenalead::vlctl {
 
 /// The client and the options that all commands share.
-struct Context {
+struct CommandContext {
   OperatorClient m_client;
   /// Print JSON, for scripts, instead of tables.
   bool m_json = false;
@@ -24,24 +24,24 @@
 /// resource that is not accepted. `operation` is the operation id of the write,
 /// with the position appended if there are several resources; if it is empty, a
 /// new one is generated.
-ExitCode Apply(const Context& context,
+ExitCode Apply(const CommandContext& context,
                const std::string& path,
                const std::string& operation);
-ExitCode Get(const Context& context,
+ExitCode Get(const CommandContext& context,
              const std::string& kind,
              const std::string& name);
-ExitCode Delete(const Context& context,
+ExitCode Delete(const CommandContext& context,
                 const std::string& kind,
                 const std::string& name,
                 const std::string& operation);
 /// Prints each change after `revision`, until interrupted or until `count`
 /// changes were printed. 0: no limit.
-ExitCode Watch(const Context& context,
+ExitCode Watch(const CommandContext& context,
                std::optional<uint64_t> revision,
                uint64_t count);
-ExitCode Drain(const Context& context, const std::string& target);
-ExitCode Trace(const Context& context, const std::string& request);
-ExitCode Status(const Context& context);
+ExitCode Drain(const CommandContext& context, const std::string& target);
+ExitCode Trace(const CommandContext& context, const std::string& request);
+ExitCode Status(const CommandContext& context);
 
 /// Validates the settings file at `path` for `program` ("vlentry" or
 /// "vltarget") without starting the program.
--- a/src/vlctl/delete.cc
+++ b/src/vlctl/delete.cc
@@ -9,7 +9,7 @@
 namespace verbenalead::vlctl {
 namespace json = boost::json;
 
-ExitCode Delete(const Context& context,
+ExitCode Delete(const CommandContext& context,
                 const std::string& kind,
                 const std::string& name,
                 const std::string& operation) {
@@ -17,13 +17,13 @@
       {"x-operation-id", operation.empty() ? NewId() : operation},
       {"x-operator", context.m_operator}};
   json::object answer;
-  const ExitCode code =
-      ReadObject(context.m_client.Call(
-                     "DELETE", "/v1/resources/" + kind + "/" + name, headers),
-                 answer);
+  const ExitCode code = ParseResponse(
+      context.m_client.Call("DELETE", "/v1/resources/" + kind + "/" + name,
+                            headers),
+      answer);
   if (code == kOk)
     fmt::print("{}/{} deleted at revision {}\n", kind, name,
-               Show(answer.at("revision")));
+               ToDisplayText(answer.at("revision")));
   return code;
 }
 
--- a/src/vlctl/get.cc
+++ b/src/vlctl/get.cc
@@ -12,14 +12,14 @@
 namespace json = boost::json;
 
 void PrintResource(const json::object& item) {
-  fmt::print("{:<10} {:<24} {:>8}  {}\n", Show(item.at("kind")),
-             Show(item.at("name")), Show(item.at("revision")),
-             Show(item.at("spec")));
+  fmt::print("{:<10} {:<24} {:>8}  {}\n", ToDisplayText(item.at("kind")),
+             ToDisplayText(item.at("name")), ToDisplayText(item.at("revision")),
+             ToDisplayText(item.at("spec")));
 }
 
 }  // namespace
 
-ExitCode Get(const Context& context,
+ExitCode Get(const CommandContext& context,
              const std::string& kind,
              const std::string& name) {
   std::string path = "/v1/resources";
@@ -28,7 +28,8 @@
   if (!name.empty())
     path += "/" + name;
   json::object answer;
-  const ExitCode code = ReadObject(context.m_client.Call("GET", path), answer);
+  const ExitCode code =
+      ParseResponse(context.m_client.Call("GET", path), answer);
   if (code != kOk)
     return code;
   if (context.m_json) {
--- a/src/vlctl/local_commands.cc
+++ b/src/vlctl/local_commands.cc
@@ -26,7 +26,7 @@
     builder.Chunk(Sha256(bytes));
     size += bytes.size();
   }
-  return builder.Whole(hasher.Finish())
+  return builder.WeightsDigest(hasher.Finish())
       .Size(size)
       .ChunkSize(chunk_size)
       .Build();
@@ -68,7 +68,7 @@
                            {"weights", "/" + base},
                            {"manifest", "/" + base + ".manifest.json"},
                            {"manifest_digest", ToString(Sha256(text))},
-                           {"digest", ToString(manifest->whole())}};
+                           {"digest", ToString(manifest->digest())}};
   std::cout << boost::json::serialize(boost::json::object{
                    {"kind", "version"}, {"name", name}, {"spec", spec}})
             << "\n";
--- a/src/vlctl/main.cc
+++ b/src/vlctl/main.cc
@@ -104,7 +104,7 @@
 }
 
 ExitCode RunRollout(const CLI::App& rollout,
-                    const vlctl::Context& context,
+                    const vlctl::CommandContext& context,
                     const Options& options) {
   const std::string command = rollout.get_subcommands().front()->get_name();
   if (command == "status")
@@ -130,8 +130,8 @@
                                std::chrono::milliseconds(options.m_timeout_ms));
   if (!LoadCredentials(client, options))
     return vlctl::kUsageError;
-  const vlctl::Context context{client, options.m_output == "json",
-                               options.m_operator};
+  const vlctl::CommandContext context{client, options.m_output == "json",
+                                      options.m_operator};
   if (command == "apply")
     return vlctl::Apply(context, options.m_file, options.m_operation);
   if (command == "get")
--- a/src/vlctl/operator_client.cc
+++ b/src/vlctl/operator_client.cc
@@ -88,7 +88,7 @@
       wire::Fetch(*m_client, m_entry, std::move(request), Now() + m_timeout));
 }
 
-AsyncResult<bool> OperatorClient::Follow(
+AsyncResult<bool> OperatorClient::StreamLines(
     const std::string& path,
     const std::function<bool(const std::string&)>& on_line) const {
   wire::Request request;
--- a/src/vlctl/operator_client.h
+++ b/src/vlctl/operator_client.h
@@ -35,7 +35,7 @@
   /// Calls `on_line` with each non-empty line of a streamed response, until
   /// `on_line` returns false or the stream ends. Fails if no bytes arrive for
   /// 60 s.
-  AsyncResult<bool> Follow(
+  AsyncResult<bool> StreamLines(
       const std::string& path,
       const std::function<bool(const std::string&)>& on_line) const;
 
--- a/src/vlctl/rollout_commands.cc
+++ b/src/vlctl/rollout_commands.cc
@@ -27,7 +27,7 @@
 }
 
 void PrintHost(const model::TargetReport& report) {
-  const bool loading = !report.m_loading.empty();
+  const bool loading = !report.m_loading_version.empty();
   const std::string bar =
       loading ? ProgressBar(report.m_chunks_held, report.m_chunks_total)
               : ProgressBar(1, 1);
@@ -35,8 +35,8 @@
   if (!report.m_reason.empty())
     stage += ": " + report.m_reason;
   fmt::print("{:<16} [{}] {:<16} {:<12} {}\n", report.m_name, bar,
-             loading ? report.m_loading : report.m_version, StateOf(report),
-             stage);
+             loading ? report.m_loading_version : report.m_version,
+             StateLabel(report), stage);
 }
 
 json::object HostToJson(const model::TargetReport& report) {
@@ -45,7 +45,7 @@
           {"reason", report.m_reason},
           {"serving", report.m_open},
           {"in_force", report.m_version},
-          {"loading", report.m_loading},
+          {"loading", report.m_loading_version},
           {"chunks_held", report.m_chunks_held},
           {"chunks_total", report.m_chunks_total},
           {"origin_bytes", report.m_origin_bytes},
@@ -58,24 +58,24 @@
   std::string m_revision;
 };
 
-ExitCode ReadPool(const Context& context,
+ExitCode ReadPool(const CommandContext& context,
                   const std::string& pool,
                   PoolSpec& out) {
   json::object answer;
-  const ExitCode code = ReadObject(
+  const ExitCode code = ParseResponse(
       context.m_client.Call("GET", "/v1/resources/pool/" + pool), answer);
   if (code != kOk)
     return code;
   if (!answer.contains("spec") || !answer.at("spec").is_object())
     return PrintError(kFailed, "the entry's answer has no spec");
   out.m_spec = answer.at("spec").get_object();
-  out.m_revision = Show(answer.at("revision"));
+  out.m_revision = ToDisplayText(answer.at("revision"));
   return kOk;
 }
 
 /// Writes the spec by compare-and-swap: the entry refuses the write if the pool
 /// has changed since `spec` was read.
-ExitCode WritePool(const Context& context,
+ExitCode WritePool(const CommandContext& context,
                    const std::string& pool,
                    const PoolSpec& spec) {
   const wire::Headers headers{{"x-operation-id", NewId()},
@@ -83,17 +83,17 @@
                               {"if-match", spec.m_revision},
                               {"content-type", "application/json"}};
   json::object answer;
-  const ExitCode code =
-      ReadObject(context.m_client.Call("PUT", "/v1/resources/pool/" + pool,
-                                       headers, json::serialize(spec.m_spec)),
-                 answer);
+  const ExitCode code = ParseResponse(
+      context.m_client.Call("PUT", "/v1/resources/pool/" + pool, headers,
+                            json::serialize(spec.m_spec)),
+      answer);
   if (code != kOk)
     return code;
   if (context.m_json)
     std::cout << json::serialize(answer) << "\n";
   else
     fmt::print("pool/{} accepted at revision {}\n", pool,
-               Show(answer.at("revision")));
+               ToDisplayText(answer.at("revision")));
   return kOk;
 }
 
@@ -101,17 +101,18 @@
   if (spec == nullptr || !spec->is_object())
     return "";
   const json::value* version = spec->get_object().if_contains("version");
-  return version != nullptr && version->is_string() ? Show(*version) : "";
+  return version != nullptr && version->is_string() ? ToDisplayText(*version)
+                                                    : "";
 }
 
 /// Reads the retained history of changes up to revision `last` and sets `out`
 /// to the most recent version of `pool` other than `current`.
-ExitCode FindPreviousVersion(const Context& context,
+ExitCode FindPreviousVersion(const CommandContext& context,
                              const std::string& pool,
                              const std::string& current,
                              uint64_t last,
                              std::string& out) {
-  auto followed = context.m_client.Follow(
+  auto followed = context.m_client.StreamLines(
       "/v1/watch?after=0", [&](const std::string& line) {
         boost::system::error_code error;
         const json::value value = json::parse(line, error);
@@ -119,11 +120,11 @@
           return true;
         const json::object& change = value.get_object();
         const std::string version = VersionOf(change.if_contains("spec"));
-        if (Show(change.at("kind")) == "pool" &&
-            Show(change.at("name")) == pool && !version.empty() &&
+        if (ToDisplayText(change.at("kind")) == "pool" &&
+            ToDisplayText(change.at("name")) == pool && !version.empty() &&
             version != current)
           out = version;
-        return Show(change.at("revision")) != std::to_string(last);
+        return ToDisplayText(change.at("revision")) != std::to_string(last);
       });
   if (!followed || out.empty()) {
     return PrintError(kNotFound, "no earlier version of pool " + pool +
@@ -134,7 +135,7 @@
 
 }  // namespace
 
-ExitCode RolloutStatus(const Context& context, const std::string& pool) {
+ExitCode RolloutStatus(const CommandContext& context, const std::string& pool) {
   json::object status;
   std::vector<model::TargetReport> targets;
   const ExitCode code = ReadTargets(context, pool, status, targets);
@@ -165,7 +166,7 @@
   return kOk;
 }
 
-ExitCode RolloutPause(const Context& context,
+ExitCode RolloutPause(const CommandContext& context,
                       const std::string& pool,
                       bool paused) {
   PoolSpec spec;
@@ -179,7 +180,7 @@
   return WritePool(context, pool, spec);
 }
 
-ExitCode RolloutUndo(const Context& context,
+ExitCode RolloutUndo(const CommandContext& context,
                      const std::string& pool,
                      const std::string& version) {
   PoolSpec spec;
--- a/src/vlctl/rollout_commands.h
+++ b/src/vlctl/rollout_commands.h
@@ -9,17 +9,17 @@
 
 /// Prints the progress of each host of `pool`, and how many bytes of weights
 /// came from the origin and from other hosts.
-ExitCode RolloutStatus(const Context& context, const std::string& pool);
+ExitCode RolloutStatus(const CommandContext& context, const std::string& pool);
 /// Pauses or resumes the rollout of `pool`. While it is paused, no further host
 /// that serves calls starts to load the new version. Resuming also retries a
 /// rollout that stopped because a load failed.
-ExitCode RolloutPause(const Context& context,
+ExitCode RolloutPause(const CommandContext& context,
                       const std::string& pool,
                       bool paused);
 /// Rolls `pool` back by declaring an earlier version as a new revision:
 /// `version` or, if that is empty, the most recent different version in the
 /// history of changes that the entry retains.
-ExitCode RolloutUndo(const Context& context,
+ExitCode RolloutUndo(const CommandContext& context,
                      const std::string& pool,
                      const std::string& version);
 
--- a/src/vlctl/target_reports.cc
+++ b/src/vlctl/target_reports.cc
@@ -9,12 +9,12 @@
 
 namespace json = boost::json;
 
-ExitCode ReadTargets(const Context& context,
+ExitCode ReadTargets(const CommandContext& context,
                      const std::string& pool,
                      json::object& status,
                      std::vector<model::TargetReport>& targets) {
   const ExitCode code =
-      ReadObject(context.m_client.Call("GET", "/v1/status"), status);
+      ParseResponse(context.m_client.Call("GET", "/v1/status"), status);
   if (code != kOk)
     return code;
   for (const json::value& value : status.at("targets").as_array()) {
@@ -26,7 +26,7 @@
   return kOk;
 }
 
-std::string StateOf(const model::TargetReport& report) {
+std::string StateLabel(const model::TargetReport& report) {
   if (report.m_leaving)
     return "leaving";
   return report.m_open ? "serving" : "not serving";
--- a/src/vlctl/target_reports.h
+++ b/src/vlctl/target_reports.h
@@ -13,13 +13,13 @@
 /// Reads the status of the entry into `status`, and appends the reports of the
 /// targets of `pool` (empty: of all pools) to `targets`. Reports that cannot be
 /// parsed are skipped.
-ExitCode ReadTargets(const Context& context,
+ExitCode ReadTargets(const CommandContext& context,
                      const std::string& pool,
                      boost::json::object& status,
                      std::vector<model::TargetReport>& targets);
 
 /// The label that tables show for the target: whether it accepts requests.
-std::string StateOf(const model::TargetReport& report);
+std::string StateLabel(const model::TargetReport& report);
 
 }  // namespace verbenalead::vlctl
 
--- a/src/vlctl/trace.cc
+++ b/src/vlctl/trace.cc
@@ -8,19 +8,19 @@
 
 namespace json = boost::json;
 
-ExitCode Trace(const Context& context, const std::string& request) {
+ExitCode Trace(const CommandContext& context, const std::string& request) {
   json::object answer;
-  const ExitCode code =
-      ReadObject(context.m_client.Call("GET", "/v1/trace/" + request), answer);
+  const ExitCode code = ParseResponse(
+      context.m_client.Call("GET", "/v1/trace/" + request), answer);
   if (code != kOk)
     return code;
   if (context.m_json) {
     std::cout << json::serialize(answer) << "\n";
     return kOk;
   }
-  std::cout << Show(answer.at("summary")) << "\n";
+  std::cout << ToDisplayText(answer.at("summary")) << "\n";
   for (const json::value& line : answer.at("lines").as_array())
-    std::cout << Show(line) << "\n";
+    std::cout << ToDisplayText(line) << "\n";
   return kOk;
 }
 
--- a/testsuite/load/tally.cc
+++ b/testsuite/load/tally.cc
@@ -37,8 +37,8 @@
   ++m_outcomes[outcome];
   if (outcome != "completed")
     return;
-  m_first.push_back(Milliseconds(first));
-  m_whole.push_back(Milliseconds(whole));
+  m_first_byte_ms.push_back(Milliseconds(first));
+  m_total_ms.push_back(Milliseconds(whole));
 }
 
 std::string Tally::Line(Duration elapsed) const {
@@ -49,10 +49,10 @@
     outcomes += fmt::format(" {}={}", outcome, count);
   }
   const double seconds = std::chrono::duration<double>(elapsed).count();
-  return fmt::format("requests={} per_second={:.1f} not_sent={}{}{}{}",
-                     requests, static_cast<double>(requests) / seconds,
-                     m_unsent_count, outcomes, Quantiles("first", m_first),
-                     Quantiles("whole", m_whole));
+  return fmt::format(
+      "requests={} per_second={:.1f} not_sent={}{}{}{}", requests,
+      static_cast<double>(requests) / seconds, m_unsent_count, outcomes,
+      Quantiles("first", m_first_byte_ms), Quantiles("whole", m_total_ms));
 }
 
 }  // namespace verbenalead::load
--- a/testsuite/load/tally.h
+++ b/testsuite/load/tally.h
@@ -24,8 +24,8 @@
 
  private:
   std::map<std::string, uint64_t> m_outcomes;
-  std::vector<double> m_first;
-  std::vector<double> m_whole;
+  std::vector<double> m_first_byte_ms;
+  std::vector<double> m_total_ms;
   uint64_t m_unsent_count = 0;
 };
 
--- a/testsuite/standins/common/faults.cc
+++ b/testsuite/standins/common/faults.cc
@@ -20,7 +20,7 @@
   Awaitable<bool> Start(wire::ResponseHead) override { co_return true; }
   Awaitable<bool> Write(std::string) override { co_return true; }
   Awaitable<bool> Finish(wire::Headers) override { co_return true; }
-  bool gone() const override { return false; }
+  bool disconnected() const override { return false; }
 };
 
 Awaitable<void> Answer(std::shared_ptr<Faults> faults,
@@ -40,7 +40,7 @@
   }
   if (const int64_t delay = faults->Number("delay_ms"); delay > 0)
     co_await Sleep(std::chrono::milliseconds(delay));
-  if (faults->Spend("lose_answers")) {
+  if (faults->TryConsume("lose_answers")) {
     DiscardingWriter discarding;
     co_await handler(request, discarding);
     co_return;
@@ -73,7 +73,7 @@
              : std::string();
 }
 
-bool Faults::Spend(const std::string& name) {
+bool Faults::TryConsume(const std::string& name) {
   std::lock_guard lock(m_mutex);
   json::object object = Parse(m_json);
   json::value* value = object.if_contains(name);
--- a/testsuite/standins/common/faults.h
+++ b/testsuite/standins/common/faults.h
@@ -27,7 +27,7 @@
   int64_t Number(const std::string& name) const;
   std::string Text(const std::string& name) const;
   /// Decrements the counter `name`. Returns false if it is absent or 0 already.
-  bool Spend(const std::string& name);
+  bool TryConsume(const std::string& name);
   /// Replaces all faults. Returns false, and changes nothing, if `json` is not
   /// a JSON object.
   bool Set(const std::string& json);
--- a/testsuite/standins/engine/engine_handler.cc
+++ b/testsuite/standins/engine/engine_handler.cc
@@ -100,7 +100,7 @@
     text += Word(completion, i);
   const TimePoint done =
       Now() + TokenTime(*engine) * static_cast<int64_t>(completion.m_tokens);
-  while (Now() < done && !writer.gone())
+  while (Now() < done && !writer.disconnected())
     co_await Sleep(std::min<Duration>(done - Now(), kCallerPollInterval));
   const wire::ResponseHead head = HeadFor(completion, "application/json");
   co_await writer.Send({200, head.m_headers, ChunkJson(completion, text)});
--- a/testsuite/standins/origin/main.cc
+++ b/testsuite/standins/origin/main.cc
@@ -58,7 +58,7 @@
       co_return;
     if (std::exchange(corrupt, false))
       piece[0] = static_cast<char>(~piece[0]);
-    co_await origin.m_link.Take(piece.size());
+    co_await origin.m_link.Acquire(piece.size());
     origin.m_bytes += piece.size();
     offset += piece.size();
     length -= piece.size();
@@ -76,7 +76,7 @@
         200, "{\"bytes\":" + std::to_string(origin->m_bytes) + "}"));
     co_return;
   }
-  if (faults->Spend("busy")) {
+  if (faults->TryConsume("busy")) {
     wire::Response busy{429, {}, "busy"};
     busy.m_headers["retry-after"] = "1";
     co_await writer.Send(std::move(busy));
--- a/testsuite/standins/platform_origin/main.cc
+++ b/testsuite/standins/platform_origin/main.cc
@@ -37,7 +37,7 @@
     } else if (request.m_path.starts_with("/piece/")) {
       const auto chunk = static_cast<uint32_t>(Number(request, "num"));
       std::string bytes = PatternChunk(version, chunk);
-      if (faults->Spend("spoil"))
+      if (faults->TryConsume("spoil"))
         bytes[0] = static_cast<char>(bytes[0] + 1);
       response = wire::Response(200, {}, std::move(bytes));
     }
--- a/testsuite/standins/platform_replica/main.cc
+++ b/testsuite/standins/platform_replica/main.cc
@@ -39,7 +39,7 @@
     const auto executor = co_await boost::asio::this_coro::executor;
     if (!*registered) {
       *registered = true;
-      Spawn(executor, standins::KeepRegistered(replica), "register");
+      Spawn(executor, standins::RegisterPeriodically(replica), "register");
     }
     co_await handler(request, writer);
   };
--- a/testsuite/standins/platform_replica/replica.cc
+++ b/testsuite/standins/platform_replica/replica.cc
@@ -37,24 +37,24 @@
       m_service(settings.Text("service")),
       m_model(settings.Text("model")),
       m_data_center(settings.Text("data_center")),
-      m_self(AnnouncedAddress(settings)),
+      m_announced_address(AnnouncedAddress(settings)),
       m_store(settings.Address("store")),
       m_slots(static_cast<uint32_t>(settings.Integer("slots"))),
-      m_event(settings.Milliseconds("event")),
-      m_work(settings.Milliseconds("work")),
-      m_load(settings.Milliseconds("load")),
+      m_event_interval(settings.Milliseconds("event")),
+      m_call_duration(settings.Milliseconds("work")),
+      m_load_duration(settings.Milliseconds("load")),
       m_started_ms(UnixMilliseconds()) {}
 
 std::string EncodeRow(const Replica& replica) {
   json::object row = {{"service", replica.m_service},
-                      {"address", ToString(replica.m_self)},
+                      {"address", ToString(replica.m_announced_address)},
                       {"zone", replica.m_data_center},
                       {"version", "v1"},
                       {"slots", replica.m_slots},
                       {"state", replica.m_leaving ? "draining" : "ready"},
                       {"cold_left_ms", 0},
                       {"born", replica.m_started_ms},
-                      {"sequence", replica.m_orders}};
+                      {"sequence", replica.m_accepted_orders}};
   if (!replica.m_model.empty())
     row["models"] = Models(replica);
   return json::serialize(row);
@@ -64,7 +64,7 @@
   return json::serialize(json::object{{"stage", "both"},
                                       {"models", Models(replica)},
                                       {"busy", replica.m_loading},
-                                      {"sequence", replica.m_orders},
+                                      {"sequence", replica.m_accepted_orders},
                                       {"queued", 0},
                                       {"active", replica.m_active},
                                       {"born", replica.m_started_ms}});
--- a/testsuite/standins/platform_replica/replica.h
+++ b/testsuite/standins/platform_replica/replica.h
@@ -21,19 +21,19 @@
   const std::string m_model;
   const std::string m_data_center;
   /// Address that it registers, at which clients reach it.
-  const Endpoint m_self;
+  const Endpoint m_announced_address;
   const Endpoint m_store;
   const uint32_t m_slots;
   /// Time between two events of a stream.
-  const Duration m_event;
+  const Duration m_event_interval;
   /// Time from the start of a call of a plain service to its response.
-  const Duration m_work;
-  const Duration m_load;
+  const Duration m_call_duration;
+  const Duration m_load_duration;
   const uint64_t m_started_ms;
   /// Version of the loaded weights; 0: none.
   uint64_t m_version = 0;
   std::map<uint32_t, std::string> m_staged;
-  uint64_t m_orders = 0;
+  uint64_t m_accepted_orders = 0;
   bool m_loading = false;
   bool m_leaving = false;
   uint32_t m_active = 0;
--- a/testsuite/standins/platform_replica/replica_handler.cc
+++ b/testsuite/standins/platform_replica/replica_handler.cc
@@ -74,7 +74,7 @@
   for (uint32_t chunk = 0; chunk < kPatternChunks; ++chunk)
     good &= replica->m_staged[chunk] == PatternChunk(version, chunk);
   replica->m_bad_loads += good ? 0 : 1;
-  co_await Sleep(replica->m_load);
+  co_await Sleep(replica->m_load_duration);
   replica->m_version = version;
   replica->m_loading = false;
 }
@@ -87,10 +87,10 @@
   if (error || !order.is_object())
     co_return wire::Response(400, {}, "");
   const boost::json::object& fields = order.as_object();
-  if (replica->m_loading ||
-      fields.at("precondition").to_number<uint64_t>() != replica->m_orders)
+  if (replica->m_loading || fields.at("precondition").to_number<uint64_t>() !=
+                                replica->m_accepted_orders)
     co_return wire::Response(409, {}, "");
-  ++replica->m_orders;
+  ++replica->m_accepted_orders;
   replica->m_loading = true;
   replica->m_version = 0;
   Spawn(executor, Load(replica, fields.at("version").to_number<uint64_t>()),
@@ -113,7 +113,7 @@
   if (!co_await writer.Start(std::move(head)))
     co_return;
   for (uint64_t event = after + 1; event <= events; ++event) {
-    co_await Sleep(replica->m_event);
+    co_await Sleep(replica->m_event_interval);
     if (replica->m_loading) {
       running.MarkBrokenOff();
       co_return;
@@ -146,8 +146,8 @@
     co_return;
   }
   RunScope running(*replica, request);
-  if (replica->m_work > Duration())
-    co_await Sleep(replica->m_work);
+  if (replica->m_call_duration > Duration())
+    co_await Sleep(replica->m_call_duration);
   wire::Response response(200, AnswerHeaders(request, *replica),
                           "ran: " + request.m_path);
   if (co_await writer.Send(std::move(response)))
@@ -159,7 +159,7 @@
       boost::json::object{{"version", replica.m_version},
                           {"runs", replica.m_runs},
                           {"active", replica.m_active},
-                          {"orders", replica.m_orders},
+                          {"orders", replica.m_accepted_orders},
                           {"bad_loads", replica.m_bad_loads}});
 }
 
@@ -198,7 +198,7 @@
   };
 }
 
-Awaitable<void> KeepRegistered(std::shared_ptr<Replica> replica) {
+Awaitable<void> RegisterPeriodically(std::shared_ptr<Replica> replica) {
   http::Client http;
   platform::Store store(http, replica->m_store);
   while (true) {
--- a/testsuite/standins/platform_replica/replica_handler.h
+++ b/testsuite/standins/platform_replica/replica_handler.h
@@ -14,7 +14,7 @@
 
 /// Registers the replica: writes its row into the store at every heartbeat
 /// interval. Never returns.
-Awaitable<void> KeepRegistered(std::shared_ptr<Replica> replica);
+Awaitable<void> RegisterPeriodically(std::shared_ptr<Replica> replica);
 
 }  // namespace verbenalead::standins
 
--- a/testsuite/standins/platform_store/main.cc
+++ b/testsuite/standins/platform_store/main.cc
@@ -42,7 +42,7 @@
                       std::shared_ptr<standins::Faults> faults,
                       const wire::Request& request,
                       wire::ResponseWriter& writer) {
-  if (faults->Spend("forget"))
+  if (faults->TryConsume("forget"))
     store->Forget();
   const std::string path = wire::PathOf(request);
   const std::string table = wire::QueryValue(request, "table");
--- a/testsuite/standins/relay/connection.cc
+++ b/testsuite/standins/relay/connection.cc
@@ -20,7 +20,7 @@
 Awaitable<void> Pump(std::shared_ptr<Connection> connection,
                      tcp::socket& from,
                      tcp::socket& to) {
-  const bool from_far = &from == &connection->m_far;
+  const bool from_far = &from == &connection->m_server_side;
   std::vector<char> piece(kPieceBytes);
   boost::system::error_code error;
   while (!error) {
@@ -43,8 +43,8 @@
 
 void Connection::Close() {
   boost::system::error_code ignored;
-  m_near.close(ignored);
-  m_far.close(ignored);
+  m_client_side.close(ignored);
+  m_server_side.close(ignored);
 }
 
 Awaitable<void> RunConnection(std::shared_ptr<Connection> connection,
@@ -52,19 +52,21 @@
   boost::system::error_code error;
   const tcp::endpoint remote(asio::ip::make_address(forward.address()),
                              forward.port());
-  co_await connection->m_far.async_connect(
+  co_await connection->m_server_side.async_connect(
       remote, asio::redirect_error(asio::use_awaitable, error));
   if (error) {
     connection->Close();
     co_return;
   }
   boost::system::error_code ignored;
-  connection->m_near.set_option(tcp::no_delay(true), ignored);
-  connection->m_far.set_option(tcp::no_delay(true), ignored);
-  asio::co_spawn(connection->m_near.get_executor(),
-                 Pump(connection, connection->m_near, connection->m_far),
-                 asio::detached);
-  co_await Pump(connection, connection->m_far, connection->m_near);
+  connection->m_client_side.set_option(tcp::no_delay(true), ignored);
+  connection->m_server_side.set_option(tcp::no_delay(true), ignored);
+  asio::co_spawn(
+      connection->m_client_side.get_executor(),
+      Pump(connection, connection->m_client_side, connection->m_server_side),
+      asio::detached);
+  co_await Pump(connection, connection->m_server_side,
+                connection->m_client_side);
 }
 
 }  // namespace verbenalead::standins
--- a/testsuite/standins/relay/connection.h
+++ b/testsuite/standins/relay/connection.h
@@ -14,12 +14,13 @@
 /// the socket to the address that the relay forwards to (far).
 struct Connection : std::enable_shared_from_this<Connection> {
   explicit Connection(boost::asio::ip::tcp::socket near)
-      : m_near(std::move(near)), m_far(m_near.get_executor()) {}
+      : m_client_side(std::move(near)),
+        m_server_side(m_client_side.get_executor()) {}
 
   void Close();
 
-  boost::asio::ip::tcp::socket m_near;
-  boost::asio::ip::tcp::socket m_far;
+  boost::asio::ip::tcp::socket m_client_side;
+  boost::asio::ip::tcp::socket m_server_side;
   Duration m_delay{};
   /// Discards all bytes, and does not close one side when the other side
   /// closes.
--- a/testsuite/standins/relay/main.cc
+++ b/testsuite/standins/relay/main.cc
@@ -29,13 +29,13 @@
   standins::Faults faults;
   const bool good = faults.Set(request.m_body);
   if (good && faults.Flag("silent"))
-    relay.Silence();
+    relay.SilenceAll();
   if (good && faults.Flag("far_silent"))
     relay.SilenceFarSide();
   if (good && faults.Flag("cut"))
-    relay.Cut();
+    relay.CloseAll();
   if (good)
-    relay.Delay(std::chrono::milliseconds(faults.Number("delay_ms")));
+    relay.SetDelay(std::chrono::milliseconds(faults.Number("delay_ms")));
   co_await writer.Send({good ? 200 : 400, {}, ""});
 }
 
@@ -50,7 +50,7 @@
       });
   wire::Listener listener(threads,
                           [&relay](boost::asio::ip::tcp::socket socket) {
-                            relay.Take(std::move(socket));
+                            relay.Accept(std::move(socket));
                           });
   if (!commands.Listen(settings.Address("listen")) ||
       !listener.Listen(settings.Address("relay"))) {
--- a/testsuite/standins/relay/relay.cc
+++ b/testsuite/standins/relay/relay.cc
@@ -5,7 +5,7 @@
 
 namespace verbenalead::standins {
 
-void Relay::Take(boost::asio::ip::tcp::socket socket) {
+void Relay::Accept(boost::asio::ip::tcp::socket socket) {
   const auto executor = socket.get_executor();
   auto connection = std::make_shared<Connection>(std::move(socket));
   connection->m_delay = m_delay;
@@ -15,7 +15,7 @@
                         boost::asio::detached);
 }
 
-void Relay::Silence() {
+void Relay::SilenceAll() {
   for (const auto& each : m_connections) {
     if (auto connection = each.lock())
       connection->m_silent = true;
@@ -29,7 +29,7 @@
   }
 }
 
-void Relay::Cut() {
+void Relay::CloseAll() {
   for (const auto& each : m_connections) {
     if (auto connection = each.lock())
       connection->Close();
--- a/testsuite/standins/relay/relay.h
+++ b/testsuite/standins/relay/relay.h
@@ -19,15 +19,15 @@
   explicit Relay(Endpoint forward) : m_forward(std::move(forward)) {}
 
   /// Starts to relay a connection that was just accepted.
-  void Take(boost::asio::ip::tcp::socket socket);
+  void Accept(boost::asio::ip::tcp::socket socket);
   /// Existing connections carry no more data; neither end sees an error.
-  void Silence();
+  void SilenceAll();
   /// Existing connections carry no more data from the far side.
   void SilenceFarSide();
   /// Closes existing connections.
-  void Cut();
+  void CloseAll();
   /// Delays each piece of data of future connections.
-  void Delay(Duration delay) { m_delay = delay; }
+  void SetDelay(Duration delay) { m_delay = delay; }
 
  private:
   const Endpoint m_forward;
