--- a/src/libverbenalead/decide/origin_fetches.cc
+++ b/src/libverbenalead/decide/origin_fetches.cc
@@ -14,15 +14,15 @@
 /// jitter.
 constexpr Duration kMinOriginBackOff = 200ms;
 /// Number of hosts that come first for a chunk after an origin fetch of it has
-/// failed, and how many wait limits later hosts wait for each of them.
+/// failed, and how many take-over delays later hosts wait for each of them.
 constexpr uint16_t kFirstRanks = 3;
 constexpr int kWaitsPerFirstRank = 2;
 /// Spare origin fetches are for the end of a transfer: with more chunks missing
 /// than this, fetches from neighbours keep a host's link busy anyhow, and the
 /// origin's link is needed for first copies.
 constexpr uint32_t kMaxMissingForSpareFetch = 8;
-/// Number of wait limits without an origin fetch after which a host ignores the
-/// announcements of others.
+/// Number of take-over delays without an origin fetch after which a host
+/// ignores the announcements of others.
 constexpr int kMaxWaitsWithoutFetch = 3;
 
 bool OriginReady(const TransferState& state, TimePoint now) {
@@ -78,8 +78,8 @@
 /// origin's link completes no chunk. While no origin fetch succeeds, only
 /// StartOriginFetchesInOrder starts fetches, which follows ranks and
 /// announcements. A host that is held back by wrong announcements, or by those
-/// of fetches that fail, still makes one attempt in kMaxWaitsWithoutFetch wait
-/// limits.
+/// of fetches that fail, still makes one attempt in kMaxWaitsWithoutFetch
+/// take-over delays.
 bool MayFetchByTime(const TransferState& state, TimePoint now) {
   const TransferLimits& limits = state.m_limits;
   if (limits.m_max_origin_fetches == 0)
@@ -125,10 +125,10 @@
 /// precede it, since some of those may be dead.
 void WaitForFirstRanks(TransferState& state, uint32_t chunk, TimePoint now) {
   TransferState::Chunk& entry = state.m_chunks[chunk];
-  const Duration wait_limit = state.m_limits.m_takeover_delay;
+  const Duration takeover_delay = state.m_limits.m_takeover_delay;
   entry.m_origin_ranks_from =
-      now - entry.m_rank * wait_limit +
-      kWaitsPerFirstRank * std::min(entry.m_rank, kFirstRanks) * wait_limit;
+      now - entry.m_rank * takeover_delay +
+      kWaitsPerFirstRank * std::min(entry.m_rank, kFirstRanks) * takeover_delay;
   ScheduleChunk(state, chunk);
 }
 
--- a/src/libverbenalead/decide/transfer_limits.cc
+++ b/src/libverbenalead/decide/transfer_limits.cc
@@ -5,12 +5,13 @@
 namespace verbenalead::decide {
 namespace {
 
-/// The wait limit in chunk times. A new chunk waits behind about as many other
-/// chunks as a host has neighbours, at each of two or three hosts on its path.
-/// A limit of 33 chunk times (4 s for chunks of 120 ms) duplicated a tenth of
-/// all origin fetches, 50 none.
-constexpr int64_t kWaitLimitChunks = 64;
-constexpr Duration kMinWaitLimit = 2s;
+/// The take-over delay in chunk times. A new chunk queues behind about as many
+/// other chunks as a host has neighbours, at each of two or three hosts on its
+/// path; with a shorter delay the next host in rank fetches it from the origin
+/// once more. A delay of 33 chunk times (4 s for chunks of 120 ms) duplicated a
+/// tenth of all origin fetches, 50 none.
+constexpr int64_t kTakeoverDelayChunks = 64;
+constexpr Duration kMinTakeoverDelay = 2s;
 
 Duration TransferTime(uint64_t bytes, uint64_t rate) {
   if (rate == 0)
@@ -30,7 +31,7 @@
   limits.m_origin_interval = TransferTime(links.m_chunk_bytes, links.m_origin);
   const Duration chunk_time = TransferTime(links.m_chunk_bytes, links.m_host);
   limits.m_takeover_delay =
-      std::max<Duration>(kMinWaitLimit, kWaitLimitChunks * chunk_time);
+      std::max<Duration>(kMinTakeoverDelay, kTakeoverDelayChunks * chunk_time);
   return limits;
 }
 
--- a/src/libverbenalead/decide/transfer_limits.h
+++ b/src/libverbenalead/decide/transfer_limits.h
@@ -58,8 +58,8 @@
   /// from the origin chunks that this host has to import into its region.
   uint32_t m_import_neighbours = 16;
 
-  /// Wait limit: an origin fetch or an import whose chunk has not been seen
-  /// this long after it was due is taken over by the host with the next
+  /// Take-over delay: an origin fetch or an import whose chunk has not been
+  /// seen this long after it was due is taken over by the host with the next
   /// rendezvous hash, and so on. It must be long enough for a chunk to pass
   /// through a full upload queue and for the update about it to arrive;
   /// otherwise chunks of a host that is only slow are fetched twice.
--- a/src/libverbenalead/decide/transfer_schedule.cc
+++ b/src/libverbenalead/decide/transfer_schedule.cc
@@ -25,11 +25,11 @@
   entry.m_schedule = Schedule::kNone;
 }
 
-/// Number of wait limits, multiplied by rank + 1, for which announcements of
-/// other hosts may delay an origin fetch. Failure: a host that cannot reach the
-/// origin announces its fetch of a chunk again and again. Symptom: the chunk
-/// never arrives anywhere. After this time the next host in rank fetches it
-/// too.
+/// Number of take-over delays, multiplied by rank + 1, for which announcements
+/// of other hosts may delay an origin fetch. Failure: a host that cannot reach
+/// the origin announces its fetch of a chunk again and again. Symptom: the
+/// chunk never arrives anywhere. After this time the next host in rank fetches
+/// it too.
 constexpr uint32_t kMaxHoldWaits = 2;
 
 TimePoint DueTime(TimePoint base, uint32_t rank, Duration takeover_delay) {
--- a/src/libverbenalead/decide/upload_slots.h
+++ b/src/libverbenalead/decide/upload_slots.h
@@ -19,9 +19,9 @@
 /// the version spreads. Sent one after the other, chunks are complete after
 /// half the time on average.
 ///
-///     EnqueueRequest(turns, version, request);
-///     while (const auto id = StartNextUpload(turns, now)) ... send it, then
-///     EndUpload(turns, id)
+///     EnqueueRequest(slots, version, request);
+///     while (const auto id = StartNextUpload(slots, now))
+///       ... send it, then EndUpload(slots, *id)
 struct UploadSlots {
   /// Waiting requests, by version.
   std::map<uint64_t, UploadQueue> m_queues;
--- a/src/libverbenalead/entry/entry_options.cc
+++ b/src/libverbenalead/entry/entry_options.cc
@@ -14,7 +14,8 @@
   return SettingsSchema()
       .RequiredText("host", "name of this host")
       .RequiredText("data_center", "data centre of this host")
-      .Choice("log.level", {"info", "debug", "warn", "error"}, "least level")
+      .Choice("log.level", {"info", "debug", "warn", "error"},
+              "lowest level that is logged")
       .Address("listen.callers", "127.0.0.1:8080", "callers' HTTP")
       .Address("listen.readiness", "127.0.0.1:8081",
                "HTTP: whether the entry accepts calls")
--- a/src/libverbenalead/target/target_options.cc
+++ b/src/libverbenalead/target/target_options.cc
@@ -7,7 +7,8 @@
       .RequiredText("host", "name of this host")
       .RequiredText("data_center", "data centre of this host")
       .RequiredText("service", "service of the replica on this host")
-      .Choice("log.level", {"info", "debug", "warn", "error"}, "least level")
+      .Choice("log.level", {"info", "debug", "warn", "error"},
+              "lowest level that is logged")
       .Address("engine", "127.0.0.1:8090", "the replica on this host")
       .Address("listen.peers", "127.0.0.1:8083",
                "datagrams and chunks; all targets use the same port")
