--- a/src/libverbenalead/decide/attempt_gate.h
+++ b/src/libverbenalead/decide/attempt_gate.h
@@ -6,7 +6,7 @@
 
 namespace verbenalead::decide {
 
-/// Calls Enter() and, if the gate refuses the attempt, makes the attempt void.
+/// Calls Admit() and, if the gate refuses the attempt, makes the attempt void.
 /// On a refusal, the entry answers "not run" to its caller. Without the void
 /// mark, a duplicated or late copy of the message would be admitted as soon as
 /// a slot is free, and the call would run after that answer.
--- a/src/libverbenalead/entry/slot_requester.h
+++ b/src/libverbenalead/entry/slot_requester.h
@@ -42,9 +42,10 @@
                                   TimePoint until);
   /// Removes the call from the queue of the target.
   void Withdraw(uint64_t reservation);
-  /// Sets the handlers of grants. `granted` is called with the reservation when
-  /// a target grants a slot to a queued call; `unwanted` is called with the
-  /// replica when a target grants a slot for which no call waits any more.
+  /// Sets the handlers of grants. `on_granted` is called with the reservation
+  /// when a target grants a slot to a queued call; `on_unneeded_grant` is
+  /// called with the replica when a target grants a slot for which no call
+  /// waits any more.
   void SetGrantHandlers(
       std::function<void(uint64_t reservation)> on_granted,
       std::function<void(const std::string& replica)> on_unneeded_grant) {
--- a/src/libverbenalead/entry/summary.h
+++ b/src/libverbenalead/entry/summary.h
@@ -13,7 +13,7 @@
                                                 TimePoint now);
 
 /// Builds the summary of this entry's data centre: its entries, its replicas
-/// and the crashes seen there. The sender sets `m_number`.
+/// and the crashes seen there. The sender sets `m_sequence`.
 links::DataCenterSummary SummaryOf(const EntryState& state, TimePoint now);
 
 /// Applies the summary of another data centre. False: it was ignored, because
--- a/src/libverbenalead/model/manifest.h
+++ b/src/libverbenalead/model/manifest.h
@@ -15,7 +15,7 @@
 /// declared again with other bytes, it denotes another version.
 ///
 ///     BOOST_LEAF_AUTO(manifest, ManifestBuilder()
-///         .Whole(whole).Size(bytes).ChunkSize(1 << 20)
+///         .WeightsDigest(weights_digest).Size(bytes).ChunkSize(1 << 20)
 ///         .Chunk(first)...Build());
 class Manifest {
  public:
--- a/src/libverbenalead/target/engine_controller.h
+++ b/src/libverbenalead/target/engine_controller.h
@@ -20,9 +20,9 @@
 /// weights.
 class EngineController {
  public:
-  /// `notify` is called when the result of `News` has changed, and repeatedly
-  /// while the engine loads. `fullness` returns the share of the slots of the
-  /// service that are in use, 0 to 1.
+  /// `notify` is called when the result of `CurrentUpdate` has changed, and
+  /// repeatedly while the engine loads. `fullness` returns the share of the
+  /// slots of the service that are in use, 0 to 1.
   EngineController(TargetState& state,
                    platform::EngineClient& engine,
                    ChunkFetcher& fetcher,
