--- a/src/libverbenalead/base/settings_schema_test.cc
+++ b/src/libverbenalead/base/settings_schema_test.cc
@@ -13,7 +13,7 @@
       .RequiredText("host", "name")
       .Integer("limits.body", 100, 1, 1000, "bytes", "largest body")
       .Flag("fast", false, "speed")
-      .Choice("log.level", {"info", "warn"}, "least level")
+      .Choice("log.level", {"info", "warn"}, "lowest level that is logged")
       .Address("listen", "127.0.0.1:1", "where")
       .AddressList("entries", "entries");
 }
--- a/src/libverbenalead/daemon/common_settings.cc
+++ b/src/libverbenalead/daemon/common_settings.cc
@@ -22,7 +22,7 @@
             "JSON file with access_key, secret and region; empty: requests to "
             "the platform are not signed")
       .Integer("platform.table_timeout", 1000, 10, 60000, "ms",
-               "time-out of a request to the table")
+               "timeout of a request to the table")
       .Address("platform.host_list", "127.0.0.1:8102", "list of hosts")
       .Integer("stop.grace", 30000, 0, 3600000, "ms",
                "longest wait for running requests when the daemon stops");
--- a/src/libverbenalead/daemon/target_settings.cc
+++ b/src/libverbenalead/daemon/target_settings.cc
@@ -13,8 +13,7 @@
                "loopback address where the engine reads weights")
       .Choice("backend.kind", {"engine", "service"},
               "kind of backend on this host")
-      .Address("backend.address", "127.0.0.1:8300",
-               "address of the engine or service")
+      .Address("backend.address", "127.0.0.1:8300", "address of the backend")
       .Integer("backend.capacity", 8, 1, 100000, "requests",
                "number of requests that the backend runs concurrently")
       .Integer("weights.memory", int64_t{4} << 30, 1 << 20, int64_t{1} << 50,
--- a/src/libverbenalead/decide/origin_fetches.cc
+++ b/src/libverbenalead/decide/origin_fetches.cc
@@ -16,14 +16,14 @@
 /// Number of hosts that come first for a chunk after an origin fetch of it has
 /// failed, and how many take-over delays later hosts wait for each of them.
 constexpr uint16_t kFirstRanks = 3;
-constexpr int kWaitsPerFirstRank = 2;
+constexpr int kDelaysPerFirstRank = 2;
 /// Spare origin fetches are for the end of a transfer: with more chunks missing
 /// than this, fetches from neighbours keep a host's link busy anyhow, and the
 /// origin's link is needed for first copies.
 constexpr uint32_t kMaxMissingForSpareFetch = 8;
 /// Number of take-over delays without an origin fetch after which a host
 /// ignores the announcements of others.
-constexpr int kMaxWaitsWithoutFetch = 3;
+constexpr int kMaxDelaysWithoutFetch = 3;
 
 bool OriginReady(const TransferState& state, TimePoint now) {
   return state.m_origin_fetching < state.m_limits.m_max_own_origin_fetches &&
@@ -78,14 +78,14 @@
 /// origin's link completes no chunk. While no origin fetch succeeds, only
 /// StartOriginFetchesInOrder starts fetches, which follows ranks and
 /// announcements. A host that is held back by wrong announcements, or by those
-/// of fetches that fail, still makes one attempt in kMaxWaitsWithoutFetch
+/// of fetches that fail, still makes one attempt in kMaxDelaysWithoutFetch
 /// take-over delays.
 bool MayFetchByTime(const TransferState& state, TimePoint now) {
   const TransferLimits& limits = state.m_limits;
   if (limits.m_max_origin_fetches == 0)
     return true;
   const TimePoint last = std::max(state.m_last_origin_start, state.m_started);
-  if (now - last >= kMaxWaitsWithoutFetch * limits.m_takeover_delay)
+  if (now - last >= kMaxDelaysWithoutFetch * limits.m_takeover_delay)
     return true;
   const TimePoint last_success =
       std::max(state.m_last_origin_success, state.m_started);
@@ -126,9 +126,10 @@
 void WaitForFirstRanks(TransferState& state, uint32_t chunk, TimePoint now) {
   TransferState::Chunk& entry = state.m_chunks[chunk];
   const Duration takeover_delay = state.m_limits.m_takeover_delay;
-  entry.m_origin_ranks_from =
-      now - entry.m_rank * takeover_delay +
-      kWaitsPerFirstRank * std::min(entry.m_rank, kFirstRanks) * takeover_delay;
+  entry.m_origin_ranks_from = now - entry.m_rank * takeover_delay +
+                              kDelaysPerFirstRank *
+                                  std::min(entry.m_rank, kFirstRanks) *
+                                  takeover_delay;
   ScheduleChunk(state, chunk);
 }
 
--- a/src/libverbenalead/decide/origin_fetches_test.cc
+++ b/src/libverbenalead/decide/origin_fetches_test.cc
@@ -57,8 +57,8 @@
   }
 
   // Guards against new weights that arrive twice as late: the origin's link is
-  // saturated, an origin fetch takes longer than the wait limit, and the next
-  // host in rank fetches the same chunk too.
+  // saturated, an origin fetch takes longer than the take-over delay, and the
+  // next host in rank fetches the same chunk too.
   void AnnouncedOriginFetchIsNotDuplicated() {
     TransferState next = SecondRankedHost();
     TimePoint now = kStart;
--- a/src/libverbenalead/decide/transfer_outage_test.cc
+++ b/src/libverbenalead/decide/transfer_outage_test.cc
@@ -322,7 +322,7 @@
   // Guards against weights that arrive seconds later than possible: half of the
   // chunks were missing when the origin became unreachable, and when it returns
   // the first two hosts in rank fetch each of them, since both have waited
-  // longer than the wait limit.
+  // longer than the take-over delay.
   void OriginSendsEachChunkOnceAfterALongOutage() {
     for (const uint64_t seed : {1, 2, 3, 4, 20261202}) {
       OutageScenario load;
--- a/src/libverbenalead/decide/transfer_plan.cc
+++ b/src/libverbenalead/decide/transfer_plan.cc
@@ -61,10 +61,10 @@
 /// Picks the hosts of rank 0 for chunks where this host has rank 1 or 2.
 ///
 /// Failure: updates about a chunk take longer through a large fleet than the
-/// wait limit. Symptom: hosts that have not yet received them fetch the chunk
-/// from the origin once more, and a third of the origin's link carries chunks
-/// that hosts have already. Therefore the hosts that would take over next
-/// receive the updates directly from the host that fetches the chunk.
+/// take-over delay. Symptom: hosts that have not yet received them fetch the
+/// chunk from the origin once more, and a third of the origin's link carries
+/// chunks that hosts have already. Therefore the hosts that would take over
+/// next receive the updates directly from the host that fetches the chunk.
 void PickPrecedingFetchers(const TransferState& state,
                            std::set<TransferMember>& picked) {
   for (uint32_t chunk = 0; chunk < state.m_chunks.size(); ++chunk) {
--- a/src/libverbenalead/decide/transfer_schedule.cc
+++ b/src/libverbenalead/decide/transfer_schedule.cc
@@ -30,7 +30,7 @@
 /// the origin announces its fetch of a chunk again and again. Symptom: the
 /// chunk never arrives anywhere. After this time the next host in rank fetches
 /// it too.
-constexpr uint32_t kMaxHoldWaits = 2;
+constexpr uint32_t kMaxHoldDelays = 2;
 
 TimePoint DueTime(TimePoint base, uint32_t rank, Duration takeover_delay) {
   return base + rank * takeover_delay;
@@ -41,7 +41,7 @@
   const TimePoint due =
       DueTime(chunk.m_origin_ranks_from, chunk.m_rank, limits.m_takeover_delay);
   const TimePoint latest =
-      due + kMaxHoldWaits * (chunk.m_rank + 1) * limits.m_takeover_delay;
+      due + kMaxHoldDelays * (chunk.m_rank + 1) * limits.m_takeover_delay;
   // Hosts that were held back by the same announcement must not start together.
   const TimePoint hold_end = DueTime(chunk.m_announced_until, chunk.m_rank,
                                      limits.m_announcement_ttl / 2);
--- a/src/libverbenalead/decide/transfer_state.h
+++ b/src/libverbenalead/decide/transfer_state.h
@@ -49,8 +49,8 @@
     uint16_t m_rank = 0;
     uint16_t m_region_rank = 0;
     /// Start of the schedule by ranks: a host of rank r may fetch the chunk r
-    /// wait limits after it. The schedule ends when a copy is seen and starts
-    /// again when the last copy is lost.
+    /// take-over delays after it. The schedule ends when a copy is seen and
+    /// starts again when the last copy is lost.
     TimePoint m_origin_ranks_from{};
     TimePoint m_import_ranks_from{};
     /// Another host announced that it has fetched the chunk from the origin,
--- a/src/libverbenalead/decide/transfer_test.cc
+++ b/src/libverbenalead/decide/transfer_test.cc
@@ -55,8 +55,8 @@
 
   // Guards against a chunk that all hosts lack for ever: the host that has to
   // fetch it from the origin dies before it does, and the others cannot detect
-  // that. After the wait limit the host of the next rank fetches it, and no
-  // other host does.
+  // that. After the take-over delay the host of the next rank fetches it, and
+  // no other host does.
   void NextRankTakesOverALostOriginFetch() {
     const std::vector<TransferMember> members = {kSelf, kSameDataCenter,
                                                  kSameRegion};
--- a/src/libverbenalead/entry/entry_options.cc
+++ b/src/libverbenalead/entry/entry_options.cc
@@ -16,7 +16,8 @@
       .RequiredText("data_center", "data centre of this host")
       .Choice("log.level", {"info", "debug", "warn", "error"},
               "lowest level that is logged")
-      .Address("listen.callers", "127.0.0.1:8080", "callers' HTTP")
+      .Address("listen.callers", "127.0.0.1:8080",
+               "address of the HTTP API of callers")
       .Address("listen.readiness", "127.0.0.1:8081",
                "HTTP: whether the entry accepts calls")
       .Address("listen.directory", "127.0.0.1:8082",
--- a/testsuite/standins/common/run_standin.cc
+++ b/testsuite/standins/common/run_standin.cc
@@ -37,7 +37,8 @@
 SettingsSchema StandinSettings() {
   return SettingsSchema()
       .Address("listen", "127.0.0.1:8100", "where it listens")
-      .Choice("log.level", {"info", "debug", "warn", "error"}, "least level");
+      .Choice("log.level", {"info", "debug", "warn", "error"},
+              "lowest level that is logged");
 }
 
 int RunStandin(int argc,
--- a/testsuite/standins/relay/main.cc
+++ b/testsuite/standins/relay/main.cc
@@ -18,7 +18,8 @@
       .Address("listen", "127.0.0.1:8400", "where POST /faults is taken")
       .Address("relay", "127.0.0.1:8401", "where connections are taken")
       .Address("forward", "127.0.0.1:8402", "where they are passed on to")
-      .Choice("log.level", {"info", "debug", "warn", "error"}, "least level");
+      .Choice("log.level", {"info", "debug", "warn", "error"},
+              "lowest level that is logged");
 }
 
 /// Handles the commands {"silent": true}, {"far_silent": true},
