--- a/src/libverbenalead/backends/origin.h
+++ b/src/libverbenalead/backends/origin.h
@@ -15,7 +15,8 @@
   Origin(wire::Client& client, Endpoint endpoint, Duration timeout)
       : m_client(client), m_endpoint(std::move(endpoint)), m_timeout(timeout) {}
 
-  /// Fetches the whole object at `path`, at most `max_bytes`.
+  /// Fetches the whole object at `path`. Fails with kInvalid if it is longer
+  /// than `max_bytes`.
   Awaitable<AsyncResult<std::string>> Get(std::string path, size_t max_bytes);
   /// Fetches `length` bytes of `path` from `offset`. Fails with kRefused and
   /// the reason "busy" if the origin limits its rate (status 429 or 503).
--- a/src/libverbenalead/base/io_threads.cc
+++ b/src/libverbenalead/base/io_threads.cc
@@ -20,8 +20,8 @@
 
 IoThreads::IoThreads(int count) : m_state(std::make_unique<State>()) {
   for (int i = 0; i < std::max(count, 1); ++i) {
-    // One thread runs each context; the concurrency hint 1 lets Asio omit
-    // locks.
+    // Each context is run by a single thread; the concurrency hint 1 lets Asio
+    // omit locks.
     m_state->m_contexts.push_back(std::make_unique<asio::io_context>(1));
     m_state->m_work.push_back(
         asio::make_work_guard(*m_state->m_contexts.back()));
--- a/src/libverbenalead/daemon/claim_store.cc
+++ b/src/libverbenalead/daemon/claim_store.cc
@@ -32,9 +32,9 @@
 /// of an urgent call.
 constexpr Duration kClaimTimeout = 3s;
 /// How long an answer is delayed until its outcome is recorded. A healthy table
-/// takes a tenth of this time. After it the caller receives the answer although
-/// the record is not confirmed; until it is, another call with the same key
-/// gets the result kHeld.
+/// takes a tenth of this time. When the time is over, the caller receives the
+/// answer although the record is not confirmed. Until the outcome is recorded,
+/// another call with the same key gets the result kHeld: the key is in use.
 constexpr Duration kEndWaitLimit = 250ms;
 constexpr Duration kEndTimeout = std::chrono::seconds(60);
 /// Claims need no wait limit: the batch ends each claim by its deadline and
--- a/src/libverbenalead/daemon/config_follower.cc
+++ b/src/libverbenalead/daemon/config_follower.cc
@@ -16,8 +16,10 @@
 
 namespace asio = boost::asio;
 
-/// How long a parent delays its answer while nothing changes (long polling).
-/// Bounds the idle traffic to a few hundred bytes in five seconds per stream.
+/// A process receives changes over two streams; the entry that sends it a
+/// stream is its parent there. This is how long a parent delays its answer
+/// while nothing changes (long polling). It bounds the idle traffic of each
+/// stream to a few hundred bytes in five seconds.
 constexpr Duration kHold = 5s;
 constexpr Duration kFetchTimeout = 1s;
 /// A process accepts no new work if neither the table nor a peer has answered
--- a/src/libverbenalead/decide/announcement_tracker.h
+++ b/src/libverbenalead/decide/announcement_tracker.h
@@ -51,9 +51,11 @@
   tracker.m_rows_missing_at = now;
 }
 
-/// Whether the store must not be read for now, because entries are expected to
-/// serve the rows. Each host chooses `spread`, 0 to 1, at random, so that hosts
-/// that start together do not read the store at the same moment.
+/// Whether this process must not read the store for now, because an entry is
+/// expected to send it the rows. `spread`, 0 to 1, determines how long it waits
+/// for the entries: 0 the shortest time, 1 the longest. Each process chooses it
+/// at random, so that processes that start together do not read the store at
+/// the same moment.
 bool DefersStoreRead(const AnnouncementTracker& tracker,
                      double spread,
                      TimePoint now);
--- a/src/libverbenalead/decide/claim_operation.h
+++ b/src/libverbenalead/decide/claim_operation.h
@@ -22,7 +22,8 @@
   std::string m_key;
   /// Unique to one attempt to claim: 62 random bits, never 0.
   uint64_t m_writer = 0;
-  /// See ClaimItem::m_value.
+  /// For kClaim and kRelease, the id of the request that claims the key; for
+  /// kRecord, the outcome of the call.
   std::string m_value;
   /// No further write or read is started after this time.
   TimePoint m_deadline{};
--- a/src/libverbenalead/decide/hedge_test.cc
+++ b/src/libverbenalead/decide/hedge_test.cc
@@ -47,8 +47,8 @@
     CallProgress progress = StreamProgress();
     progress.m_resumable = false;
     CPPUNIT_ASSERT(!HedgeDelay(progress, route));
-    // The call may have run once and is on its way to the last replica that its
-    // route allows.
+    // The first attempt may have run, and the second is being sent. The call
+    // may run only twice, so no run is left for a hedge.
     progress = StreamProgress();
     progress.m_sent_attempts = progress.m_possible_runs = 1;
     CPPUNIT_ASSERT(!HedgeDelay(progress, route));
--- a/src/libverbenalead/decide/late_call_shedding.h
+++ b/src/libverbenalead/decide/late_call_shedding.h
@@ -11,11 +11,10 @@
 /// objective are refused at once (load shedding).
 ///
 /// Load: a pool above its capacity for several seconds, and callers that retry
-/// once. Harm: a retry waited a quarter of a second for a slot that usually did
-/// not come free; if it did, the next caller, who could still have been on
-/// time, did not get that slot. While calls that could be on time are refused
-/// here, there is no slot for late ones, and their callers are refused without
-/// a wait.
+/// once. Harm: a retry waited a quarter of a second for a slot, usually in
+/// vain; if it got one, it was late all the same and took the slot from a
+/// caller who could still have been on time. So while even calls that could be
+/// on time find no slot, late calls are refused without a wait.
 struct LateCallShedding {
   /// When a call that could have been on time was last refused.
   std::optional<TimePoint> m_on_time_refused_at;
--- a/src/libverbenalead/entry/call_server.cc
+++ b/src/libverbenalead/entry/call_server.cc
@@ -81,7 +81,8 @@
       route && !route->m_anonymous && !routes->config().m_organisations.empty();
   // Without a valid lease the configuration may be out of date: a route or key
   // that is missing here may have been added, and a key that is present may
-  // have been revoked.
+  // have been revoked. So a call without a known route, or one that needs a
+  // key, is refused as not run, and its caller may retry.
   if ((!route || needs_key) && !HasValidLease(m_state)) {
     co_await RefuseCall(
         caller, m_state, call, kUnavailable,
--- a/src/libverbenalead/entry/peer_updates.cc
+++ b/src/libverbenalead/entry/peer_updates.cc
@@ -45,8 +45,9 @@
   });
 }
 
-/// Stores crashes reported by an entry of this data centre for the summaries to
-/// other data centres, each crash once.
+/// Stores crashes of replicas that an entry of this data centre reported, each
+/// crash once. The summaries that this entry sends to other data centres list
+/// them.
 void RecordLocalCrashes(EntryState& state,
                         const std::vector<decide::CrashRecord>& crashes,
                         TimePoint now) {
--- a/src/libverbenalead/entry/platform_entry.cc
+++ b/src/libverbenalead/entry/platform_entry.cc
@@ -123,8 +123,9 @@
   /// weights and updates the limits for callers' requests.
   void ApplyRows() {
     m_slot_allocator.WakeAll();
-    // Targets need most of the bound on new weights to load them, so they are
-    // notified at once.
+    // Replicas must use new weights within a set time of their declaration.
+    // Targets need most of it to load them, so they are notified at once and
+    // not with the next regular update.
     if (m_state.m_weights_revision > m_announced_weights) {
       m_announced_weights = m_state.m_weights_revision;
       m_update_sender.RequestLocalUpdates();
--- a/src/libverbenalead/entry/replica_change_log.h
+++ b/src/libverbenalead/entry/replica_change_log.h
@@ -36,8 +36,8 @@
 /// that has other weights, "i-2:1>1,loading" for one that loads.
 std::string FormatChanges(const ReplicaChangeLog& log, size_t limit);
 
-/// Writes the line if there are changes and the last line is at least a second
-/// old.
+/// Writes the line if there are changes and the last log line is at least a
+/// second old.
 void LogReplicaChanges(ReplicaChangeLog& log, TimePoint now);
 
 }  // namespace verbenalead::entry
--- a/src/libverbenalead/entry/startup_progress.h
+++ b/src/libverbenalead/entry/startup_progress.h
@@ -16,8 +16,9 @@
 /// step=replicas after_ms=812`.
 struct StartupProgress {
   TimePoint m_started{};
-  /// Completed steps: `others`, `configuration`, `replicas`, `lease`,
-  /// `usable_replica` (of each service with engines).
+  /// Completed steps: `others` (the number of entries in other data centres is
+  /// known), `configuration`, `replicas`, `lease`, `usable_replica` (each
+  /// service with engines has a replica that accepts calls).
   std::set<std::string> m_done;
 };
 
--- a/src/libverbenalead/front/call_parser.cc
+++ b/src/libverbenalead/front/call_parser.cc
@@ -59,7 +59,8 @@
   return name;
 }
 
-/// Returns the organisation's weight; 1 if its limits don't set one.
+/// Returns the organisation's weight, which sets its share of the slots
+/// relative to other organisations; 1 if its limits don't set one.
 Result<double> WeightOf(const std::string& organisation,
                         const decide::ConfigState& config) {
   const auto& limits = config.m_resources.at({"limits", organisation});
--- a/src/libverbenalead/front/operators_api.cc
+++ b/src/libverbenalead/front/operators_api.cc
@@ -142,8 +142,8 @@
     co_return ErrorFor(accepted.error(), operation);
   json::object body = ShowChange(accepted->m_change);
   body["held_by"] = accepted->m_received_by;
-  // 202: the change is committed, but only this entry has it until the table is
-  // read again.
+  // 202: the change is committed, but no other entry is known to have it until
+  // the entries that read the table do so again.
   const bool hidden =
       accepted->m_received_by == 0 && accepted->m_other_entries > 0;
   co_return wire::JsonResponse(hidden ? 202 : 200,
--- a/src/libverbenalead/peer/session.h
+++ b/src/libverbenalead/peer/session.h
@@ -30,9 +30,10 @@
   /// the answer to the PING. A device between two hosts may drop a connection
   /// without notifying either of them, and then no error is ever reported.
   Duration m_silence_timeout = 2s;
-  /// Used instead of m_silence_timeout on the accepting side. It is longer: if
-  /// that side ended an attempt because the attempt's entry was suspended for a
-  /// moment, the outcome would be unknown without need.
+  /// Used instead of m_silence_timeout on the accepting side, when nothing was
+  /// received from the dialling side. It is longer, since the dialling entry
+  /// may only have been suspended for a moment: if the accepting side then
+  /// ended the entry's attempt, the outcome would be unknown without need.
   Duration m_accepted_silence_timeout = 10s;
   /// Before a request is sent on an idle connection, the connection is checked
   /// with a PING, and replaced if nothing is received within this time, which
--- a/src/libverbenalead/target/chunk_fetcher.cc
+++ b/src/libverbenalead/target/chunk_fetcher.cc
@@ -51,8 +51,9 @@
 /// size of a version. The origin charges by the byte.
 constexpr uint32_t kOriginBudgetPercent = 103;
 constexpr Duration kPeerRequestTimeout = 1s;
-/// Time to wait for the response header, as requests are queued at the sending
-/// host. The transfer cancels the fetch sooner if other hosts respond faster.
+/// Time to wait for the response header. It is long because the sending host
+/// queues requests and responds only when it is a request's turn. The transfer
+/// cancels the fetch sooner if other hosts respond faster.
 constexpr Duration kResponseHeaderTimeout = 4s;
 constexpr Duration kOriginTimeout = 3s;
 constexpr Duration kMembersInterval = 500ms;
--- a/src/libverbenalead/target/engine_controller.cc
+++ b/src/libverbenalead/target/engine_controller.cc
@@ -28,9 +28,10 @@
 /// aborted stream has its prompt read again at another replica and pauses for
 /// longer than its caller accepts.
 constexpr Duration kClosingNotice = 1200ms;
-/// Estimate of the time until all hosts have all chunks: the time of a copy of
-/// the weights over a host's link and over the origin's link, times these
-/// factors, and a time per doubling of the number of hosts.
+/// The time until all hosts have all chunks is estimated as a sum of three: the
+/// time of a copy of the weights over this host's link, times the first factor;
+/// that of a copy over the origin's link, times the second; and
+/// kTimePerDoubling for each doubling from one host to all of them.
 constexpr double kLinkCopyFactor = 1.25;
 constexpr double kOriginCopyFactor = 0.45;
 constexpr Duration kTimePerDoubling = 130ms;
--- a/src/libverbenalead/target/engine_controller.h
+++ b/src/libverbenalead/target/engine_controller.h
@@ -80,9 +80,11 @@
   uint64_t m_staging_searched_for = 0;
   /// The scheduled load starts soon.
   bool m_closing = false;
-  /// The replica takes no calls, as it drains before a load or loads.
+  /// The replica takes no calls, because it is draining before a load or is
+  /// loading.
   bool m_calls_stopped = false;
-  /// When each version became complete; incomplete versions are absent.
+  /// When this host was first seen to hold all chunks of each version;
+  /// incomplete versions are absent.
   std::map<uint64_t, TimePoint> m_version_complete_at;
   /// The state at the last call of `m_notify` from `Run`.
   links::ReplicaUpdate m_last_update;
--- a/src/libverbenalead/target/row_source_test.cc
+++ b/src/libverbenalead/target/row_source_test.cc
@@ -78,9 +78,10 @@
     CPPUNIT_ASSERT(m_state->m_engine);
   }
 
-  // Guards against entries that learn the tables late after all processes
-  // started, because target processes whose replica has no engine, and which
-  // get no announcements, read both tables over the links that entries need.
+  // Target processes whose replica has no engine get no announcements. Guards
+  // against a version in which they read the operator's and the replicas' table
+  // from the store: after a start of all processes, these reads took up the
+  // links that entries need, and entries learned the tables late.
   void DoesNotReadStoreWithoutEngine() {
     PrepareEntry("10.0.0.1", 5, 0s, kConfigWithoutEngine);
     m_rows->Start();
