--- a/src/libverbenalead/daemon/attempt_runner.cc
+++ b/src/libverbenalead/daemon/attempt_runner.cc
@@ -6,10 +6,10 @@
 #include <memory>
 
 #include "base/log.h"
-#include "daemon/answer_check.h"
-#include "daemon/passed_headers.h"
+#include "daemon/answer_checksum.h"
+#include "daemon/forwarded_headers.h"
 #include "peer/header_names.h"
-#include "wire/cancel_when_gone.h"
+#include "wire/cancel_on_disconnect.h"
 
 namespace verbenalead::daemon {
 namespace {
@@ -19,16 +19,16 @@
 using model::Outcome;
 
 constexpr char kEventStream[] = "text/event-stream";
-constexpr size_t kMaxAnswer = size_t{16} << 20;
-/// How long the question "did it start?" may take.
+constexpr size_t kMaxBufferedAnswer = size_t{16} << 20;
+/// Time limit of a request that makes an attempt void.
 constexpr Duration kVoidTimeout = 2s;
-constexpr char kCallerGone[] = "caller_gone";
+constexpr char kCallerDisconnected[] = "caller_gone";
 
-wire::Request MakeAttempt(const model::Call& call,
-                          const decide::Placement& placement,
-                          uint32_t number,
-                          wire::Request request) {
-  wire::Headers headers = PassedRequestHeaders(request.m_headers);
+wire::Request MakeAttemptRequest(const model::Call& call,
+                                 const decide::Placement& placement,
+                                 uint32_t number,
+                                 wire::Request request) {
+  wire::Headers headers = ForwardedRequestHeaders(request.m_headers);
   if (!call.idempotent())
     headers["idempotency-key"] = call.idempotency_key();
   headers[peer::kPath] = request.m_path;
@@ -49,11 +49,12 @@
   return request;
 }
 
-wire::ResponseHead HeadForCaller(const wire::ResponseHead& head,
-                                 const model::Call& call,
-                                 const decide::Placement& placement,
-                                 uint32_t number) {
-  wire::ResponseHead out{head.m_status, PassedResponseHeaders(head.m_headers)};
+wire::ResponseHead MakeCallerHead(const wire::ResponseHead& head,
+                                  const model::Call& call,
+                                  const decide::Placement& placement,
+                                  uint32_t number) {
+  wire::ResponseHead out{head.m_status,
+                         ForwardedResponseHeaders(head.m_headers)};
   out.m_headers[peer::kRequestId] = call.id();
   out.m_headers[peer::kTarget] = placement.m_target;
   out.m_headers[peer::kVersion] = wire::Get(head.m_headers, peer::kVersion);
@@ -62,16 +63,17 @@
   return out;
 }
 
-/// True if `head` answers this attempt and no other.
-bool Answers(const wire::ResponseHead& head,
-             const model::Call& call,
-             uint32_t number) {
+/// True if `head` belongs to this attempt and not to another one.
+bool IsAnswerTo(const wire::ResponseHead& head,
+                const model::Call& call,
+                uint32_t number) {
   return wire::Get(head.m_headers, peer::kCall) == call.instance() &&
          wire::Get(head.m_headers, peer::kAttempt) == std::to_string(number);
 }
 
-/// The last event of a stream that is broken off: it names the outcome.
-std::string ErrorEvent(const AttemptReport& report, const model::Call& call) {
+/// The last event of a stream that is cut short. It contains the outcome.
+std::string MakeErrorEvent(const AttemptReport& report,
+                           const model::Call& call) {
   const Outcome outcome = report.m_end == AttemptEnd::kFailed
                               ? Outcome::kFailed
                               : Outcome::kUnknown;
@@ -83,26 +85,26 @@
 
 }  // namespace
 
-/// One attempt under way.
+/// The state of one attempt in progress.
 struct AttemptRunner::Attempt {
   model::Call m_call;
   decide::Placement m_placement;
   uint32_t m_number = 0;
   wire::ResponseWriter& m_writer;
-  decide::AttemptEvidence m_evidence;
+  decide::AttemptObservations m_evidence;
   AttemptReport m_report;
-  wire::ResponseHead m_onward;
+  wire::ResponseHead m_forwarded_head;
   bool m_streamed = false;
-  bool m_caller_there = true;
-  std::string m_whole;
-  AnswerCheck m_check;
+  bool m_caller_connected = true;
+  std::string m_buffered_body;
+  AnswerChecksum m_check;
 
-  /// A caller that has gone is told nothing more: its attempt is not tried
-  /// again, as if an answer had begun.
-  void CallerGone() {
-    m_caller_there = false;
-    m_report.m_answer_begun = true;
-    m_report.m_reason = kCallerGone;
+  /// Nothing more can be sent to a caller that has disconnected. Marking the
+  /// answer as begun prevents a retry.
+  void RecordCallerDisconnect() {
+    m_caller_connected = false;
+    m_report.m_answer_started = true;
+    m_report.m_reason = kCallerDisconnected;
   }
 };
 
@@ -112,64 +114,68 @@
                                             wire::Request request,
                                             wire::ResponseWriter& writer) {
   Attempt attempt{call, placement, number, writer};
-  if (call.idempotent() && writer.gone()) {
-    attempt.CallerGone();
+  if (call.idempotent() && writer.disconnected()) {
+    attempt.RecordCallerDisconnect();
     co_return std::move(attempt.m_report);
   }
   wire::Request message =
-      MakeAttempt(call, placement, number, std::move(request));
+      MakeAttemptRequest(call, placement, number, std::move(request));
   auto opened = co_await m_peers.Open(placement.m_peer, std::move(message),
                                       call.deadline());
   if (opened) {
     co_await ReadAnswer(**opened, attempt);
   } else {
-    // Only kUnreachable is certain: no byte was sent.
+    // Only kUnreachable guarantees that no byte was sent.
     attempt.m_evidence.m_sent =
         opened.error().m_code != FailureCode::kUnreachable;
-    NoteLoss(attempt, opened.error());
+    RecordTransportFailure(attempt, opened.error());
   }
-  if (!attempt.m_caller_there && call.idempotent())
+  if (!attempt.m_caller_connected && call.idempotent())
     co_return std::move(attempt.m_report);
-  // Past its deadline an idempotent call is told "unknown" at once: the answer
-  // to the question could only come after its caller has stopped waiting.
+  // Past its deadline an idempotent call ends as "unknown" without a request to
+  // make the attempt void: the reply would arrive after the caller has stopped
+  // waiting.
   const bool in_time = Now() < call.deadline();
-  if (decide::NeedsVoid(attempt.m_evidence) && (in_time || !call.idempotent()))
-    attempt.m_evidence.m_void = co_await MakeVoid(attempt);
+  if (decide::NeedsVoidRequest(attempt.m_evidence) &&
+      (in_time || !call.idempotent()))
+    attempt.m_evidence.m_void = co_await RequestVoid(attempt);
   attempt.m_report.m_end = decide::Judge(attempt.m_evidence);
-  co_await BreakOff(attempt);
+  co_await EndWithErrorEvent(attempt);
   co_return std::move(attempt.m_report);
 }
 
-void AttemptRunner::NoteLoss(Attempt& attempt, const Failure& failure) {
+void AttemptRunner::RecordTransportFailure(Attempt& attempt,
+                                           const Failure& failure) {
   if (failure.m_code == FailureCode::kCancelled) {
-    attempt.CallerGone();
+    attempt.RecordCallerDisconnect();
     return;
   }
   attempt.m_report.m_reason = ToString(failure);
-  attempt.m_report.m_broken = true;
+  attempt.m_report.m_target_faulty = true;
 }
 
 Awaitable<void> AttemptRunner::ReadAnswer(wire::ResponseReader& reader,
                                           Attempt& attempt) {
-  // What may run only once goes on without its caller: its outcome is recorded
-  // for whoever calls again with the same key.
-  std::unique_ptr<wire::CancelWhenGone> cancel;
+  // A non-idempotent call continues after its caller has disconnected: its
+  // outcome is recorded for a later call with the same idempotency key.
+  std::unique_ptr<wire::CancelOnDisconnect> cancel;
   if (attempt.m_call.idempotent())
-    cancel = std::make_unique<wire::CancelWhenGone>(attempt.m_writer, reader);
+    cancel =
+        std::make_unique<wire::CancelOnDisconnect>(attempt.m_writer, reader);
   auto head = co_await reader.ReadHead(attempt.m_call.deadline());
   if (!head) {
-    NoteLoss(attempt, head.error());
+    RecordTransportFailure(attempt, head.error());
     co_return;
   }
-  if (!Answers(*head, attempt.m_call, attempt.m_number)) {
+  if (!IsAnswerTo(*head, attempt.m_call, attempt.m_number)) {
     LogLine("answer_dropped")
         .With("request", attempt.m_call.id())
         .With("attempt", uint64_t{attempt.m_number})
         .With("target", attempt.m_placement.m_target)
-        .With("reason", "it answers another attempt")
+        .With("reason", "response belongs to another attempt")
         .Warn();
     attempt.m_report.m_reason = "answer_mismatch";
-    attempt.m_report.m_broken = true;
+    attempt.m_report.m_target_faulty = true;
     co_return;
   }
   const std::string running = wire::Get(head->m_headers, peer::kRunning);
@@ -182,82 +188,86 @@
     attempt.m_report.m_reason = wire::Get(head->m_headers, peer::kReason);
     co_return;
   }
-  attempt.m_evidence.m_entered = true;
+  attempt.m_evidence.m_was_admitted = true;
   attempt.m_report.m_version = wire::Get(head->m_headers, peer::kVersion);
-  attempt.m_onward = HeadForCaller(*head, attempt.m_call, attempt.m_placement,
-                                   attempt.m_number);
+  attempt.m_forwarded_head = MakeCallerHead(
+      *head, attempt.m_call, attempt.m_placement, attempt.m_number);
   attempt.m_streamed =
       wire::Get(head->m_headers, "content-type").starts_with(kEventStream);
-  if (co_await ReadPieces(reader, attempt))
-    JudgeEnd(reader.trailers(), attempt);
+  if (co_await ReadAnswerBody(reader, attempt))
+    EvaluateEnd(reader.trailers(), attempt);
 }
 
-Awaitable<bool> AttemptRunner::ReadPieces(wire::ResponseReader& reader,
-                                          Attempt& attempt) {
+Awaitable<bool> AttemptRunner::ReadAnswerBody(wire::ResponseReader& reader,
+                                              Attempt& attempt) {
   while (true) {
     auto piece = co_await reader.ReadBody(attempt.m_call.deadline());
     if (!piece) {
-      NoteLoss(attempt, piece.error());
+      RecordTransportFailure(attempt, piece.error());
       co_return false;
     }
     if (!piece->has_value())
       co_return true;
     attempt.m_check.Add(**piece);
     if (attempt.m_streamed) {
-      co_await PassOn(std::move(**piece), attempt);
-      if (!attempt.m_caller_there && attempt.m_call.idempotent())
+      co_await ForwardAnswer(std::move(**piece), attempt);
+      if (!attempt.m_caller_connected && attempt.m_call.idempotent())
         co_return false;
-    } else if (attempt.m_whole.size() + (*piece)->size() > kMaxAnswer) {
-      attempt.m_evidence.m_ended_badly = true;
+    } else if (attempt.m_buffered_body.size() + (*piece)->size() >
+               kMaxBufferedAnswer) {
+      attempt.m_evidence.m_reported_failure = true;
       attempt.m_report.m_reason = "the answer is too long";
       co_return false;
     } else {
-      attempt.m_whole += **piece;
+      attempt.m_buffered_body += **piece;
     }
   }
 }
 
-Awaitable<void> AttemptRunner::PassOn(std::string piece, Attempt& attempt) {
-  if (!attempt.m_caller_there)
+Awaitable<void> AttemptRunner::ForwardAnswer(std::string piece,
+                                             Attempt& attempt) {
+  if (!attempt.m_caller_connected)
     co_return;
-  bool there = true;
-  if (!attempt.m_report.m_answer_begun)
-    there = co_await attempt.m_writer.Start(attempt.m_onward);
-  attempt.m_report.m_answer_begun = true;
-  if (there)
-    there = co_await attempt.m_writer.Write(std::move(piece));
-  if (!there)
-    attempt.CallerGone();
+  bool connected = true;
+  if (!attempt.m_report.m_answer_started)
+    connected = co_await attempt.m_writer.Start(attempt.m_forwarded_head);
+  attempt.m_report.m_answer_started = true;
+  if (connected)
+    connected = co_await attempt.m_writer.Write(std::move(piece));
+  if (!connected)
+    attempt.RecordCallerDisconnect();
 }
 
-void AttemptRunner::JudgeEnd(const wire::Headers& trailers, Attempt& attempt) {
+void AttemptRunner::EvaluateEnd(const wire::Headers& trailers,
+                                Attempt& attempt) {
   AttemptReport& report = attempt.m_report;
   if (wire::Get(trailers, peer::kOutcome) != "completed") {
-    attempt.m_evidence.m_ended_badly = true;
+    attempt.m_evidence.m_reported_failure = true;
     report.m_reason = wire::Get(trailers, peer::kReason);
     return;
   }
-  attempt.m_evidence.m_ended_well = true;
-  attempt.m_evidence.m_whole = attempt.m_check.Agrees(trailers);
-  if (!attempt.m_evidence.m_whole) {
+  attempt.m_evidence.m_reported_success = true;
+  attempt.m_evidence.m_intact = attempt.m_check.MatchesTrailers(trailers);
+  if (!attempt.m_evidence.m_intact) {
     report.m_reason = "the answer's length or digest is wrong";
-    report.m_broken = true;
+    report.m_target_faulty = true;
     return;
   }
-  report.m_answer = {attempt.m_onward.m_status, attempt.m_onward.m_headers,
-                     std::move(attempt.m_whole)};
+  report.m_answer = {attempt.m_forwarded_head.m_status,
+                     attempt.m_forwarded_head.m_headers,
+                     std::move(attempt.m_buffered_body)};
 }
 
-Awaitable<void> AttemptRunner::BreakOff(Attempt& attempt) {
+Awaitable<void> AttemptRunner::EndWithErrorEvent(Attempt& attempt) {
   const AttemptReport& report = attempt.m_report;
-  if (!report.m_answer_begun || !attempt.m_caller_there ||
+  if (!report.m_answer_started || !attempt.m_caller_connected ||
       report.m_end == AttemptEnd::kCompleted)
     co_return;
-  std::string event = ErrorEvent(report, attempt.m_call);
+  std::string event = MakeErrorEvent(report, attempt.m_call);
   co_await attempt.m_writer.Write(std::move(event));
 }
 
-Awaitable<VoidReply> AttemptRunner::MakeVoid(const Attempt& attempt) {
+Awaitable<VoidReply> AttemptRunner::RequestVoid(const Attempt& attempt) {
   wire::Request request;
   request.m_method = "POST";
   request.m_path = "/v1/void";
--- a/src/libverbenalead/daemon/attempt_server.h
+++ b/src/libverbenalead/daemon/attempt_server.h
@@ -5,18 +5,20 @@
 #include <string>
 
 #include "backends/engine.h"
-#include "daemon/gate_keeper.h"
+#include "daemon/guarded_gate.h"
 #include "daemon/journal.h"
 #include "wire/response_writer.h"
 
 namespace verbenalead::daemon {
 
-/// Takes entries' attempts through the gate to the engine or plain service and
-/// their answers back. May be used from several threads.
+/// Serves the attempts that entries send to this target: admits each one at the
+/// gate, forwards it to the engine or plain service, and streams the answer
+/// back. A refused attempt is made void, so that a late copy of its message
+/// doesn't run. Thread-safe.
 class AttemptServer {
  public:
   AttemptServer(std::string host,
-                GateKeeper& gate,
+                GuardedGate& gate,
                 backends::Engine& engine,
                 Journal& journal)
       : m_host(std::move(host)),
@@ -26,30 +28,32 @@
 
   /// Answers POST /v1/attempt.
   Awaitable<void> Serve(wire::Request request, wire::ResponseWriter& writer);
-  /// Attempts whose answers, refusals too, are not yet with the socket.
+  /// Attempts whose answers or refusals have not yet been written to the
+  /// socket.
   int serving() const { return m_serving; }
   /// Answers POST /v1/void.
-  wire::Response MakeVoid(const wire::Request& request);
+  wire::Response HandleVoid(const wire::Request& request);
 
  private:
-  struct Entered;
+  struct AdmittedAttempt;
 
   Awaitable<void> ServeAttempt(wire::Request request,
                                wire::ResponseWriter& writer);
-  Awaitable<void> Forward(Entered entered,
+  Awaitable<void> Forward(AdmittedAttempt admitted,
                           wire::Request request,
                           wire::ResponseWriter& writer);
-  Awaitable<void> PassOn(Entered entered,
-                         wire::ResponseReader& reader,
-                         wire::ResponseHead head,
-                         wire::ResponseWriter& writer);
-  Awaitable<void> Refuse(Entered entered,
+  Awaitable<void> ForwardAnswer(AdmittedAttempt admitted,
+                                wire::ResponseReader& reader,
+                                wire::ResponseHead head,
+                                wire::ResponseWriter& writer);
+  Awaitable<void> Refuse(AdmittedAttempt admitted,
                          std::string reason,
                          wire::ResponseWriter& writer);
-  bool Passes(const Entered& entered, const Digest& reported);
+  bool MayForwardAnswer(const AdmittedAttempt& admitted,
+                        const Digest& reported);
 
   const std::string m_host;
-  GateKeeper& m_gate;
+  GuardedGate& m_gate;
   backends::Engine& m_engine;
   Journal& m_journal;
   std::atomic<int> m_serving{0};
--- a/src/libverbenalead/daemon/claim_keeper.cc
+++ b/src/libverbenalead/daemon/claim_store.cc
@@ -1,4 +1,4 @@
-#include "daemon/claim_keeper.h"
+#include "daemon/claim_store.h"
 
 #include <algorithm>
 #include <boost/asio/any_io_executor.hpp>
@@ -22,22 +22,25 @@
 
 using decide::ClaimAction;
 using decide::ClaimEnd;
-using decide::ClaimWork;
+using decide::ClaimOperation;
 
 namespace {
 
 constexpr char kPartition[] = "claim";
-/// A claim waits no longer than this for the table: the caller of an urgent
-/// call is better served by "not run, come back" than by silence.
-constexpr Duration kClaimPatience = 3s;
-/// For how long an answer waits until its outcome is recorded. A healthy table
-/// takes a tenth of it. Beyond, the caller gets its answer, and the record
-/// follows: until then a repeated call is told that the key is held.
-constexpr Duration kEndPatience = 250ms;
-constexpr Duration kEndDeadline = std::chrono::seconds(60);
-/// The batch itself ends each claim by its deadline, and fences it off.
+/// Longest wait of a claim for the table. After it the call is refused as not
+/// run, and its caller can retry at once; a longer wait would use up the time
+/// of an urgent call.
+constexpr Duration kClaimTimeout = 3s;
+/// How long an answer is delayed until its outcome is recorded. A healthy table
+/// takes a tenth of this time. When the time is over, the caller receives the
+/// answer although the record is not confirmed. Until the outcome is recorded,
+/// another call with the same key gets the result kHeld: the key is in use.
+constexpr Duration kEndWaitLimit = 250ms;
+constexpr Duration kEndTimeout = std::chrono::seconds(60);
+/// Claims need no wait limit: the batch ends each claim by its deadline and
+/// makes sure that a late write of the claim has no effect.
 constexpr Duration kNoLimit = std::chrono::hours(1);
-constexpr size_t kEntriesAtStart = 8;
+constexpr size_t kInitialEntries = 8;
 
 std::string KeyOf(const model::Call& call) {
   return call.organisation() + "/" + call.idempotency_key();
@@ -80,7 +83,7 @@
   ClaimResult result;
   switch (end.m_end) {
     case ClaimEnd::kDone:
-      result.m_kind = ClaimResult::Kind::kOurs;
+      result.m_kind = ClaimResult::Kind::kClaimed;
       result.m_writer = writer;
       return result;
     case ClaimEnd::kHeld:
@@ -105,60 +108,61 @@
 
 }  // namespace
 
-/// A coroutine that waits for its work's end on its own thread.
-struct ClaimKeeper::Waiter {
+/// A coroutine that waits, on its own thread, for the result of an operation.
+struct ClaimStore::Waiter {
   explicit Waiter(const asio::any_io_executor& executor) : m_event(executor) {}
 
   asio::steady_timer m_event;
   std::optional<ClaimAction> m_end;
 };
 
-ClaimKeeper::ClaimKeeper(backends::Table& table) : m_table(table) {
-  SetEntries(kEntriesAtStart);
+ClaimStore::ClaimStore(backends::Table& table) : m_table(table) {
+  SetEntryCount(kInitialEntries);
 }
 
-ClaimKeeper::~ClaimKeeper() = default;
+ClaimStore::~ClaimStore() = default;
 
-void ClaimKeeper::SetEntries(size_t entries) {
+void ClaimStore::SetEntryCount(size_t entries) {
   std::lock_guard lock(m_mutex);
   m_batch.m_interval = decide::GroupInterval(entries);
 }
 
-Awaitable<ClaimResult> ClaimKeeper::Claim(model::Call call) {
+Awaitable<ClaimResult> ClaimStore::Claim(model::Call call) {
   const uint64_t writer = NewWriter();
-  const TimePoint deadline = std::min(call.deadline(), Now() + kClaimPatience);
+  const TimePoint deadline = std::min(call.deadline(), Now() + kClaimTimeout);
   const ClaimAction end = co_await Await(
       decide::MakeClaim(KeyOf(call), writer, call.id(), deadline), kNoLimit);
   co_return ResultOf(end, writer);
 }
 
-Awaitable<bool> ClaimKeeper::Record(model::Call call,
-                                    uint64_t writer,
-                                    RecordedAnswer answer) {
+Awaitable<bool> ClaimStore::Record(model::Call call,
+                                   uint64_t writer,
+                                   RecordedAnswer answer) {
   const ClaimAction end = co_await Await(
-      decide::MakeEnd(ClaimWork::Kind::kRecord, KeyOf(call), writer,
-                      ToJson(answer), Now() + kEndDeadline),
-      kEndPatience);
+      decide::MakeClaimEnd(ClaimOperation::Kind::kRecord, KeyOf(call), writer,
+                           ToJson(answer), Now() + kEndTimeout),
+      kEndWaitLimit);
   co_return end.m_end == ClaimEnd::kDone;
 }
 
-Awaitable<bool> ClaimKeeper::Release(model::Call call, uint64_t writer) {
-  const ClaimAction end =
-      co_await Await(decide::MakeEnd(ClaimWork::Kind::kRelease, KeyOf(call),
-                                     writer, call.id(), Now() + kEndDeadline),
-                     kEndPatience);
+Awaitable<bool> ClaimStore::Release(model::Call call, uint64_t writer) {
+  const ClaimAction end = co_await Await(
+      decide::MakeClaimEnd(ClaimOperation::Kind::kRelease, KeyOf(call), writer,
+                           call.id(), Now() + kEndTimeout),
+      kEndWaitLimit);
   co_return end.m_end == ClaimEnd::kDone;
 }
 
-Awaitable<ClaimAction> ClaimKeeper::Await(ClaimWork work, Duration patience) {
+Awaitable<ClaimAction> ClaimStore::Await(ClaimOperation operation,
+                                         Duration wait_limit) {
   const auto executor = co_await asio::this_coro::executor;
   auto waiter = std::make_shared<Waiter>(executor);
-  waiter->m_event.expires_after(patience);
+  waiter->m_event.expires_after(wait_limit);
   std::vector<ClaimAction> actions;
   uint64_t id = 0;
   {
     std::lock_guard lock(m_mutex);
-    id = decide::Submit(m_batch, std::move(work));
+    id = decide::Submit(m_batch, std::move(operation));
     m_waiters[id] = waiter;
     actions = decide::Tick(m_batch, Now());
   }
@@ -172,13 +176,13 @@
     co_return *waiter->m_end;
   std::lock_guard lock(m_mutex);
   m_waiters.erase(id);
-  ClaimAction late;
-  late.m_end = ClaimEnd::kUnavailable;
-  co_return late;
+  ClaimAction timed_out;
+  timed_out.m_end = ClaimEnd::kUnavailable;
+  co_return timed_out;
 }
 
-void ClaimKeeper::Perform(const asio::any_io_executor& executor,
-                          std::vector<ClaimAction> actions) {
+void ClaimStore::Perform(const asio::any_io_executor& executor,
+                         std::vector<ClaimAction> actions) {
   for (ClaimAction& action : actions) {
     switch (action.m_kind) {
       case ClaimAction::Kind::kTransact:
@@ -187,17 +191,17 @@
       case ClaimAction::Kind::kRead:
         Spawn(executor, Read(std::move(action)), "read");
         break;
-      case ClaimAction::Kind::kWake:
-        WakeAt(executor, action.m_at);
+      case ClaimAction::Kind::kScheduleTick:
+        ScheduleTickAt(executor, action.m_at);
         break;
-      case ClaimAction::Kind::kSettle:
+      case ClaimAction::Kind::kReportResult:
         Deliver(std::move(action));
         break;
     }
   }
 }
 
-void ClaimKeeper::Deliver(ClaimAction action) {
+void ClaimStore::Deliver(ClaimAction action) {
   std::lock_guard lock(m_mutex);
   auto found = m_waiters.extract(action.m_id);
   if (found.empty())
@@ -209,29 +213,30 @@
   });
 }
 
-void ClaimKeeper::WakeAt(const asio::any_io_executor& executor, TimePoint at) {
+void ClaimStore::ScheduleTickAt(const asio::any_io_executor& executor,
+                                TimePoint at) {
   {
     std::lock_guard lock(m_mutex);
-    if (m_wake_at <= at)
+    if (m_tick_at <= at)
       return;
-    m_wake_at = at;
+    m_tick_at = at;
   }
   Spawn(executor, Wake(at), "wake");
 }
 
-Awaitable<void> ClaimKeeper::Wake(TimePoint at) {
+Awaitable<void> ClaimStore::Wake(TimePoint at) {
   co_await Sleep(at - Now());
   std::vector<ClaimAction> actions;
   {
     std::lock_guard lock(m_mutex);
-    if (m_wake_at == at)
-      m_wake_at = TimePoint::max();
+    if (m_tick_at == at)
+      m_tick_at = TimePoint::max();
     actions = decide::Tick(m_batch, Now());
   }
   Perform(co_await asio::this_coro::executor, std::move(actions));
 }
 
-Awaitable<void> ClaimKeeper::Transact(ClaimAction action) {
+Awaitable<void> ClaimStore::Transact(ClaimAction action) {
   auto done = co_await m_table.Transact(WritesOf(action.m_puts));
   LogLine line("claim_group");
   line.With("writes", uint64_t{action.m_puts.size()});
@@ -248,16 +253,16 @@
   Perform(co_await asio::this_coro::executor, std::move(actions));
 }
 
-Awaitable<void> ClaimKeeper::Read(ClaimAction action) {
+Awaitable<void> ClaimStore::Read(ClaimAction action) {
   auto item = co_await m_table.Get(kPartition, action.m_key);
   std::vector<ClaimAction> actions;
   {
     std::lock_guard lock(m_mutex);
     if (item) {
-      std::optional<decide::ClaimItem> there;
+      std::optional<decide::ClaimItem> stored;
       if (item->has_value())
-        there = decide::ClaimItem{(*item)->m_revision, (*item)->m_value};
-      actions = decide::ReadEnded(m_batch, action.m_id, there, Now());
+        stored = decide::ClaimItem{(*item)->m_revision, (*item)->m_value};
+      actions = decide::ReadEnded(m_batch, action.m_id, stored, Now());
     } else {
       actions = decide::ReadFailed(m_batch, action.m_id, Now());
     }
--- a/src/libverbenalead/daemon/config_capacity_bench.cc
+++ b/src/libverbenalead/daemon/config_capacity_bench.cc
@@ -1,5 +1,6 @@
-/// Slopes for docs/CAPACITY.md: what one more resource, host, target or request
-/// costs the decision cores, driven alone. Prints `bench=capacity` lines.
+/// Measures the cost of one more resource, host, target or request in processor
+/// time and memory, without network or threads, for docs/CAPACITY.md. Prints
+/// `bench=capacity` lines.
 #include <malloc.h>
 #include <spdlog/fmt/fmt.h>
 
@@ -9,8 +10,8 @@
 #include "base/log.h"
 #include "daemon/config_messages.h"
 #include "daemon/journal.h"
-#include "decide/members.h"
-#include "decide/place.h"
+#include "decide/target_selection.h"
+#include "decide/target_watch.h"
 #include "model/call_builder.h"
 #include "model/host_builder.h"
 
@@ -30,13 +31,13 @@
   return mallinfo2().uordblks;
 }
 
-/// Processor time of one call of `work`, in microseconds.
+/// Returns the mean processor time of one call of `work`, in microseconds.
 template <typename Work>
-double Cost(int repeats, const Work& work) {
+double Cost(int iterations, const Work& work) {
   const double begin = CpuMicroseconds();
-  for (int i = 0; i < repeats; ++i)
+  for (int i = 0; i < iterations; ++i)
     work(i);
-  return (CpuMicroseconds() - begin) / repeats;
+  return (CpuMicroseconds() - begin) / iterations;
 }
 
 model::Change ChangeOf(uint64_t revision, size_t resources) {
@@ -52,21 +53,21 @@
 
 void MeasureConfig(size_t resources) {
   const size_t before = HeapBytes();
-  daemon::ConfigKeeper keeper(nullptr);
+  daemon::ConfigStore store(nullptr);
   uint64_t revision = 0;
   while (revision < resources)
-    keeper.Offer({ChangeOf(++revision, resources)});
+    store.ApplyChanges({ChangeOf(++revision, resources)});
   const size_t state = HeapBytes() - before;
-  const double apply =
-      Cost(200, [&](int) { keeper.Offer({ChangeOf(++revision, resources)}); });
-  const std::string message = daemon::ConfigSince(keeper, revision - 1);
-  const double send =
-      Cost(2000, [&](int) { daemon::ConfigSince(keeper, revision - 1); });
+  const double apply = Cost(
+      200, [&](int) { store.ApplyChanges({ChangeOf(++revision, resources)}); });
+  const std::string message = daemon::SerialiseConfigAfter(store, revision - 1);
+  const double send = Cost(
+      2000, [&](int) { daemon::SerialiseConfigAfter(store, revision - 1); });
   fmt::print(
       "bench=capacity role=all what=config resources={} state_bytes={} "
       "apply_us={:.1f} message_us={:.1f} message_bytes={} whole_bytes={}\n",
       resources, state, apply, send, message.size(),
-      decide::ToJson(*keeper.current()).size());
+      decide::ToJson(*store.current()).size());
 }
 
 std::vector<model::Host> Hosts(size_t entries, size_t targets) {
@@ -85,15 +86,15 @@
 void MeasureMembers(size_t entries, size_t targets) {
   const auto hosts = Hosts(entries, targets);
   const size_t before = HeapBytes();
-  decide::MembersState state;
+  decide::TargetWatchState state;
   state.m_self = hosts[0].name();
   state.m_region = hosts[0].region();
   decide::SetHosts(state, hosts);
-  const size_t watched = decide::Watched(state, TimePoint()).size();
+  const size_t watched = decide::TargetsToWatch(state, TimePoint()).size();
   const size_t bytes = HeapBytes() - before;
   const double list = Cost(20, [&](int) { decide::SetHosts(state, hosts); });
   const double choose =
-      Cost(20, [&](int) { decide::Watched(state, TimePoint()); });
+      Cost(20, [&](int) { decide::TargetsToWatch(state, TimePoint()); });
   fmt::print(
       "bench=capacity role=entry what=members entries={} targets={} "
       "watched={} state_bytes={} list_us={:.0f} choose_us={:.0f}\n",
@@ -114,27 +115,28 @@
 
 void MeasurePlacement(size_t targets) {
   const size_t before = HeapBytes();
-  decide::PlaceState state;
+  decide::TargetSelectionState state;
   for (size_t i = 0; i < targets; ++i)
-    decide::Report(state, ReportOf(i), TimePoint());
+    decide::ApplyReport(state, ReportOf(i), TimePoint());
   const size_t bytes = HeapBytes() - before;
   const std::string text = ToJson(ReportOf(1));
   const double report = Cost(5000, [&](int i) {
     auto parsed = CatchFailure([&] { return model::ParseTargetReport(text); });
     parsed->m_running = static_cast<uint32_t>(i % 8);
-    decide::Report(state, *parsed, TimePoint());
+    decide::ApplyReport(state, *parsed, TimePoint());
   });
   const double write = Cost(5000, [&](int) { ToJson(ReportOf(1)); });
   const model::Call call =
       model::CallBuilder().Id("r-1").Organisation("acme").Build();
   decide::Random random(kSeed);
-  const double place = Cost(2000, [&](int) {
-    decide::Place(state, call, {}, Duration::zero(), TimePoint(), random);
+  const double placement = Cost(2000, [&](int) {
+    decide::ChooseTarget(state, call, {}, Duration::zero(), TimePoint(),
+                         random);
   });
   fmt::print(
       "bench=capacity role=entry what=placement targets={} state_bytes={} "
       "report_us={:.1f} report_bytes={} place_us={:.1f}\n",
-      targets, bytes, report, text.size(), place);
+      targets, bytes, report, text.size(), placement);
   fmt::print("bench=capacity role=target what=report report_us={:.1f}\n",
              write);
 }
--- a/src/libverbenalead/daemon/config_keeper.cc
+++ b/src/libverbenalead/daemon/config_store.cc
@@ -1,4 +1,4 @@
-#include "daemon/config_keeper.h"
+#include "daemon/config_store.h"
 
 #include <spdlog/fmt/fmt.h>
 
@@ -25,19 +25,23 @@
 constexpr char kSnapshotSort[] = "snapshot";
 constexpr char kChangePartition[] = "change";
 constexpr char kOperationPartition[] = "operation";
-/// Changes kept for peers that are behind; further back they get the state.
-constexpr size_t kMaxRecent = 4096;
-constexpr uint32_t kPage = 500;
-/// Tries of one commit. Each lost race means that somebody else's write went
-/// through, so with eight operators racing a handful of tries is the rule.
-constexpr int kMaxTries = 64;
-/// How long a write in doubt is looked for, below the 10 s that an operator's
-/// client waits, so that "unknown" reaches the operator as an answer.
-constexpr Duration kSettleBound = 6s;
-/// Pause after a failed try; a table that struggles is not pressed further.
-constexpr Duration kPause = 100ms;
-
-/// Sorts as text in the order of the numbers.
+/// Number of recent changes kept for peers that are behind. A peer that is
+/// further behind receives the whole state.
+constexpr size_t kMaxRecentChanges = 4096;
+constexpr uint32_t kPageSize = 500;
+/// Maximum number of attempts of one commit. An attempt fails whenever another
+/// write is committed first; with eight operators writing at the same time a
+/// handful of attempts is normal.
+constexpr int kMaxAttempts = 64;
+/// How long Commit() tries to find out whether a write in doubt took effect.
+/// Less than the 10 s time-out of an operator's client, so that the operator
+/// receives the result "unknown" as an answer.
+constexpr Duration kInDoubtTimeout = 6s;
+/// Pause after a failed attempt, to avoid adding load to an overloaded table.
+constexpr Duration kRetryInterval = 100ms;
+
+/// Sort key of `revision`: zero-padded, so that the order of the keys as text
+/// is the order of the revisions.
 std::string SortOf(uint64_t revision) {
   return fmt::format("{:020}", revision);
 }
@@ -62,10 +66,11 @@
           write.m_spec, write.m_operation, write.m_operator};
 }
 
-/// The change that `write`'s operation id is known to have made, if it was this
-/// very write.
-AsyncResult<model::Change> Repeated(const model::Change& known,
-                                    const model::ResourceWrite& write) {
+/// Returns the change `known`, which was committed earlier under the operation
+/// id of `write`, if it is the same write; fails if it is a different one.
+AsyncResult<model::Change> ResultOfDuplicate(
+    const model::Change& known,
+    const model::ResourceWrite& write) {
   if (known.m_key == write.m_key && known.m_deleted == write.m_deleted &&
       known.m_spec == write.m_spec)
     return known;
@@ -75,8 +80,10 @@
                   write.m_operation, ToString(known.m_key), known.m_revision)};
 }
 
-/// The write had no answer, and a read can't settle what became of it.
-Failure Unknown(const model::ResourceWrite& write, const Failure& cause) {
+/// Failure of a write that was not answered and whose effect could not be
+/// determined by reading the table.
+Failure UnknownOutcome(const model::ResourceWrite& write,
+                       const Failure& cause) {
   return {FailureCode::kTimeout, "write " + ToString(write.m_key), cause.m_peer,
           "the write's outcome is unknown (" + ToString(cause) +
               "); ask again with operation " + write.m_operation};
@@ -90,8 +97,8 @@
 
 }  // namespace
 
-/// A coroutine that waits on its own thread for a newer revision.
-struct ConfigKeeper::Waiter {
+/// A coroutine that waits, on its own thread, for a newer revision.
+struct ConfigStore::Waiter {
   explicit Waiter(const boost::asio::any_io_executor& executor,
                   TimePoint deadline)
       : m_event(executor, deadline) {}
@@ -100,22 +107,22 @@
   bool m_woken = false;
 };
 
-ConfigKeeper::ConfigKeeper(backends::Table* table)
-    : ConfigKeeper(table, [](Duration pause) { return Sleep(pause); }) {}
+ConfigStore::ConfigStore(backends::Table* table)
+    : ConfigStore(table, [](Duration pause) { return Sleep(pause); }) {}
 
-ConfigKeeper::ConfigKeeper(backends::Table* table, Pause pause)
+ConfigStore::ConfigStore(backends::Table* table, Pause pause)
     : m_table(table),
       m_pause(std::move(pause)),
       m_state(std::make_shared<decide::ConfigState>()) {}
 
-ConfigKeeper::~ConfigKeeper() = default;
+ConfigStore::~ConfigStore() = default;
 
-ConfigKeeper::State ConfigKeeper::current() const {
+ConfigStore::State ConfigStore::current() const {
   std::lock_guard lock(m_mutex);
   return m_state;
 }
 
-void ConfigKeeper::Offer(const std::vector<model::Change>& changes) {
+void ConfigStore::ApplyChanges(const std::vector<model::Change>& changes) {
   std::lock_guard lock(m_mutex);
   std::shared_ptr<decide::ConfigState> next;
   for (const model::Change& change : changes) {
@@ -131,9 +138,9 @@
         .With("deleted", change.m_deleted)
         .With("operation", change.m_operation)
         .Info();
-    m_recent.push_back(change);
-    if (m_recent.size() > kMaxRecent)
-      m_recent.pop_front();
+    m_recent_changes.push_back(change);
+    if (m_recent_changes.size() > kMaxRecentChanges)
+      m_recent_changes.pop_front();
   }
   if (!next)
     return;
@@ -141,7 +148,7 @@
   WakeAll();
 }
 
-void ConfigKeeper::OfferState(decide::ConfigState state) {
+void ConfigStore::ApplyState(decide::ConfigState state) {
   std::lock_guard lock(m_mutex);
   if (state.m_revision <= m_state->m_revision)
     return;
@@ -150,11 +157,11 @@
       .With("resource", "all")
       .Info();
   m_state = std::make_shared<decide::ConfigState>(std::move(state));
-  m_recent.clear();
+  m_recent_changes.clear();
   WakeAll();
 }
 
-void ConfigKeeper::WakeAll() {
+void ConfigStore::WakeAll() {
   for (const std::shared_ptr<Waiter>& waiter : m_waiters) {
     boost::asio::post(waiter->m_event.get_executor(), [waiter] {
       waiter->m_woken = true;
@@ -164,8 +171,8 @@
   m_waiters.clear();
 }
 
-Awaitable<void> ConfigKeeper::WaitBeyond(uint64_t revision,
-                                         TimePoint deadline) {
+Awaitable<void> ConfigStore::WaitForRevisionAfter(uint64_t revision,
+                                                  TimePoint deadline) {
   const auto executor = co_await boost::asio::this_coro::executor;
   auto waiter = std::make_shared<Waiter>(executor, deadline);
   {
@@ -183,37 +190,38 @@
   std::erase(m_waiters, waiter);
 }
 
-void ConfigKeeper::Hear(uint64_t revision) {
+void ConfigStore::RecordObservedRevision(uint64_t revision) {
   std::lock_guard lock(m_mutex);
-  m_heard = std::max(m_heard, revision);
+  m_observed_revision = std::max(m_observed_revision, revision);
 }
 
-TimePoint ConfigKeeper::read_at() const {
+TimePoint ConfigStore::last_read_at() const {
   std::lock_guard lock(m_mutex);
-  return m_read_at;
+  return m_last_read_at;
 }
 
-uint64_t ConfigKeeper::heard() const {
+uint64_t ConfigStore::observed_revision() const {
   std::lock_guard lock(m_mutex);
-  return m_heard;
+  return m_observed_revision;
 }
 
-std::optional<std::vector<model::Change>> ConfigKeeper::ChangesAfter(
+std::optional<std::vector<model::Change>> ConfigStore::ChangesAfter(
     uint64_t revision) const {
   std::lock_guard lock(m_mutex);
   std::vector<model::Change> changes;
   if (revision >= m_state->m_revision)
     return changes;
-  if (m_recent.empty() || m_recent.front().m_revision > revision + 1)
+  if (m_recent_changes.empty() ||
+      m_recent_changes.front().m_revision > revision + 1)
     return std::nullopt;
-  for (const model::Change& change : m_recent) {
+  for (const model::Change& change : m_recent_changes) {
     if (change.m_revision > revision)
       changes.push_back(change);
   }
   return changes;
 }
 
-Awaitable<AsyncResult<bool>> ConfigKeeper::ReadSnapshot() {
+Awaitable<AsyncResult<bool>> ConfigStore::ReadSnapshot() {
   auto item = co_await m_table->Get(kHeadPartition, kSnapshotSort);
   if (!item)
     co_return item.error();
@@ -221,24 +229,24 @@
     co_return false;
   auto state =
       CatchFailure([&] { return decide::ParseConfigState((*item)->m_value); });
-  // All changes are still in the table: an unreadable snapshot is no loss.
+  // An invalid snapshot is ignored: the table still contains all changes.
   if (!state) {
     LogLine("config_snapshot_bad").With(state.error()).Warn();
     co_return false;
   }
   {
     std::lock_guard lock(m_mutex);
-    m_snapshot = std::max(m_snapshot, state->m_revision);
+    m_snapshot_revision = std::max(m_snapshot_revision, state->m_revision);
   }
-  OfferState(std::move(*state));
+  ApplyState(std::move(*state));
   co_return true;
 }
 
-Awaitable<AsyncResult<bool>> ConfigKeeper::WriteSnapshot() {
+Awaitable<AsyncResult<bool>> ConfigStore::WriteSnapshot() {
   const State state = current();
   {
     std::lock_guard lock(m_mutex);
-    if (state->m_revision < m_snapshot + kSnapshotEvery)
+    if (state->m_revision < m_snapshot_revision + kSnapshotInterval)
       co_return false;
   }
   const TableItem item{kHeadPartition, kSnapshotSort, state->m_revision,
@@ -248,13 +256,13 @@
   if (!done)
     co_return done.error();
   std::lock_guard lock(m_mutex);
-  m_snapshot = std::max(m_snapshot, state->m_revision);
+  m_snapshot_revision = std::max(m_snapshot_revision, state->m_revision);
   co_return true;
 }
 
-Awaitable<AsyncResult<bool>> ConfigKeeper::CatchUp() {
-  // A year of changes is 400,000 items; a process that starts reads the state
-  // and the few changes after it.
+Awaitable<AsyncResult<bool>> ConfigStore::CatchUp() {
+  // The changes of a year are 400,000 items, too many to read at start. A
+  // starting process reads the snapshot and the few changes after it.
   if (current()->m_revision == 0) {
     auto read = co_await ReadSnapshot();
     if (!read)
@@ -263,7 +271,7 @@
   while (true) {
     const uint64_t revision = current()->m_revision;
     auto items =
-        co_await m_table->Query(kChangePartition, SortOf(revision), kPage);
+        co_await m_table->Query(kChangePartition, SortOf(revision), kPageSize);
     if (!items)
       co_return items.error();
     std::vector<model::Change> changes;
@@ -274,17 +282,17 @@
         co_return change.error();
       changes.push_back(std::move(*change));
     }
-    Offer(changes);
-    if (items->size() < kPage) {
+    ApplyChanges(changes);
+    if (items->size() < kPageSize) {
       std::lock_guard lock(m_mutex);
-      m_read_at = Now();
+      m_last_read_at = Now();
       co_return true;
     }
   }
 }
 
-Awaitable<AsyncResult<std::optional<model::Change>>>
-ConfigKeeper::FindOperation(std::string operation) {
+Awaitable<AsyncResult<std::optional<model::Change>>> ConfigStore::FindOperation(
+    std::string operation) {
   auto item = co_await m_table->Get(kOperationPartition, std::move(operation));
   if (!item)
     co_return item.error();
@@ -297,17 +305,18 @@
   co_return std::optional<model::Change>(std::move(*change));
 }
 
-std::string ConfigKeeper::WinnerOf(const decide::ConfigState& state,
-                                   const model::ResourceKey& key) const {
+std::string ConfigStore::DescribeWinner(const decide::ConfigState& state,
+                                        const model::ResourceKey& key) const {
   auto found = state.m_resources.find(key);
   if (found != state.m_resources.end()) {
-    const decide::ResourceInForce& winner = found->second;
+    const decide::ActiveResource& winner = found->second;
     return fmt::format("revision {} by operation {} of operator {}",
                        winner.m_revision, winner.m_operation,
                        winner.m_operator);
   }
   std::lock_guard lock(m_mutex);
-  for (auto change = m_recent.rbegin(); change != m_recent.rend(); ++change) {
+  for (auto change = m_recent_changes.rbegin();
+       change != m_recent_changes.rend(); ++change) {
     if (change->m_key == key)
       return fmt::format(
           "deleted at revision {} by operation {} of operator {}",
@@ -316,81 +325,82 @@
   return "no such resource";
 }
 
-AsyncResult<bool> ConfigKeeper::CheckExpected(
+AsyncResult<bool> ConfigStore::CheckExpected(
     const decide::ConfigState& state,
     const model::ResourceWrite& write) const {
   auto found = state.m_resources.find(write.m_key);
   const uint64_t revision =
       found == state.m_resources.end() ? 0 : found->second.m_revision;
   if (write.m_expected_revision && *write.m_expected_revision != revision) {
-    return Failure{
-        FailureCode::kConflict, "write " + ToString(write.m_key), "",
-        fmt::format("expected revision {}, found {}",
-                    *write.m_expected_revision, WinnerOf(state, write.m_key))};
+    return Failure{FailureCode::kConflict, "write " + ToString(write.m_key), "",
+                   fmt::format("expected revision {}, found {}",
+                               *write.m_expected_revision,
+                               DescribeWinner(state, write.m_key))};
   }
   if (write.m_deleted && revision == 0) {
     return Failure{FailureCode::kNotFound, "delete " + ToString(write.m_key),
                    "", "no such resource"};
   }
-  auto good =
+  auto checked =
       CatchFailure([&] { return decide::CheckReferences(state, write); });
-  if (!good)
-    return good.error();
+  if (!checked)
+    return checked.error();
   return true;
 }
 
-Awaitable<AsyncResult<model::Change>> ConfigKeeper::Commit(
+Awaitable<AsyncResult<model::Change>> ConfigStore::Commit(
     model::ResourceWrite write) {
-  // The revision and failure of a try that may yet take effect.
-  std::optional<std::pair<uint64_t, Failure>> doubt;
-  const TimePoint give_up = Now() + kSettleBound;
-  for (int tries = 0; tries < kMaxTries; ++tries) {
+  // Revision and failure of an attempt that may still take effect.
+  std::optional<std::pair<uint64_t, Failure>> in_doubt;
+  const TimePoint deadline = Now() + kInDoubtTimeout;
+  for (int attempt = 0; attempt < kMaxAttempts; ++attempt) {
     auto caught_up = co_await CatchUp();
     const State state = current();
-    // The operation is looked up only after `state` was taken. The other way
-    // round, our own try whose answer was lost could take effect in between:
-    // CheckExpected would find our own write and tell the operator that
-    // somebody else had won.
+    // The operation must be read after `state`. In the opposite order an
+    // earlier attempt of this commit whose answer was lost could take effect
+    // between the two: CheckExpected() would then report this commit's own
+    // write to the operator as a conflict with another write.
     auto known = co_await FindOperation(write.m_operation);
     if (!caught_up || !known) {
       const Failure& failure = caught_up ? known.error() : caught_up.error();
-      if (!doubt)
+      if (!in_doubt)
         co_return failure;
-      if (Now() >= give_up)
-        co_return Unknown(write, doubt->second);
-      co_await m_pause(kPause);
+      if (Now() >= deadline)
+        co_return UnknownOutcome(write, in_doubt->second);
+      co_await m_pause(kRetryInterval);
       continue;
     }
     if (known->has_value())
-      co_return Repeated(**known, write);
-    // The head has passed the revision that the try in doubt wanted, and the
-    // operation is not in the table: that try can no longer take effect.
-    if (doubt && state->m_revision >= doubt->first)
-      doubt.reset();
+      co_return ResultOfDuplicate(**known, write);
+    // The log has reached the revision of the attempt in doubt, and the
+    // operation is not in the table, so that attempt can't take effect any
+    // more.
+    if (in_doubt && state->m_revision >= in_doubt->first)
+      in_doubt.reset();
     auto expected = CheckExpected(*state, write);
     if (!expected)
       co_return expected.error();
     const model::Change change = ChangeFor(write, state->m_revision + 1);
-    // The head's condition lets at most one writer take each revision, and the
-    // operation's lets each operation take at most one, so a second try while
-    // the first is in doubt can't double it.
+    // The condition on the head item allows at most one writer per revision,
+    // and the condition on the operation at most one revision per operation. So
+    // another attempt can't commit the write twice while the first is in doubt.
     auto done = co_await m_table->Transact(WritesFor(change));
     if (done && *done == backends::TransactResult::kCommitted) {
-      Offer({change});
+      ApplyChanges({change});
       co_return change;
     }
     if (done)
       continue;
     if (MayHaveTakenEffect(done.error()))
-      doubt = {change.m_revision, done.error()};
-    else if (!doubt)
+      in_doubt = {change.m_revision, done.error()};
+    else if (!in_doubt)
       co_return done.error();
-    if (Now() >= give_up)
-      co_return Unknown(write, doubt->second);
-    co_await m_pause(kPause);
+    if (Now() >= deadline)
+      co_return UnknownOutcome(write, in_doubt->second);
+    co_await m_pause(kRetryInterval);
   }
-  if (doubt)
-    co_return Unknown(write, doubt->second);
+  if (in_doubt)
+    co_return UnknownOutcome(write, in_doubt->second);
   co_return Failure{FailureCode::kRefused, "write " + ToString(write.m_key), "",
                     "too many writers at once; nothing was written"};
 }
--- a/src/libverbenalead/daemon/config_keeper_test.cc
+++ b/src/libverbenalead/daemon/config_store_test.cc
@@ -1,4 +1,4 @@
-#include "daemon/config_keeper.h"
+#include "daemon/config_store.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 #include <rapidcheck.h>
@@ -22,17 +22,23 @@
 using backends::TableWrite;
 using backends::TransactResult;
 
-/// What becomes of one call to the table.
-enum class Fate { kAnswered, kAnswerLost, kRequestLost, kLate, kNotSent };
+/// What happens to one call to the table and to its answer.
+enum class CallOutcome {
+  kAnswered,
+  kAnswerLost,
+  kRequestLost,
+  kDelayed,
+  kNotSent
+};
 
-/// The table's content, and the calls under way, which the test lets go on one
-/// by one in whatever order it likes.
-struct Cloud {
+/// The content of the simulated table and the calls in progress. The test
+/// completes the calls one by one, in any order.
+struct TableState {
   struct Turn {
     explicit Turn(asio::io_context& context)
         : m_event(context, TimePoint::max()) {}
     asio::steady_timer m_event;
-    std::optional<Fate> m_fate;
+    std::optional<CallOutcome> m_call_outcome;
   };
 
   bool Apply(const std::vector<TableWrite>& writes) {
@@ -51,22 +57,22 @@
     return true;
   }
 
-  Awaitable<Fate> Wait() {
-    auto turn = std::make_shared<Turn>(m_context);
-    m_turns.push_back(turn);
-    while (!turn->m_fate) {
+  Awaitable<CallOutcome> Wait() {
+    auto pending_call = std::make_shared<Turn>(m_context);
+    m_turns.push_back(pending_call);
+    while (!pending_call->m_call_outcome) {
       boost::system::error_code ignored;
-      co_await turn->m_event.async_wait(
+      co_await pending_call->m_event.async_wait(
           asio::redirect_error(asio::use_awaitable, ignored));
     }
-    co_return *turn->m_fate;
+    co_return *pending_call->m_call_outcome;
   }
 
-  void Resume(size_t index, Fate fate) {
-    auto turn = m_turns[index];
+  void Resume(size_t index, CallOutcome outcome) {
+    auto pending_call = m_turns[index];
     m_turns.erase(m_turns.begin() + static_cast<ptrdiff_t>(index));
-    turn->m_fate = fate;
-    turn->m_event.cancel();
+    pending_call->m_call_outcome = outcome;
+    pending_call->m_event.cancel();
     Poll();
   }
 
@@ -75,7 +81,7 @@
     m_context.poll();
   }
 
-  /// All accepted changes in order.
+  /// All committed changes, in the order of their revisions.
   std::vector<model::Change> Log() const {
     std::vector<model::Change> log;
     for (const auto& [key, item] : m_items) {
@@ -96,26 +102,26 @@
 
 class FakeTable : public backends::Table {
  public:
-  explicit FakeTable(Cloud& cloud) : m_cloud(cloud) {}
+  explicit FakeTable(TableState& table_state) : m_table_state(table_state) {}
 
   Awaitable<AsyncResult<std::optional<TableItem>>> Get(
       std::string partition,
       std::string sort) override {
-    if (co_await m_cloud.Wait() != Fate::kAnswered)
+    if (co_await m_table_state.Wait() != CallOutcome::kAnswered)
       co_return Lost(FailureCode::kTimeout);
-    auto found = m_cloud.m_items.find({partition, sort});
-    if (found == m_cloud.m_items.end())
+    auto found = m_table_state.m_items.find({partition, sort});
+    if (found == m_table_state.m_items.end())
       co_return std::optional<TableItem>();
     co_return std::optional<TableItem>(found->second);
   }
 
   Awaitable<AsyncResult<std::vector<TableItem>>>
   Query(std::string partition, std::string after, uint32_t limit) override {
-    if (co_await m_cloud.Wait() != Fate::kAnswered)
+    if (co_await m_table_state.Wait() != CallOutcome::kAnswered)
       co_return Lost(FailureCode::kTimeout);
     std::vector<TableItem> items;
-    for (auto at = m_cloud.m_items.upper_bound({partition, after});
-         at != m_cloud.m_items.end() && at->first.first == partition &&
+    for (auto at = m_table_state.m_items.upper_bound({partition, after});
+         at != m_table_state.m_items.end() && at->first.first == partition &&
          items.size() < limit;
          ++at)
       items.push_back(at->second);
@@ -124,15 +130,16 @@
 
   Awaitable<AsyncResult<TransactResult>> Transact(
       std::vector<TableWrite> writes) override {
-    const Fate fate = co_await m_cloud.Wait();
-    if (fate == Fate::kNotSent)
+    const CallOutcome outcome = co_await m_table_state.Wait();
+    if (outcome == CallOutcome::kNotSent)
       co_return Lost(FailureCode::kUnreachable);
-    if (fate == Fate::kLate)
-      m_cloud.m_late.push_back(writes);
-    if (fate == Fate::kLate || fate == Fate::kRequestLost)
+    if (outcome == CallOutcome::kDelayed)
+      m_table_state.m_late.push_back(writes);
+    if (outcome == CallOutcome::kDelayed ||
+        outcome == CallOutcome::kRequestLost)
       co_return Lost(FailureCode::kTimeout);
-    const bool done = m_cloud.Apply(writes);
-    if (fate == Fate::kAnswerLost)
+    const bool done = m_table_state.Apply(writes);
+    if (outcome == CallOutcome::kAnswerLost)
       co_return Lost(FailureCode::kBroken);
     co_return done ? TransactResult::kCommitted : TransactResult::kConflict;
   }
@@ -140,76 +147,77 @@
  private:
   static Failure Lost(FailureCode code) { return {code, "table", "fake", ""}; }
 
-  Cloud& m_cloud;
+  TableState& m_table_state;
 };
 
 Awaitable<void> NoPause(Duration) {
   co_return;
 }
 
-/// One commit that an operator asked for.
+/// A commit that an operator has requested.
 struct Commit {
   model::ResourceWrite m_write;
   std::optional<AsyncResult<model::Change>> m_result;
 };
 
-Awaitable<void> RunCommit(std::shared_ptr<ConfigKeeper> keeper,
+Awaitable<void> RunCommit(std::shared_ptr<ConfigStore> store,
                           std::shared_ptr<Commit> commit) {
-  commit->m_result = co_await keeper->Commit(commit->m_write);
+  commit->m_result = co_await store->Commit(commit->m_write);
 }
 
-Awaitable<void> RunCatchUp(std::shared_ptr<ConfigKeeper> keeper) {
-  auto ignored = co_await keeper->CatchUp();
+Awaitable<void> RunCatchUp(std::shared_ptr<ConfigStore> store) {
+  auto ignored = co_await store->CatchUp();
   (void)ignored;
 }
 
 constexpr size_t kSteps = 400;
 
-Awaitable<void> RunSnapshot(std::shared_ptr<ConfigKeeper> keeper) {
-  auto ignored = co_await keeper->WriteSnapshot();
+Awaitable<void> RunSnapshot(std::shared_ptr<ConfigStore> store) {
+  auto ignored = co_await store->WriteSnapshot();
   (void)ignored;
 }
 
-/// Daemons, their messages and the oracle: the table's own log of changes.
+/// Daemons, the messages between them, and checks of their state against the
+/// log of changes in the table.
 struct Fleet {
   static constexpr size_t kDaemons = 5;
 
-  Fleet() : m_table(m_cloud) {
+  Fleet() : m_table(m_table_state) {
     for (size_t i = 0; i < kDaemons; ++i)
       m_daemons.push_back(NewKeeper());
     m_seen.resize(kDaemons);
   }
 
-  std::shared_ptr<ConfigKeeper> NewKeeper() {
-    return std::make_shared<ConfigKeeper>(&m_table, &NoPause);
+  std::shared_ptr<ConfigStore> NewKeeper() {
+    return std::make_shared<ConfigStore>(&m_table, &NoPause);
   }
 
   std::shared_ptr<Commit> Start(size_t daemon, model::ResourceWrite write) {
     auto commit = std::make_shared<Commit>();
     commit->m_write = std::move(write);
     m_commits.push_back(commit);
-    asio::co_spawn(m_cloud.m_context, RunCommit(m_daemons[daemon], commit),
-                   asio::detached);
-    m_cloud.Poll();
+    asio::co_spawn(m_table_state.m_context,
+                   RunCommit(m_daemons[daemon], commit), asio::detached);
+    m_table_state.Poll();
     return commit;
   }
 
   void StartCatchUp(size_t daemon) {
-    asio::co_spawn(m_cloud.m_context, RunCatchUp(m_daemons[daemon]),
+    asio::co_spawn(m_table_state.m_context, RunCatchUp(m_daemons[daemon]),
                    asio::detached);
-    m_cloud.Poll();
+    m_table_state.Poll();
   }
 
-  /// Lets every call go through until nothing is under way.
+  /// Answers all calls until none is in progress.
   void Settle() {
-    while (!m_cloud.m_turns.empty())
-      m_cloud.Resume(0, Fate::kAnswered);
+    while (!m_table_state.m_turns.empty())
+      m_table_state.Resume(0, CallOutcome::kAnswered);
   }
 
-  /// No daemon lowers its revision, and each holds exactly the accepted
-  /// changes up to its revision.
+  /// Checks that no daemon has lowered its revision, and that each holds
+  /// exactly the committed changes up to its revision.
   void CheckDaemons() {
-    const std::vector<model::Change> log = m_cloud.Log();
+    const std::vector<model::Change> log = m_table_state.Log();
     for (size_t i = 0; i < kDaemons; ++i) {
       const auto state = m_daemons[i]->current();
       RC_ASSERT(state->m_revision >= m_seen[i]);
@@ -223,15 +231,17 @@
     }
   }
 
-  /// What operators were told is true.
+  /// Checks the results that operators received against the log. Each operation
+  /// is in it at most once, a write that succeeded is in it, and a write that
+  /// failed with a known outcome isn't.
   void CheckCommits() {
-    const std::vector<model::Change> log = m_cloud.Log();
+    const std::vector<model::Change> log = m_table_state.Log();
     std::map<std::string, size_t> entries;
-    std::map<std::string, size_t> asked;
+    std::map<std::string, size_t> commit_counts;
     for (const model::Change& change : log)
       RC_ASSERT(++entries[change.m_operation] == 1u);
     for (const auto& commit : m_commits)
-      ++asked[commit->m_write.m_operation];
+      ++commit_counts[commit->m_write.m_operation];
     for (const auto& commit : m_commits) {
       if (!commit->m_result)
         continue;
@@ -240,15 +250,15 @@
         RC_ASSERT(result->m_revision <= log.size());
         RC_ASSERT(log[result->m_revision - 1] == *result);
       } else if (result.error().m_code != FailureCode::kTimeout &&
-                 asked[commit->m_write.m_operation] == 1) {
+                 commit_counts[commit->m_write.m_operation] == 1) {
         RC_ASSERT(entries[commit->m_write.m_operation] == 0u);
       }
     }
   }
 
-  Cloud m_cloud;
+  TableState m_table_state;
   FakeTable m_table;
-  std::vector<std::shared_ptr<ConfigKeeper>> m_daemons;
+  std::vector<std::shared_ptr<ConfigStore>> m_daemons;
   std::vector<uint64_t> m_seen;
   std::vector<std::shared_ptr<Commit>> m_commits;
   std::vector<std::pair<size_t, std::string>> m_messages;
@@ -265,8 +275,9 @@
   return write;
 }
 
-/// An operator's write: blind, compare-and-set by what the daemon shows, or a
-/// repeat of an earlier one through whichever daemon.
+/// Starts a write of an operator: unconditional, conditional on the revision in
+/// force at the daemon (compare-and-swap), or a retry of an earlier write
+/// through any daemon.
 void Ask(Fleet& fleet, uint32_t random) {
   const size_t daemon = random % Fleet::kDaemons;
   random /= Fleet::kDaemons;
@@ -289,31 +300,34 @@
   fleet.Start(daemon, write);
 }
 
-void LetOneGoOn(Fleet& fleet, uint32_t random) {
-  if (fleet.m_cloud.m_turns.empty())
+void CompleteOneCall(Fleet& fleet, uint32_t random) {
+  if (fleet.m_table_state.m_turns.empty())
     return;
-  constexpr Fate kFates[] = {
-      Fate::kAnswered,   Fate::kAnswered,    Fate::kAnswered, Fate::kAnswered,
-      Fate::kAnswerLost, Fate::kRequestLost, Fate::kLate,     Fate::kNotSent};
-  fleet.m_cloud.Resume(random / 8 % fleet.m_cloud.m_turns.size(),
-                       kFates[random % 8]);
+  constexpr CallOutcome kOutcomes[] = {
+      CallOutcome::kAnswered,   CallOutcome::kAnswered,
+      CallOutcome::kAnswered,   CallOutcome::kAnswered,
+      CallOutcome::kAnswerLost, CallOutcome::kRequestLost,
+      CallOutcome::kDelayed,    CallOutcome::kNotSent};
+  fleet.m_table_state.Resume(random / 8 % fleet.m_table_state.m_turns.size(),
+                             kOutcomes[random % 8]);
 }
 
-/// Messages arrive late, twice, out of order, at restarted daemons, or never.
-void Talk(Fleet& fleet, uint32_t random) {
+/// Writes or delivers a message between daemons. Messages may arrive late,
+/// twice, out of order, after a restart of the receiver, or never.
+void ExchangeMessages(Fleet& fleet, uint32_t random) {
   const size_t from = random / 2 % Fleet::kDaemons;
   const size_t to = random / 16 % Fleet::kDaemons;
   if (random % 2 == 0) {
     fleet.m_messages.emplace_back(
-        to, ConfigSince(*fleet.m_daemons[from],
-                        fleet.m_daemons[to]->current()->m_revision));
+        to, SerialiseConfigAfter(*fleet.m_daemons[from],
+                                 fleet.m_daemons[to]->current()->m_revision));
   } else if (!fleet.m_messages.empty()) {
     const auto& message =
         fleet.m_messages[random / 256 % fleet.m_messages.size()];
-    ConfigKeeper& keeper = *fleet.m_daemons[message.first];
-    auto taken =
-        CatchFailure([&] { return TakeConfig(keeper, message.second); });
-    RC_ASSERT(taken.has_value());
+    ConfigStore& store = *fleet.m_daemons[message.first];
+    auto applied =
+        CatchFailure([&] { return ApplyConfig(store, message.second); });
+    RC_ASSERT(applied.has_value());
   }
 }
 
@@ -323,65 +337,66 @@
   if (kind < 3) {
     Ask(fleet, random);
   } else if (kind < 10) {
-    LetOneGoOn(fleet, random);
+    CompleteOneCall(fleet, random);
   } else if (kind < 13) {
-    Talk(fleet, random);
-  } else if (kind == 13 && !fleet.m_cloud.m_late.empty()) {
-    // A write whose sender has long given up reaches the table.
-    fleet.m_cloud.Apply(fleet.m_cloud.m_late.front());
-    fleet.m_cloud.m_late.erase(fleet.m_cloud.m_late.begin());
+    ExchangeMessages(fleet, random);
+  } else if (kind == 13 && !fleet.m_table_state.m_late.empty()) {
+    // A write reaches the table long after its sender has timed out.
+    fleet.m_table_state.Apply(fleet.m_table_state.m_late.front());
+    fleet.m_table_state.m_late.erase(fleet.m_table_state.m_late.begin());
   } else if (kind == 14) {
     fleet.StartCatchUp(random % Fleet::kDaemons);
   } else if (kind == 15 && random % 8 == 1) {
-    asio::co_spawn(fleet.m_cloud.m_context,
+    asio::co_spawn(fleet.m_table_state.m_context,
                    RunSnapshot(fleet.m_daemons[random / 8 % Fleet::kDaemons]),
                    asio::detached);
-    fleet.m_cloud.Poll();
+    fleet.m_table_state.Poll();
   } else if (kind == 15 && random % 8 == 0) {
-    // The process is replaced; what it had sent to the table goes on.
+    // The daemon is restarted; its calls to the table remain in progress.
     const size_t daemon = random / 8 % Fleet::kDaemons;
     fleet.m_daemons[daemon] = fleet.NewKeeper();
     fleet.m_seen[daemon] = 0;
   }
 }
 
-class ConfigKeeperTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(ConfigKeeperTest);
-  CPPUNIT_TEST(OwnWriteIsNotTakenForSomebodyElses);
-  CPPUNIT_TEST(OperationIdNamesOneWrite);
-  CPPUNIT_TEST(LoserIsToldTheWinner);
-  CPPUNIT_TEST(UsedResourceIsNotDeleted);
+class ConfigStoreTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(ConfigStoreTest);
+  CPPUNIT_TEST(OwnWriteIsNotReportedAsConflict);
+  CPPUNIT_TEST(OperationIdIdentifiesOneWrite);
+  CPPUNIT_TEST(ConflictNamesTheWinningWrite);
+  CPPUNIT_TEST(ReferencedResourceIsNotDeleted);
   CPPUNIT_TEST(StartsFromASnapshot);
-  CPPUNIT_TEST(NothingIsDoubledLostOrLowered);
-  CPPUNIT_TEST(ThreadsReadAndOfferAtOnce);
+  CPPUNIT_TEST(NoChangeIsDuplicatedLostOrReverted);
+  CPPUNIT_TEST(ConcurrentReadsAndChanges);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // The operator sees 409 although its own write is in force. The table's
-  // answer is lost and the write is slow: it lands after the look-up of the
-  // operation and before the read of the log, which then shows another
-  // revision than the operator expected: the operator's own.
-  void OwnWriteIsNotTakenForSomebodyElses() {
+  // Guards against a conflict (409) that is reported to an operator although
+  // its own write is in force. It arose when the answer of the table was lost
+  // and the write took effect after the operation had been looked up and before
+  // the log was read: the log then showed another revision than the operator
+  // expected, which was the operator's own write.
+  void OwnWriteIsNotReportedAsConflict() {
     Fleet fleet;
     model::ResourceWrite write = WriteOf("a", "op1");
     write.m_expected_revision = 0;
     auto commit = fleet.Start(0, write);
-    // Snapshot, log and operation are read, and the write is sent.
-    fleet.m_cloud.Resume(0, Fate::kAnswered);
-    fleet.m_cloud.Resume(0, Fate::kAnswered);
-    fleet.m_cloud.Resume(0, Fate::kAnswered);
-    fleet.m_cloud.Resume(0, Fate::kLate);
-    // Snapshot and the first of the two others are read again.
-    fleet.m_cloud.Resume(0, Fate::kAnswered);
-    fleet.m_cloud.Resume(0, Fate::kAnswered);
-    fleet.m_cloud.Apply(fleet.m_cloud.m_late.front());
+    // Snapshot, log and operation are read; then the write is sent and delayed.
+    fleet.m_table_state.Resume(0, CallOutcome::kAnswered);
+    fleet.m_table_state.Resume(0, CallOutcome::kAnswered);
+    fleet.m_table_state.Resume(0, CallOutcome::kAnswered);
+    fleet.m_table_state.Resume(0, CallOutcome::kDelayed);
+    // The snapshot and the first of log and operation are read again.
+    fleet.m_table_state.Resume(0, CallOutcome::kAnswered);
+    fleet.m_table_state.Resume(0, CallOutcome::kAnswered);
+    fleet.m_table_state.Apply(fleet.m_table_state.m_late.front());
     fleet.Settle();
     CPPUNIT_ASSERT(commit->m_result.has_value());
     CPPUNIT_ASSERT(commit->m_result->has_value());
     CPPUNIT_ASSERT_EQUAL(uint64_t{1}, (*commit->m_result)->m_revision);
   }
 
-  void OperationIdNamesOneWrite() {
+  void OperationIdIdentifiesOneWrite() {
     Fleet fleet;
     fleet.Start(0, WriteOf("a", "op1"));
     fleet.Settle();
@@ -392,7 +407,7 @@
     CPPUNIT_ASSERT(other->m_result->error().m_code == FailureCode::kInvalid);
   }
 
-  void LoserIsToldTheWinner() {
+  void ConflictNamesTheWinningWrite() {
     Fleet fleet;
     model::ResourceWrite first = WriteOf("a", "op1");
     model::ResourceWrite second = WriteOf("a", "op2");
@@ -408,7 +423,7 @@
         std::string::npos);
   }
 
-  void UsedResourceIsNotDeleted() {
+  void ReferencedResourceIsNotDeleted() {
     Fleet fleet;
     model::ResourceWrite model = WriteOf("m", "op1");
     model.m_key.m_kind = "model";
@@ -430,16 +445,17 @@
 
   void StartsFromASnapshot() {
     Fleet fleet;
-    for (uint64_t i = 0; i <= ConfigKeeper::kSnapshotEvery; ++i) {
+    for (uint64_t i = 0; i <= ConfigStore::kSnapshotInterval; ++i) {
       fleet.Start(0, WriteOf("a", "op" + std::to_string(i)));
       fleet.Settle();
     }
-    asio::co_spawn(fleet.m_cloud.m_context, RunSnapshot(fleet.m_daemons[0]),
-                   asio::detached);
-    fleet.m_cloud.Poll();
+    asio::co_spawn(fleet.m_table_state.m_context,
+                   RunSnapshot(fleet.m_daemons[0]), asio::detached);
+    fleet.m_table_state.Poll();
     fleet.Settle();
-    // Of the log only what came after is needed.
-    std::erase_if(fleet.m_cloud.m_items, [](const auto& item) {
+    // A start from the snapshot needs only the changes after it, so all earlier
+    // ones are removed.
+    std::erase_if(fleet.m_table_state.m_items, [](const auto& item) {
       return item.first.first == "change";
     });
     fleet.StartCatchUp(1);
@@ -448,15 +464,16 @@
                    *fleet.m_daemons[1]->current());
   }
 
-  // Operators race through five daemons while the table answers late, loses
-  // requests and answers and lands writes long after; daemons exchange old
-  // news, wake late and are replaced. 100 runs of 400 steps. After each step
-  // every daemon holds a prefix of the table's log and none has gone back; in
-  // the end what operators were told is true and all daemons agree.
-  void NothingIsDoubledLostOrLowered() {
-    const bool good = rc::check("accepted is in force, none goes back", [] {
-      // At full size from the first run on, or early runs would be dull. Not
-      // shrunk: the trial took more than nine minutes over it.
+  // Operators write concurrently through five daemons while the table answers
+  // late, loses requests and answers, and applies writes long after they were
+  // sent; daemons exchange outdated messages, resume late and are restarted.
+  // 100 runs of 400 steps. After each step every daemon must hold a prefix of
+  // the table's log and none may have lowered its revision. At the end the
+  // results that operators received must be true, and all daemons must agree.
+  void NoChangeIsDuplicatedLostOrReverted() {
+    const bool good = rc::check("states match the log, none is lowered", [] {
+      // Full size from the first run on, since small sizes produce hardly any
+      // concurrency. Not shrunk, since shrinking took more than nine minutes.
       const auto steps = *rc::gen::noShrink(rc::gen::resize(
           rc::kNominalSize,
           rc::gen::container<std::vector<uint32_t>>(
@@ -466,8 +483,8 @@
         Step(fleet, random);
         fleet.CheckDaemons();
       }
-      for (const auto& writes : fleet.m_cloud.m_late)
-        fleet.m_cloud.Apply(writes);
+      for (const auto& writes : fleet.m_table_state.m_late)
+        fleet.m_table_state.Apply(writes);
       fleet.Settle();
       for (size_t i = 0; i < Fleet::kDaemons; ++i)
         fleet.StartCatchUp(i);
@@ -475,21 +492,23 @@
       fleet.CheckDaemons();
       fleet.CheckCommits();
       for (const auto& daemon : fleet.m_daemons)
-        RC_ASSERT(daemon->current()->m_revision == fleet.m_cloud.Log().size());
+        RC_ASSERT(daemon->current()->m_revision ==
+                  fleet.m_table_state.Log().size());
     });
     CPPUNIT_ASSERT(good);
   }
 
-  void ThreadsReadAndOfferAtOnce() {
-    ConfigKeeper keeper(nullptr);
+  void ConcurrentReadsAndChanges() {
+    ConfigStore store(nullptr);
     std::vector<std::thread> threads;
     for (int t = 0; t < 4; ++t) {
-      threads.emplace_back([&keeper] {
+      threads.emplace_back([&store] {
         uint64_t seen = 0;
         for (uint64_t revision = 1; revision <= 200; ++revision) {
-          keeper.Offer({{revision, {"limits", "a"}, false, "{}", "", ""}});
-          keeper.Hear(revision);
-          const uint64_t now = keeper.current()->m_revision;
+          store.ApplyChanges(
+              {{revision, {"limits", "a"}, false, "{}", "", ""}});
+          store.RecordObservedRevision(revision);
+          const uint64_t now = store.current()->m_revision;
           CPPUNIT_ASSERT(now >= seen);
           seen = now;
         }
@@ -497,11 +516,11 @@
     }
     for (std::thread& thread : threads)
       thread.join();
-    CPPUNIT_ASSERT_EQUAL(uint64_t{200}, keeper.current()->m_revision);
+    CPPUNIT_ASSERT_EQUAL(uint64_t{200}, store.current()->m_revision);
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(ConfigKeeperTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(ConfigStoreTest);
 
 }  // namespace
 }  // namespace verbenalead::daemon
--- a/src/libverbenalead/daemon/entry_daemon.cc
+++ b/src/libverbenalead/daemon/entry_daemon.cc
@@ -17,18 +17,18 @@
 #include "base/sleep.h"
 #include "base/spawn.h"
 #include "daemon/config_follower.h"
-#include "daemon/config_keeper.h"
-#include "daemon/counting_runner.h"
-#include "daemon/crash_note_exchange.h"
+#include "daemon/config_store.h"
+#include "daemon/crash_record_exchange.h"
 #include "daemon/credentials.h"
 #include "daemon/entry_access.h"
 #include "daemon/entry_peer_api.h"
 #include "daemon/leaving_entries.h"
+#include "daemon/metered_runner.h"
 #include "daemon/readiness.h"
 #include "daemon/request_runner.h"
 #include "daemon/revision_client.h"
 #include "daemon/target_directory.h"
-#include "daemon/trace_gatherer.h"
+#include "daemon/trace_collector.h"
 #include "front/bearer_check.h"
 #include "front/callers_api.h"
 #include "front/operators_api.h"
@@ -44,11 +44,12 @@
 namespace asio = boost::asio;
 
 constexpr Duration kDrainTimeout = 2s;
-constexpr Duration kStopPoll = 20ms;
-/// A stopping entry goes on accepting for as long as callers keep a list of
-/// entries that still names it: the list's time to live, and a margin for the
-/// other entries to hear of the stop and for callers to fetch the next list.
-constexpr Duration kKeepAccepting = front::kEntriesTtl + 2s;
+constexpr Duration kStopPollInterval = 20ms;
+/// A stopping entry accepts connections for as long as callers may use a list
+/// of entries that still names it. This is the time to live of the list, plus a
+/// margin for notifying the other entries and for callers to fetch the next
+/// list.
+constexpr Duration kAcceptAfterStop = front::kEntriesTtl + 2s;
 
 }  // namespace
 
@@ -60,12 +61,12 @@
         m_sessions(peer::SessionLimits{}, &m_credentials),
         m_journal(settings.Text("host"),
                   static_cast<size_t>(settings.Integer("journal.requests"))),
-        m_signed_table(m_http, CredentialsIn(settings), "dynamodb"),
+        m_signed_table(m_http, LoadPlatformCredentials(settings), "dynamodb"),
         m_table(m_signed_table,
                 settings.Address("platform.table"),
                 settings.Text("platform.table_name"),
                 settings.Milliseconds("platform.table_timeout")),
-        m_signed_objects(m_http, CredentialsIn(settings), "s3"),
+        m_signed_objects(m_http, LoadPlatformCredentials(settings), "s3"),
         m_objects(m_signed_objects,
                   settings.Address("platform.object_store"),
                   settings.Text("platform.bucket"),
@@ -88,7 +89,7 @@
                     settings.Text("region"),
                     settings.Milliseconds("targets.poll")),
         m_runner(m_routers, m_peers, m_table, m_journal),
-        m_counting(m_runner, m_metrics),
+        m_counting_runner(m_runner, m_metrics),
         m_access(settings),
         m_callers(m_threads, CallerLimits(settings), Callers(), m_access.tls()),
         m_operators(m_threads,
@@ -114,7 +115,7 @@
     context.m_entries = [this] { return EntryAddresses(); };
     context.m_stopping = [this] { return m_stopping.load(); };
     context.m_metrics = [this] { return m_metrics.Text(); };
-    context.m_runner = &m_counting;
+    context.m_runner = &m_counting_runner;
     return WithReadiness([this] { return m_follower.ready(); },
                          front::MakeCallersApi(std::move(context)));
   }
@@ -125,20 +126,20 @@
     context.m_journal = &m_journal;
     context.m_ready = [this] { return m_follower.ready(); };
     wire::Handler handler = MakeEntryPeerApi(std::move(context));
-    handler = TakeCrashNotes(m_runner.quarantine(), std::move(handler));
-    handler = TakeLeavingNotices(m_leaving, std::move(handler));
+    handler = WithCrashRecords(m_runner.quarantine(), std::move(handler));
+    handler = WithLeavingNotices(m_leaving, std::move(handler));
     handler = WithRevision(m_config, std::move(handler));
     return peer::RequireCredentials(m_credentials, std::move(handler));
   }
 
-  Awaitable<AsyncResult<front::AcceptedChange>> Commit(
+  Awaitable<AsyncResult<front::CommittedChange>> Commit(
       model::ResourceWrite write) {
     auto change = co_await m_config.Commit(std::move(write));
     if (!change)
       co_return change.error();
-    front::AcceptedChange accepted;
-    accepted.m_held_by = co_await m_follower.Replicate(change->m_revision);
-    accepted.m_others = m_follower.OtherEntries();
+    front::CommittedChange accepted;
+    accepted.m_received_by = co_await m_follower.Replicate(change->m_revision);
+    accepted.m_other_entries = m_follower.OtherEntries();
     accepted.m_change = std::move(*change);
     co_return accepted;
   }
@@ -146,9 +147,9 @@
   std::vector<std::string> EntryAddresses() {
     std::vector<std::string> addresses;
     for (const model::Host& host : m_hosts.Hosts(model::HostRole::kEntry)) {
-      const bool us = host.name() == m_settings.Text("host");
+      const bool is_self = host.name() == m_settings.Text("host");
       if (!host.leaving() && !m_leaving.Contains(host.name()) &&
-          !(us && m_stopping))
+          !(is_self && m_stopping))
         addresses.push_back(ToString(host.callers()));
     }
     return addresses;
@@ -164,8 +165,9 @@
     context.m_commit = [this](model::ResourceWrite write) {
       return Commit(std::move(write));
     };
-    context.m_wait_beyond = [this](uint64_t revision, TimePoint deadline) {
-      return m_config.WaitBeyond(revision, deadline);
+    context.m_wait_for_newer_revision = [this](uint64_t revision,
+                                               TimePoint deadline) {
+      return m_config.WaitForRevisionAfter(revision, deadline);
     };
     context.m_targets = [this] {
       std::vector<model::TargetReport> all;
@@ -181,8 +183,8 @@
         if (host.name() != m_settings.Text("host"))
           hosts.push_back(host);
       }
-      return GatherTrace(std::move(request), m_journal, m_peers, Segments(),
-                         std::move(hosts));
+      return CollectTrace(std::move(request), m_journal, m_peers, Segments(),
+                          std::move(hosts));
     };
     context.m_drain = [this](std::string target) {
       return DrainTarget(std::move(target));
@@ -191,10 +193,10 @@
     return front::MakeOperatorsApi(std::move(context));
   }
 
-  /// Null where the settings name no object store.
+  /// The object store of journal segments; null if none is configured.
   backends::ObjectStore* Segments() {
-    const bool named = !m_settings.Text("platform.object_store").empty();
-    return named ? &m_objects : nullptr;
+    const bool configured = !m_settings.Text("platform.object_store").empty();
+    return configured ? &m_objects : nullptr;
   }
 
   Awaitable<AsyncResult<bool>> DrainTarget(std::string target) {
@@ -213,37 +215,39 @@
     co_return true;
   }
 
-  /// The claims' share of the table's writes depends on how many entries share.
-  Awaitable<void> CountEntries() {
+  /// Keeps the number of entries current by which claims divide the write
+  /// capacity of the table.
+  Awaitable<void> UpdateEntryCount() {
     while (true) {
-      m_runner.SetEntries(m_hosts.Hosts(model::HostRole::kEntry).size());
+      m_runner.SetEntryCount(m_hosts.Hosts(model::HostRole::kEntry).size());
       co_await Sleep(m_settings.Milliseconds("config.poll"));
     }
   }
 
-  Awaitable<void> StopWhenAsked() {
+  Awaitable<void> StopOnSignal() {
     co_await m_signals.async_wait(asio::use_awaitable);
     m_stopping = true;
-    LogLine("stopping").With("running", m_counting.running()).Info();
-    const TimePoint give_up = Now() + m_settings.Milliseconds("stop.grace");
-    const TimePoint stop_accepting = std::min(give_up, Now() + kKeepAccepting);
+    LogLine("stopping").With("running", m_counting_runner.running()).Info();
+    const TimePoint deadline = Now() + m_settings.Milliseconds("stop.grace");
+    const TimePoint stop_accepting =
+        std::min(deadline, Now() + kAcceptAfterStop);
     m_callers.Drain();
-    co_await TellLeaving(m_peers, m_settings.Text("host"),
-                         m_hosts.Hosts(model::HostRole::kEntry));
+    co_await NotifyLeaving(m_peers, m_settings.Text("host"),
+                           m_hosts.Hosts(model::HostRole::kEntry));
     while (Now() < stop_accepting)
-      co_await Sleep(kStopPoll);
+      co_await Sleep(kStopPollInterval);
     m_callers.StopAccepting();
-    // Asked of the server, not of the runner: a request may still be read, or
-    // the end of its answer written.
+    // Waits for the server instead of the runner, which counts a request
+    // neither while it is received nor while the end of its answer is sent.
     do {
-      co_await Sleep(kStopPoll);
-    } while (Now() < give_up && m_callers.busy() > 0);
-    LogLine("stopped").With("cut_off", m_callers.busy()).Info();
+      co_await Sleep(kStopPollInterval);
+    } while (Now() < deadline && m_callers.requests_in_progress() > 0);
+    LogLine("stopped").With("cut_off", m_callers.requests_in_progress()).Info();
     m_threads.Stop();
   }
 
-  /// SIGHUP: certificates and keys are replaced without a restart.
-  Awaitable<void> ReloadWhenAsked() {
+  /// On SIGHUP, reloads certificates and keys without a restart.
+  Awaitable<void> ReloadOnHangup() {
     while (true) {
       co_await m_hangup.async_wait(asio::use_awaitable);
       for (const auto& done : {m_access.Reload(), m_credentials.Load()}) {
@@ -287,13 +291,13 @@
   backends::HostList m_host_list;
   HostDirectory m_hosts;
   LeavingEntries m_leaving;
-  ConfigKeeper m_config;
+  ConfigStore m_config;
   RevisionClient m_peers;
   ConfigFollower m_follower;
   PoolRouters m_routers;
   TargetDirectory m_directory;
   RequestRunner m_runner;
-  CountingRunner m_counting;
+  MeteredRunner m_counting_runner;
   std::atomic<bool> m_stopping{false};
   EntryAccess m_access;
   http::Server m_callers;
@@ -314,10 +318,10 @@
     return 1;
   const auto executor = parts.m_threads.main();
   SpawnLoop(executor, parts.m_follower.Run(), "follow_config");
-  SpawnLoop(executor, parts.CountEntries(), "count_entries");
+  SpawnLoop(executor, parts.UpdateEntryCount(), "count_entries");
   SpawnLoop(executor,
-            ExchangeCrashNotes(parts.m_runner.quarantine(), parts.m_hosts,
-                               parts.m_peers, parts.m_settings.Text("host")),
+            SendCrashRecords(parts.m_runner.quarantine(), parts.m_hosts,
+                             parts.m_peers, parts.m_settings.Text("host")),
             "exchange_crash_notes");
   SpawnLoop(executor, parts.m_directory.Run(), "follow_targets");
   if (backends::ObjectStore* segments = parts.Segments()) {
@@ -326,8 +330,8 @@
         FlushJournal(parts.m_journal, *segments, parts.m_settings.Text("host")),
         "flush_journal");
   }
-  SpawnLoop(executor, parts.StopWhenAsked(), "stop_when_asked");
-  SpawnLoop(executor, parts.ReloadWhenAsked(), "reload_when_asked");
+  SpawnLoop(executor, parts.StopOnSignal(), "stop_when_asked");
+  SpawnLoop(executor, parts.ReloadOnHangup(), "reload_when_asked");
   LogLine("started").With("host", parts.m_settings.Text("host")).Info();
   parts.m_threads.Run();
   return 0;
--- a/src/libverbenalead/daemon/gate_keeper.h
+++ b/src/libverbenalead/daemon/guarded_gate.h
@@ -1,5 +1,5 @@
-#ifndef VERBENALEAD_DAEMON_GATE_KEEPER_H_
-#define VERBENALEAD_DAEMON_GATE_KEEPER_H_
+#ifndef VERBENALEAD_DAEMON_GUARDED_GATE_H_
+#define VERBENALEAD_DAEMON_GUARDED_GATE_H_
 
 #include <mutex>
 
@@ -7,19 +7,20 @@
 
 namespace verbenalead::daemon {
 
-/// The target's gate, under its lock. May be used from several threads.
-class GateKeeper {
+/// The state of the target's gate, which admits or refuses attempts, together
+/// with the mutex that guards it. Thread-safe.
+class GuardedGate {
  public:
-  GateKeeper(uint64_t incarnation, uint32_t capacity)
+  GuardedGate(uint64_t incarnation, uint32_t capacity)
       : m_incarnation(incarnation) {
     m_gate.m_incarnation = incarnation;
     m_gate.m_capacity = capacity;
   }
 
-  /// This run of the target process.
+  /// Identifies this run of the target process. A restart changes it.
   uint64_t incarnation() const { return m_incarnation; }
 
-  /// Calls `function` with the gate while no one else touches it.
+  /// Calls `function` with the gate while the mutex is held.
   template <typename Function>
   auto With(Function&& function) {
     std::lock_guard lock(m_mutex);
@@ -34,4 +35,4 @@
 
 }  // namespace verbenalead::daemon
 
-#endif  // VERBENALEAD_DAEMON_GATE_KEEPER_H_
+#endif  // VERBENALEAD_DAEMON_GUARDED_GATE_H_
--- a/src/libverbenalead/daemon/leaving_entries.cc
+++ b/src/libverbenalead/daemon/leaving_entries.cc
@@ -7,7 +7,7 @@
 
 constexpr char kLeavingPath[] = "/v1/leaving";
 constexpr char kHostHeader[] = "x-host";
-constexpr Duration kNoticeHolds = std::chrono::minutes(1);
+constexpr Duration kNoticeLifetime = std::chrono::minutes(1);
 constexpr Duration kNoticeTimeout = 500ms;
 
 Awaitable<void> Answer(LeavingEntries& leaving,
@@ -28,16 +28,17 @@
 
 void LeavingEntries::Add(const std::string& host) {
   std::lock_guard lock(m_mutex);
-  m_since[host] = Now();
+  m_announced_at[host] = Now();
 }
 
 bool LeavingEntries::Contains(const std::string& host) const {
   std::lock_guard lock(m_mutex);
-  auto found = m_since.find(host);
-  return found != m_since.end() && Now() - found->second < kNoticeHolds;
+  auto found = m_announced_at.find(host);
+  return found != m_announced_at.end() &&
+         Now() - found->second < kNoticeLifetime;
 }
 
-wire::Handler TakeLeavingNotices(LeavingEntries& leaving,
+wire::Handler WithLeavingNotices(LeavingEntries& leaving,
                                  wire::Handler handler) {
   return [&leaving, handler = std::move(handler)](
              const wire::Request& request, wire::ResponseWriter& writer) {
@@ -45,9 +46,9 @@
   };
 }
 
-Awaitable<void> TellLeaving(wire::Client& peers,
-                            std::string host,
-                            std::vector<model::Host> entries) {
+Awaitable<void> NotifyLeaving(wire::Client& peers,
+                              std::string host,
+                              std::vector<model::Host> entries) {
   for (const model::Host& entry : entries) {
     if (entry.name() == host)
       continue;
@@ -55,10 +56,10 @@
     request.m_method = "POST";
     request.m_path = kLeavingPath;
     request.m_headers[kHostHeader] = host;
-    auto told = co_await wire::Fetch(peers, entry.peer(), std::move(request),
-                                     Now() + kNoticeTimeout);
-    if (!told)
-      LogLine("leaving_not_told").With(told.error()).Warn();
+    auto response = co_await wire::Fetch(
+        peers, entry.peer(), std::move(request), Now() + kNoticeTimeout);
+    if (!response)
+      LogLine("leaving_not_told").With(response.error()).Warn();
   }
 }
 
--- a/src/libverbenalead/daemon/permit_table.cc
+++ b/src/libverbenalead/daemon/load_permit_table.cc
@@ -1,4 +1,4 @@
-#include "daemon/permit_table.h"
+#include "daemon/load_permit_table.h"
 
 #include "base/catch_failure.h"
 
@@ -9,24 +9,25 @@
 
 }  // namespace
 
-Awaitable<AsyncResult<decide::PermitBoard>> PermitTable::Read() {
+Awaitable<AsyncResult<decide::LoadPermits>> LoadPermitTable::Read() {
   auto item = co_await m_table.Get(kPartition, m_pool);
   if (!item)
     co_return item.error();
   if (!item->has_value())
-    co_return decide::PermitBoard();
+    co_return decide::LoadPermits();
   co_return CatchFailure([&] {
-    return decide::ParsePermitBoard((*item)->m_value, (*item)->m_revision);
+    return decide::ParseLoadPermits((*item)->m_value, (*item)->m_revision);
   });
 }
 
-Awaitable<decide::WriteResult> PermitTable::Write(decide::PermitBoard board) {
+Awaitable<decide::WriteResult> LoadPermitTable::Write(
+    decide::LoadPermits permits) {
   using Condition = backends::TableWrite::Condition;
-  const uint64_t before = board.m_revision - 1;
+  const uint64_t previous = permits.m_revision - 1;
   backends::TableWrite write;
-  write.m_item = {kPartition, m_pool, board.m_revision, ToJson(board)};
-  write.m_condition = before ? Condition::kRevisionIs : Condition::kAbsent;
-  write.m_expected_revision = before;
+  write.m_item = {kPartition, m_pool, permits.m_revision, ToJson(permits)};
+  write.m_condition = previous ? Condition::kRevisionIs : Condition::kAbsent;
+  write.m_expected_revision = previous;
   std::vector<backends::TableWrite> writes;
   writes.push_back(std::move(write));
   auto done = co_await m_table.Transact(std::move(writes));
--- a/src/libverbenalead/daemon/counting_runner.cc
+++ b/src/libverbenalead/daemon/metered_runner.cc
@@ -1,12 +1,12 @@
-#include "daemon/counting_runner.h"
+#include "daemon/metered_runner.h"
 
 #include <string>
 
 namespace verbenalead::daemon {
 
-Awaitable<void> CountingRunner::Run(model::Call call,
-                                    wire::Request request,
-                                    wire::ResponseWriter& writer) {
+Awaitable<void> MeteredRunner::Run(model::Call call,
+                                   wire::Request request,
+                                   wire::ResponseWriter& writer) {
   ++m_running;
   const TimePoint start = Now();
   const std::string labels = "pool=\"" + call.pool() + "\"";
--- a/src/libverbenalead/daemon/counting_runner.h
+++ b/src/libverbenalead/daemon/metered_runner.h
@@ -1,5 +1,5 @@
-#ifndef VERBENALEAD_DAEMON_COUNTING_RUNNER_H_
-#define VERBENALEAD_DAEMON_COUNTING_RUNNER_H_
+#ifndef VERBENALEAD_DAEMON_METERED_RUNNER_H_
+#define VERBENALEAD_DAEMON_METERED_RUNNER_H_
 
 #include <atomic>
 
@@ -8,10 +8,11 @@
 
 namespace verbenalead::daemon {
 
-/// Counts the calls that run, for the metrics and the log of a stop.
-class CountingRunner : public front::CallRunner {
+/// Counts and times calls for the metrics, and counts those in progress for the
+/// log line of a shutdown. Wraps another runner.
+class MeteredRunner : public front::CallRunner {
  public:
-  CountingRunner(front::CallRunner& runner, Metrics& metrics)
+  MeteredRunner(front::CallRunner& runner, Metrics& metrics)
       : m_runner(runner), m_metrics(metrics) {}
 
   Awaitable<void> Run(model::Call call,
@@ -28,4 +29,4 @@
 
 }  // namespace verbenalead::daemon
 
-#endif  // VERBENALEAD_DAEMON_COUNTING_RUNNER_H_
+#endif  // VERBENALEAD_DAEMON_METERED_RUNNER_H_
--- a/src/libverbenalead/daemon/pool_router.cc
+++ b/src/libverbenalead/daemon/pool_router.cc
@@ -13,40 +13,43 @@
 
 namespace asio = boost::asio;
 
-/// A coroutine that waits for its action on its own thread.
+/// A coroutine that waits for its action. The action is delivered on the
+/// coroutine's own executor.
 struct PoolRouter::Waiter {
   explicit Waiter(const asio::any_io_executor& executor)
       : m_event(executor, TimePoint::max()) {}
 
   asio::steady_timer m_event;
-  std::optional<decide::AdmitAction> m_action;
+  std::optional<decide::AdmissionAction> m_action;
 };
 
-// Each process draws other numbers, so that entries don't choose alike.
+// Each process has its own random seed. With equal seeds all entries would
+// choose the same targets at the same time.
 PoolRouter::PoolRouter(size_t entries) : m_random(std::random_device()()) {
-  SetEntries(entries);
+  SetEntryCount(entries);
 }
 
-void PoolRouter::SetEntries(size_t entries) {
+void PoolRouter::SetEntryCount(size_t entries) {
   std::lock_guard lock(m_mutex);
   m_admit.m_entries = static_cast<uint32_t>(std::max<size_t>(entries, 1));
 }
 
-Awaitable<decide::AdmitAction> PoolRouter::Admit(model::Call call) {
+Awaitable<decide::AdmissionAction> PoolRouter::Admit(model::Call call) {
   const auto executor = co_await asio::this_coro::executor;
   auto waiter = std::make_shared<Waiter>(executor);
-  bool sweep = false;
+  bool start_sweep = false;
   {
     std::lock_guard lock(m_mutex);
     const TimePoint now = Now();
     const uint64_t ticket = ++m_last_ticket;
     m_waiters[ticket] = waiter;
     decide::CountFirstAttempt(m_budget);
-    Deliver(decide::Tick(m_admit, decide::UsableCapacity(m_place, now), now));
-    Deliver(decide::Arrive(m_admit, ticket, call, now));
-    sweep = BeginSweep();
+    Deliver(decide::UpdateCapacity(
+        m_admit, decide::UsableCapacity(m_selection, now), now));
+    Deliver(decide::CallArrived(m_admit, ticket, call, now));
+    start_sweep = TryStartSweep();
   }
-  if (sweep)
+  if (start_sweep)
     Spawn(executor, Sweep(), "sweep");
   while (!waiter->m_action) {
     boost::system::error_code ignored;
@@ -56,7 +59,7 @@
   co_return *waiter->m_action;
 }
 
-bool PoolRouter::BeginSweep() {
+bool PoolRouter::TryStartSweep() {
   if (m_sweeping || m_admit.m_waiting == 0)
     return false;
   m_sweeping = true;
@@ -64,17 +67,17 @@
 }
 
 Awaitable<void> PoolRouter::Sweep() {
-  bool more = true;
-  while (more) {
-    co_await Sleep(decide::kDropEvery);
+  bool calls_waiting = true;
+  while (calls_waiting) {
+    co_await Sleep(decide::kDeadlineScanInterval);
     Tick();
     std::lock_guard lock(m_mutex);
-    more = m_sweeping = m_admit.m_waiting > 0;
+    calls_waiting = m_sweeping = m_admit.m_waiting > 0;
   }
 }
 
-void PoolRouter::Deliver(const std::vector<decide::AdmitAction>& actions) {
-  for (const decide::AdmitAction& action : actions) {
+void PoolRouter::Deliver(const std::vector<decide::AdmissionAction>& actions) {
+  for (const decide::AdmissionAction& action : actions) {
     auto found = m_waiters.extract(action.m_ticket);
     if (found.empty())
       continue;
@@ -89,67 +92,70 @@
 void PoolRouter::Finish(const model::Call& call,
                         std::optional<Duration> elapsed) {
   std::lock_guard lock(m_mutex);
-  Deliver(decide::Finish(m_admit, decide::UnitsOf(call), elapsed, Now()));
+  Deliver(
+      decide::CallFinished(m_admit, decide::WorkUnits(call), elapsed, Now()));
 }
 
-std::optional<decide::Placement> PoolRouter::Place(
+std::optional<decide::Placement> PoolRouter::ChooseTarget(
     const model::Call& call,
     const std::set<std::string>& tried,
     Duration waited) {
   std::lock_guard lock(m_mutex);
   const TimePoint now = Now();
-  auto placement = decide::Place(m_place, call, tried, waited, now, m_random);
+  auto placement =
+      decide::ChooseTarget(m_selection, call, tried, waited, now, m_random);
   if (placement)
-    decide::AttemptSent(m_place, placement->m_target, call, now);
+    decide::AttemptSent(m_selection, placement->m_target, call, now);
   return placement;
 }
 
 void PoolRouter::AttemptEnded(const std::string& target,
                               const model::Call& call,
-                              decide::TargetSign sign,
+                              decide::TargetFeedback feedback,
                               Duration elapsed,
                               std::optional<uint32_t> running) {
   std::lock_guard lock(m_mutex);
   const TimePoint now = Now();
-  decide::AttemptEnded(m_place, target, call, sign, elapsed, now);
+  decide::AttemptEnded(m_selection, target, call, feedback, elapsed, now);
   if (running)
-    decide::LoadSeen(m_place, target, *running, now);
+    decide::LoadObserved(m_selection, target, *running, now);
 }
 
-decide::RetryDecision PoolRouter::AfterAttempt(
+decide::RetryDecision PoolRouter::DecideRetry(
     const model::Call& call,
-    const decide::EndedAttempt& attempt) {
+    const decide::FinishedAttempt& attempt) {
   std::lock_guard lock(m_mutex);
-  return decide::AfterAttempt(call, attempt, m_budget, Now());
+  return decide::DecideRetry(call, attempt, m_budget, Now());
 }
 
-bool PoolRouter::FoundFull() {
+bool PoolRouter::RecordTargetsFull() {
   std::lock_guard lock(m_mutex);
   const TimePoint now = Now();
-  decide::LowerLimit(m_admit, now);
-  return decide::UsableCapacity(m_place, now) > 0;
+  decide::LowerConcurrencyLimit(m_admit, now);
+  return decide::UsableCapacity(m_selection, now) > 0;
 }
 
-void PoolRouter::Report(const model::TargetReport& report) {
+void PoolRouter::ApplyReport(const model::TargetReport& report) {
   std::lock_guard lock(m_mutex);
-  decide::Report(m_place, report, Now());
+  decide::ApplyReport(m_selection, report, Now());
 }
 
 void PoolRouter::RemoveTarget(const std::string& target) {
   std::lock_guard lock(m_mutex);
-  decide::RemoveTarget(m_place, target);
+  decide::RemoveTarget(m_selection, target);
 }
 
 void PoolRouter::Tick() {
   std::lock_guard lock(m_mutex);
   const TimePoint now = Now();
-  Deliver(decide::Tick(m_admit, decide::UsableCapacity(m_place, now), now));
+  Deliver(decide::UpdateCapacity(
+      m_admit, decide::UsableCapacity(m_selection, now), now));
 }
 
 std::vector<model::TargetReport> PoolRouter::Targets() const {
   std::lock_guard lock(m_mutex);
   std::vector<model::TargetReport> reports;
-  for (const decide::TargetView& target : m_place.m_targets)
+  for (const decide::TargetView& target : m_selection.m_targets)
     reports.push_back(target.m_report);
   return reports;
 }
--- a/src/libverbenalead/daemon/pool_routers.h
+++ b/src/libverbenalead/daemon/pool_routers.h
@@ -11,8 +11,9 @@
 
 namespace verbenalead::daemon {
 
-/// The routers of all pools, made when first named. May be used from several
-/// threads; a router lives as long as this object.
+/// The routers of all pools. A router is created at the first use of its pool
+/// and lives as long as this object, so that references stay valid.
+/// Thread-safe.
 class PoolRouters {
  public:
   PoolRouter& Get(const std::string& pool) {
@@ -23,14 +24,14 @@
     return *router;
   }
 
-  /// How many entries place on the same targets.
-  void SetEntries(size_t entries) {
+  /// Sets the number of entries that send calls to the same targets.
+  void SetEntryCount(size_t entries) {
     {
       std::lock_guard lock(m_mutex);
       m_entries = entries;
     }
     for (PoolRouter* router : All())
-      router->SetEntries(entries);
+      router->SetEntryCount(entries);
   }
 
   std::vector<PoolRouter*> All() {
@@ -42,10 +43,10 @@
   }
 
  private:
-  static constexpr size_t kEntriesAtStart = 8;
+  static constexpr size_t kInitialEntries = 8;
 
   std::mutex m_mutex;
-  size_t m_entries = kEntriesAtStart;
+  size_t m_entries = kInitialEntries;
   std::map<std::string, std::unique_ptr<PoolRouter>> m_routers;
 };
 
--- a/src/libverbenalead/daemon/program.cc
+++ b/src/libverbenalead/daemon/program.cc
@@ -9,8 +9,8 @@
 namespace verbenalead::daemon {
 namespace {
 
-constexpr int kCouldNotRun = 1;
-constexpr int kBadUse = 2;
+constexpr int kExitFailure = 1;
+constexpr int kUsageError = 2;
 
 }  // namespace
 
@@ -26,32 +26,33 @@
   const ProgramMode* mode = &modes.front();
   app.add_option("-s,--settings", path, "JSON file with the settings");
   app.add_flag("--describe-settings", describe,
-               "print every setting with default and range, and end");
-  app.add_flag("--check", check, "check the settings file, and end");
+               "print all settings with defaults and ranges, then exit");
+  app.add_flag("--check", check, "check the settings file, then exit");
   app.set_version_flag("--version", name + " 0.1.0");
-  for (const ProgramMode& other : modes) {
-    if (!other.m_option.empty()) {
+  for (const ProgramMode& candidate : modes) {
+    if (!candidate.m_option.empty()) {
       app.add_flag_callback(
-          other.m_option, [&mode, &other] { mode = &other; }, other.m_help);
+          candidate.m_option, [&mode, &candidate] { mode = &candidate; },
+          candidate.m_help);
     }
   }
   try {
     app.parse(argc, argv);
   } catch (const CLI::ParseError& error) {
-    return app.exit(error) == 0 ? 0 : kBadUse;
+    return app.exit(error) == 0 ? 0 : kUsageError;
   }
   if (describe) {
     std::cout << mode->m_schema.Describe();
     return 0;
   }
   if (path.empty()) {
-    std::cerr << name << ": name a settings file with -s\n";
-    return kBadUse;
+    std::cerr << name << ": no settings file given; use -s FILE\n";
+    return kUsageError;
   }
   auto settings = CatchFailure([&] { return mode->m_schema.Load(path); });
   if (!settings) {
     std::cerr << name << ": " << ToString(settings.error()) << "\n";
-    return kBadUse;
+    return kUsageError;
   }
   if (check)
     return 0;
@@ -60,7 +61,7 @@
     return mode->m_run(*settings);
   } catch (const std::exception& error) {
     std::cerr << name << ": " << error.what() << "\n";
-    return kCouldNotRun;
+    return kExitFailure;
   }
 }
 
--- a/src/libverbenalead/daemon/request_runner.h
+++ b/src/libverbenalead/daemon/request_runner.h
@@ -6,18 +6,19 @@
 #include <string>
 
 #include "daemon/attempt_runner.h"
-#include "daemon/claim_keeper.h"
+#include "daemon/claim_store.h"
 #include "daemon/journal.h"
+#include "daemon/locked_quarantine.h"
 #include "daemon/pool_routers.h"
-#include "daemon/quarantine_keeper.h"
 #include "front/call_runner.h"
 #include "front/problem.h"
 
 namespace verbenalead::daemon {
 
-/// A request's life in the entry: claimed if it may run only once, admitted,
-/// placed, attempted, perhaps retried, and told its outcome. May be used from
-/// several threads.
+/// Runs a caller's request in the entry. Claims the idempotency key of a
+/// non-idempotent call, waits for admission, chooses targets, sends attempts,
+/// retries where that is safe, and reports the outcome to the caller.
+/// Thread-safe.
 class RequestRunner : public front::CallRunner {
  public:
   RequestRunner(PoolRouters& routers,
@@ -33,64 +34,69 @@
                       wire::Request request,
                       wire::ResponseWriter& writer) override;
 
-  /// For the exchange with other entries.
-  QuarantineKeeper& quarantine() { return m_quarantine; }
-  /// How many entries there are, us included: they share what the table and
-  /// the targets can take.
-  void SetEntries(size_t entries) {
-    m_claims.SetEntries(entries);
-    m_routers.SetEntries(entries);
+  /// For the exchange of crash records with other entries.
+  LockedQuarantine& quarantine() { return m_quarantine; }
+  /// Sets the number of entries, including this one. They share the capacity of
+  /// the table and the targets.
+  void SetEntryCount(size_t entries) {
+    m_claims.SetEntryCount(entries);
+    m_routers.SetEntryCount(entries);
   }
 
  private:
-  /// The end of all attempts.
-  struct Verdict {
+  /// The result of all attempts of a call.
+  struct CallResult {
     model::Outcome m_outcome = model::Outcome::kRefused;
     std::string m_reason;
     std::string m_target;
     uint32_t m_attempts = 0;
     Duration m_retry_after{};
-    /// An attempt may have run, whatever a later one says.
+    /// An attempt may have run. A later attempt that did not run doesn't change
+    /// this.
     bool m_in_doubt = false;
-    AttemptReport m_last;
+    AttemptReport m_last_attempt;
   };
 
-  /// Tells the caller of a request under which targets crash that it is set
-  /// aside.
-  Awaitable<void> SetAside(model::Call call, wire::ResponseWriter& writer);
-  /// The writer of the claim; nullopt: the key is not ours, and the caller has
-  /// been answered.
+  /// Refuses a request that is quarantined because targets crashed while they
+  /// ran it.
+  Awaitable<void> RefuseQuarantined(model::Call call,
+                                    wire::ResponseWriter& writer);
+  /// Returns the writer number of the claim. Returns nullopt if the key could
+  /// not be claimed; the caller then has been answered.
   Awaitable<std::optional<uint64_t>> ClaimKey(model::Call call,
                                               wire::ResponseWriter& writer);
-  /// Attempts `call` until it has run, can't be tried again, or its time is up.
-  /// A call that finds the targets full keeps its slot and asks again.
-  Awaitable<Verdict> Attempt(model::Call call,
-                             wire::Request request,
-                             wire::ResponseWriter& writer);
-  /// One try at a few targets. kDone: the verdict stands.
-  enum class RoundEnd { kDone, kFull, kTurnedAway };
-  Awaitable<RoundEnd> TryTargets(const model::Call& call,
-                                 const wire::Request& request,
-                                 TimePoint started,
-                                 Verdict& verdict,
-                                 wire::ResponseWriter& writer);
-  Awaitable<decide::EndedAttempt> TryOne(const model::Call& call,
-                                         decide::Placement placement,
-                                         const wire::Request& request,
-                                         Verdict& verdict,
-                                         wire::ResponseWriter& writer);
+  /// Sends attempts until `call` has run, can't be retried, or has reached its
+  /// deadline. A call that finds all targets full keeps its admission slot and
+  /// starts another round after a pause.
+  Awaitable<CallResult> SendAttempts(model::Call call,
+                                     wire::Request request,
+                                     wire::ResponseWriter& writer);
+  /// The result of one round of attempts, each at another target. kDone: the
+  /// result of the call is final.
+  enum class RoundResult { kDone, kFull, kRefusedByTargets };
+  Awaitable<RoundResult> RunRound(const model::Call& call,
+                                  const wire::Request& request,
+                                  TimePoint started,
+                                  CallResult& result,
+                                  wire::ResponseWriter& writer);
+  Awaitable<decide::FinishedAttempt> RunOneAttempt(
+      const model::Call& call,
+      decide::Placement placement,
+      const wire::Request& request,
+      CallResult& result,
+      wire::ResponseWriter& writer);
   Awaitable<void> SettleClaim(model::Call call,
                               uint64_t writer,
-                              Verdict verdict);
-  Awaitable<void> Tell(model::Call call,
-                       Verdict verdict,
-                       wire::ResponseWriter& writer);
+                              CallResult result);
+  Awaitable<void> ReportOutcome(model::Call call,
+                                CallResult result,
+                                wire::ResponseWriter& writer);
 
   PoolRouters& m_routers;
   AttemptRunner m_attempts;
-  ClaimKeeper m_claims;
+  ClaimStore m_claims;
   Journal& m_journal;
-  QuarantineKeeper m_quarantine;
+  LockedQuarantine m_quarantine;
 };
 
 }  // namespace verbenalead::daemon
--- a/src/libverbenalead/daemon/revision_client.h
+++ b/src/libverbenalead/daemon/revision_client.h
@@ -1,17 +1,18 @@
 #ifndef VERBENALEAD_DAEMON_REVISION_CLIENT_H_
 #define VERBENALEAD_DAEMON_REVISION_CLIENT_H_
 
-#include "daemon/config_keeper.h"
+#include "daemon/config_store.h"
 #include "wire/client.h"
 #include "wire/response_writer.h"
 
 namespace verbenalead::daemon {
 
-/// Names our configuration revision on each request to our other processes, so
-/// that whoever is behind learns it from the traffic itself.
+/// Client that adds the configuration revision of this process as a header to
+/// each request to another daemon. A receiver with an older configuration
+/// detects from it that it is behind and fetches the changes.
 class RevisionClient : public wire::Client {
  public:
-  RevisionClient(wire::Client& client, const ConfigKeeper& config)
+  RevisionClient(wire::Client& client, const ConfigStore& config)
       : m_client(client), m_config(config) {}
 
   Awaitable<AsyncResult<std::unique_ptr<wire::ResponseReader>>>
@@ -19,11 +20,12 @@
 
  private:
   wire::Client& m_client;
-  const ConfigKeeper& m_config;
+  const ConfigStore& m_config;
 };
 
-/// `handler`, which tells `config` of each revision that a request names.
-wire::Handler WithRevision(ConfigKeeper& config, wire::Handler handler);
+/// Returns a handler that records the revision header of each request in
+/// `config` and passes the request to `handler`.
+wire::Handler WithRevision(ConfigStore& config, wire::Handler handler);
 
 }  // namespace verbenalead::daemon
 
--- a/src/libverbenalead/daemon/target_daemon.cc
+++ b/src/libverbenalead/daemon/target_daemon.cc
@@ -18,7 +18,7 @@
 #include "daemon/readiness.h"
 #include "daemon/revision_client.h"
 #include "daemon/target_peer_api.h"
-#include "daemon/version_keeper.h"
+#include "daemon/version_controller.h"
 #include "http/client.h"
 #include "http/server.h"
 #include "peer/client.h"
@@ -32,8 +32,8 @@
 
 constexpr Duration kHostListInterval = 1s;
 constexpr Duration kHealthInterval = 250ms;
-constexpr Duration kForgetInterval = 10s;
-constexpr Duration kStopPoll = 20ms;
+constexpr Duration kAttemptCleanupInterval = 10s;
+constexpr Duration kStopPollInterval = 20ms;
 constexpr char kAttemptPath[] = "/v1/attempt";
 constexpr char kServiceHealthPath[] = "/healthz";
 
@@ -48,7 +48,8 @@
   return static_cast<uint64_t>(settings.Integer(key));
 }
 
-/// Live requests use the same links, so chunks get a part of them.
+/// The part of a link's rate that chunk transfers may use. The rest is left for
+/// live requests, which use the same links.
 uint64_t TransferShare(const Settings& settings, const char* key) {
   return Bytes(settings, key) * Bytes(settings, "transfer.share_percent") / 100;
 }
@@ -78,7 +79,7 @@
         m_sessions(peer::SessionLimits{}, &m_credentials),
         m_journal(settings.Text("host"),
                   static_cast<size_t>(settings.Integer("journal.requests"))),
-        m_signed_table(m_http, CredentialsIn(settings), "dynamodb"),
+        m_signed_table(m_http, LoadPlatformCredentials(settings), "dynamodb"),
         m_table(m_signed_table,
                 settings.Address("platform.table"),
                 settings.Text("platform.table_name"),
@@ -129,7 +130,7 @@
         m_signals(m_threads.main(), SIGTERM, SIGINT),
         m_hangup(m_threads.main(), SIGHUP) {}
 
-  /// Counts and times attempts.
+  /// Wraps `handler` so that the duration of attempts is measured.
   wire::Handler Measured(wire::Handler handler) {
     return [this, handler = std::move(handler)](
                const wire::Request& request,
@@ -192,14 +193,14 @@
     report.m_origin_bytes = m_counters.m_origin_bytes;
     report.m_peer_bytes = m_counters.m_peer_bytes;
     const VersionProgress progress = m_versions.progress();
-    report.m_version = progress.m_in_force;
-    report.m_loading = progress.m_loading;
+    report.m_version = progress.m_active_version;
+    report.m_loading_version = progress.m_loading_version;
     report.m_stage = progress.m_stage;
     report.m_reason = progress.m_reason;
-    if (!progress.m_loading.empty()) {
+    if (!progress.m_loading_version.empty()) {
       const auto manifest = m_store.GetManifest(progress.m_loading_digest);
       report.m_chunks_total = manifest ? manifest->chunk_count() : 0;
-      report.m_chunks_held = m_store.HeldChunks(progress.m_loading_digest);
+      report.m_chunks_held = m_store.HeldChunkCount(progress.m_loading_digest);
     }
     m_gate.With([&](decide::GateState& gate) {
       report.m_incarnation = gate.m_incarnation;
@@ -214,10 +215,10 @@
   }
 
   void StartLeaving(const char* reason) {
-    const bool news = m_gate.With([](decide::GateState& gate) {
+    const bool changed = m_gate.With([](decide::GateState& gate) {
       return !std::exchange(gate.m_leaving, true);
     });
-    if (news)
+    if (changed)
       LogLine("leaving").With("reason", reason).Info();
   }
 
@@ -228,7 +229,8 @@
     }
   }
 
-  /// A plain service has no versions: its gate is open while it is healthy.
+  /// Opens the gate while the service is healthy, and closes it otherwise. A
+  /// plain service has no versions.
   Awaitable<void> FollowService() {
     while (true) {
       wire::Request request;
@@ -247,29 +249,31 @@
     }
   }
 
-  Awaitable<void> ForgetAttempts() {
+  Awaitable<void> RemoveExpiredAttempts() {
     while (true) {
-      co_await Sleep(kForgetInterval);
+      co_await Sleep(kAttemptCleanupInterval);
       m_gate.With([](decide::GateState& gate) {
-        decide::Forget(gate, Now());
+        decide::EraseOldAttempts(gate, Now());
         return 0;
       });
     }
   }
 
-  Awaitable<void> StopWhenAsked() {
+  Awaitable<void> StopOnSignal() {
     co_await m_signals.async_wait(asio::use_awaitable);
     StartLeaving("signal");
-    const TimePoint noticed = Now() + m_settings.Milliseconds("stop.notice");
-    const TimePoint give_up = Now() + m_settings.Milliseconds("stop.grace");
-    while (Now() < give_up && (Now() < noticed || m_attempts.serving() > 0))
-      co_await Sleep(kStopPoll);
+    const TimePoint notice_end = Now() + m_settings.Milliseconds("stop.notice");
+    const TimePoint grace_end = Now() + m_settings.Milliseconds("stop.grace");
+    while (Now() < grace_end &&
+           (Now() < notice_end || m_attempts.serving() > 0))
+      co_await Sleep(kStopPollInterval);
     LogLine("stopped").With("cut_off", m_attempts.serving()).Info();
     m_threads.Stop();
   }
 
-  /// SIGHUP: the peers' key is replaced without a restart.
-  Awaitable<void> ReloadWhenAsked() {
+  /// On SIGHUP, reloads the key for connections between the processes, so that
+  /// it can be replaced without a restart.
+  Awaitable<void> ReloadOnHangup() {
     while (true) {
       co_await m_hangup.async_wait(asio::use_awaitable);
       if (const auto done = m_credentials.Load(); !done)
@@ -312,13 +316,13 @@
   Pacer m_download;
   UploadScheduler m_uploads;
   WeightsStore m_store;
-  GateKeeper m_gate;
-  ConfigKeeper m_config;
+  GuardedGate m_gate;
+  ConfigStore m_config;
   RevisionClient m_peers;
   ConfigFollower m_follower;
   TransferCounters m_counters;
   WeightsFetcher m_fetcher;
-  VersionKeeper m_versions;
+  VersionController m_versions;
   AttemptServer m_attempts;
   peer::Server m_peer_server;
   http::Server m_weights_server;
@@ -338,9 +342,9 @@
   const auto executor = parts.m_threads.main();
   SpawnLoop(executor, parts.FollowHosts(), "follow_hosts");
   SpawnLoop(executor, parts.m_follower.Run(), "follow_config");
-  SpawnLoop(executor, parts.ForgetAttempts(), "forget_attempts");
-  SpawnLoop(executor, parts.StopWhenAsked(), "stop_when_asked");
-  SpawnLoop(executor, parts.ReloadWhenAsked(), "reload_when_asked");
+  SpawnLoop(executor, parts.RemoveExpiredAttempts(), "forget_attempts");
+  SpawnLoop(executor, parts.StopOnSignal(), "stop_when_asked");
+  SpawnLoop(executor, parts.ReloadOnHangup(), "reload_when_asked");
   if (parts.m_settings.Text("backend.kind") == "engine")
     SpawnLoop(executor, parts.m_versions.Run(), "keep_version");
   else
--- a/src/libverbenalead/daemon/target_directory.cc
+++ b/src/libverbenalead/daemon/target_directory.cc
@@ -11,9 +11,10 @@
 namespace verbenalead::daemon {
 namespace {
 
-constexpr Duration kAskTimeout = 1s;
-/// How long a target holds its answer back while nothing changes. Below the age
-/// at which its last report no longer counts as a sign of life.
+constexpr Duration kReportTimeout = 1s;
+/// How long a target delays its answer while nothing changes. Less than
+/// decide::kMaxReportAge, the age after which a report no longer shows that its
+/// target is alive, so that an idle target stays in use.
 constexpr Duration kHold = 1500ms;
 constexpr int kPollsPerHostList = 4;
 constexpr int kUnchanged = 204;
@@ -26,18 +27,18 @@
     if (round % kPollsPerHostList == 0) {
       co_await m_hosts.Refresh();
       std::vector<model::Host> hosts = m_hosts.All();
-      if (hosts != m_listed)
+      if (hosts != m_listed_hosts)
         decide::SetHosts(m_members, hosts);
-      m_listed = std::move(hosts);
+      m_listed_hosts = std::move(hosts);
     }
-    for (const model::Host& host : decide::Watched(m_members, Now())) {
+    for (const model::Host& host : decide::TargetsToWatch(m_members, Now())) {
       if (host.leaving())
         MarkLeaving(host);
-      bool& asking = m_known[host.name()].m_asking;
-      if (asking)
+      bool& request_pending = m_watched[host.name()].m_request_pending;
+      if (request_pending)
         continue;
-      asking = true;
-      Spawn(executor, AskTarget(host), "ask_target");
+      request_pending = true;
+      Spawn(executor, RequestReport(host), "ask_target");
     }
     for (PoolRouter* router : m_routers.All())
       router->Tick();
@@ -45,40 +46,41 @@
   }
 }
 
-/// The list may say that a target leaves before the target does, and its
-/// answer may be held back: nothing new must go there meanwhile.
+/// Marks a target as leaving as soon as the host list does. The report of the
+/// target may show it later, since its answer may be delayed; meanwhile no new
+/// calls must be sent there.
 void TargetDirectory::MarkLeaving(const model::Host& host) {
-  Known& known = m_known[host.name()];
+  WatchedTarget& known = m_watched[host.name()];
   if (known.m_report.m_name.empty() || known.m_report.m_leaving)
     return;
   known.m_report.m_leaving = true;
-  m_routers.Get(known.m_report.m_pool).Report(known.m_report);
+  m_routers.Get(known.m_report.m_pool).ApplyReport(known.m_report);
 }
 
-Awaitable<void> TargetDirectory::AskTarget(model::Host host) {
+Awaitable<void> TargetDirectory::RequestReport(model::Host host) {
   wire::Request request;
   request.m_path =
       "/v1/status?hold_ms=" + std::to_string(ToMilliseconds(kHold)) +
-      "&seen=" + m_known[host.name()].m_seen;
+      "&seen=" + m_watched[host.name()].m_report_mark;
   auto response = co_await wire::Fetch(m_peers, host.peer(), std::move(request),
-                                       Now() + kHold + kAskTimeout);
-  m_known[host.name()].m_asking = false;
+                                       Now() + kHold + kReportTimeout);
+  m_watched[host.name()].m_request_pending = false;
   if (response) {
-    TakeReport(host, *response);
+    HandleReport(host, *response);
     co_return;
   }
-  // The next question is to be answered at once, not held back: whether the
-  // target is alive is in doubt now.
-  m_known[host.name()].m_seen.clear();
+  // Without a mark the target answers the next request at once. A delayed
+  // answer would not show in time whether the target is alive.
+  m_watched[host.name()].m_report_mark.clear();
   LogLine("target_silent")
       .With("target", host.name())
       .With(response.error())
       .Debug();
 }
 
-void TargetDirectory::TakeReport(const model::Host& host,
-                                 const wire::Response& response) {
-  Known& known = m_known[host.name()];
+void TargetDirectory::HandleReport(const model::Host& host,
+                                   const wire::Response& response) {
+  WatchedTarget& known = m_watched[host.name()];
   if (response.m_status != kUnchanged) {
     auto report =
         CatchFailure([&] { return model::ParseTargetReport(response.m_body); });
@@ -90,14 +92,15 @@
       return;
     }
     known.m_report = std::move(*report);
-    known.m_seen = wire::Get(response.m_headers, peer::kReportMark);
+    known.m_report_mark = wire::Get(response.m_headers, peer::kReportMark);
   }
   known.m_report.m_leaving |= host.leaving();
-  // Reached where the host list says: a target knows only what it binds.
+  // The address comes from the host list: the target only has the address that
+  // it binds, which other hosts may not be able to reach.
   known.m_report.m_peer = host.peer();
-  decide::Heard(m_members, host.name(), Now());
-  m_config.HeardFrom(known.m_report.m_revision);
-  m_routers.Get(known.m_report.m_pool).Report(known.m_report);
+  decide::RecordAnswer(m_members, host.name(), Now());
+  m_config.RecordContact(known.m_report.m_revision);
+  m_routers.Get(known.m_report.m_pool).ApplyReport(known.m_report);
 }
 
 }  // namespace verbenalead::daemon
--- a/src/libverbenalead/daemon/target_directory.h
+++ b/src/libverbenalead/daemon/target_directory.h
@@ -8,15 +8,16 @@
 #include "daemon/config_follower.h"
 #include "daemon/host_directory.h"
 #include "daemon/pool_routers.h"
-#include "decide/members.h"
+#include "decide/target_watch.h"
 #include "model/target_report.h"
 #include "wire/client.h"
 
 namespace verbenalead::daemon {
 
-/// Keeps the entry's view of targets fresh: asks those that it watches how they
-/// are, and hands the reports to the routers. A target holds its answer back
-/// while nothing changes.
+/// Keeps the view that this entry has of the targets current: polls the status
+/// of the targets that the entry watches and passes their reports to the
+/// routers, which select targets by them. A target delays its answer while its
+/// report doesn't change (long polling).
 class TargetDirectory {
  public:
   TargetDirectory(PoolRouters& routers,
@@ -39,16 +40,18 @@
   Awaitable<void> Run();
 
  private:
-  /// What was last heard of a target.
-  struct Known {
-    bool m_asking = false;
+  /// The last report of a target.
+  struct WatchedTarget {
+    /// Whether a status request to the target is in progress.
+    bool m_request_pending = false;
     model::TargetReport m_report;
-    /// The target's mark of that report, to ask for what differs from it.
-    std::string m_seen;
+    /// The mark by which the target identifies that report; sent with the next
+    /// status request, so that the target answers when its report differs.
+    std::string m_report_mark;
   };
 
-  Awaitable<void> AskTarget(model::Host host);
-  void TakeReport(const model::Host& host, const wire::Response& response);
+  Awaitable<void> RequestReport(model::Host host);
+  void HandleReport(const model::Host& host, const wire::Response& response);
   void MarkLeaving(const model::Host& host);
 
   PoolRouters& m_routers;
@@ -56,10 +59,10 @@
   HostDirectory& m_hosts;
   ConfigFollower& m_config;
   const Duration m_poll;
-  // Of the thread that runs Run().
-  decide::MembersState m_members;
-  std::vector<model::Host> m_listed;
-  std::map<std::string, Known> m_known;
+  // Used only by the thread that runs Run().
+  decide::TargetWatchState m_members;
+  std::vector<model::Host> m_listed_hosts;
+  std::map<std::string, WatchedTarget> m_watched;
 };
 
 }  // namespace verbenalead::daemon
--- a/src/libverbenalead/daemon/target_peer_api.cc
+++ b/src/libverbenalead/daemon/target_peer_api.cc
@@ -6,7 +6,7 @@
 #include "base/catch_failure.h"
 #include "base/sleep.h"
 #include "daemon/transfer_messages.h"
-#include "decide/report_news.h"
+#include "decide/report_change.h"
 #include "peer/header_names.h"
 
 namespace verbenalead::daemon {
@@ -19,17 +19,20 @@
 constexpr std::string_view kManifest = "/v1/manifest/";
 constexpr std::string_view kTrace = "/v1/trace/";
 constexpr std::string_view kWeights = "/weights/";
-/// News is gathered this long: less than half of the time that a chunk takes
-/// on the links this is made for, and at most 20 messages a second.
-constexpr Duration kNewsInterval = 50ms;
-/// Hosts learn of a version within seconds of each other.
-constexpr Duration kFollowPatience = 30s;
-/// Longest time that a report is held back, and how often it is compared.
-constexpr unsigned long long kLongestHoldMs = 10000;
-constexpr Duration kReportPoll = 100ms;
+/// Interval at which newly arrived chunks are announced to a follower. It is
+/// less than half of the time that a chunk takes on the intended links, and
+/// limits the rate to 20 messages per second.
+constexpr Duration kUpdateSendInterval = 50ms;
+/// How long a request to follow a version waits for the version's manifest. A
+/// new version reaches the hosts within seconds of each other.
+constexpr Duration kManifestWaitLimit = 30s;
+/// Longest time that a request for the status is held open, and the interval at
+/// which the report is compared meanwhile.
+constexpr unsigned long long kMaxHoldMs = 10000;
+constexpr Duration kReportPollInterval = 100ms;
 constexpr size_t kHexDigits = 2 * Digest::kBytes;
 
-/// The digest that stands in `path` after `prefix`; empty if malformed.
+/// Returns the digest that follows `prefix` in `path`; empty if malformed.
 Digest DigestAfter(const std::string& path, std::string_view prefix) {
   const std::string text = path.substr(prefix.size(), kHexDigits);
   auto digest = CatchFailure([&] { return ParseDigest(text); });
@@ -38,55 +41,56 @@
 
 Awaitable<wire::Response> ServeChunk(Context context, wire::Request request) {
   const std::string path = wire::PathOf(request);
-  const Digest whole = DigestAfter(path, kChunk);
+  const Digest digest = DigestAfter(path, kChunk);
   const size_t slash = path.rfind('/');
   decide::UploadRequest upload;
   upload.m_chunk = static_cast<uint32_t>(
       std::strtoul(path.c_str() + slash + 1, nullptr, 10));
-  upload.m_held = static_cast<uint32_t>(std::strtoul(
+  upload.m_chunk_count = static_cast<uint32_t>(std::strtoul(
       wire::Get(request.m_headers, kHeldHeader).c_str(), nullptr, 10));
-  upload.m_far =
+  upload.m_other_region =
       wire::Get(request.m_headers, kRegionHeader) != context->m_region;
   const WeightsStore::Chunk chunk =
-      context->m_store->Get(whole, upload.m_chunk);
+      context->m_store->Get(digest, upload.m_chunk);
   if (!chunk)
     co_return wire::Response{404, {}, "not here"};
-  co_await context->m_uploads->Take(whole, upload, chunk->size());
+  co_await context->m_uploads->WaitForTurn(digest, upload, chunk->size());
   co_return wire::Response{200, {}, *chunk};
 }
 
-/// Tells what is here now and then each chunk that comes, until the version is
-/// whole. A host may ask before its neighbour has begun with the version.
+/// Sends the set of chunks that this host holds and then the number of each
+/// chunk that arrives, until the version is complete. The request may arrive
+/// before this host has the manifest; it then waits up to kManifestWaitLimit.
 Awaitable<void> ServeFollow(Context context,
                             std::string path,
                             wire::ResponseWriter& writer) {
-  const Digest whole = DigestAfter(path, kHave);
+  const Digest digest = DigestAfter(path, kHave);
   bool alive = co_await writer.Start({200, {}});
-  auto manifest = context->m_store->GetManifest(whole);
-  const TimePoint give_up = Now() + kFollowPatience;
-  while (alive && !manifest && Now() < give_up) {
-    co_await Sleep(kNewsInterval);
-    alive = !writer.gone();
-    manifest = context->m_store->GetManifest(whole);
+  auto manifest = context->m_store->GetManifest(digest);
+  const TimePoint wait_end = Now() + kManifestWaitLimit;
+  while (alive && !manifest && Now() < wait_end) {
+    co_await Sleep(kUpdateSendInterval);
+    alive = !writer.disconnected();
+    manifest = context->m_store->GetManifest(digest);
   }
   if (!alive || !manifest)
     co_return;
-  // The count is read first: a chunk that comes between is told twice, never
-  // not at all.
-  size_t told = context->m_store->Arrivals(whole, 0).size();
-  alive = co_await writer.Write(context->m_store->HaveBits(whole));
-  while (alive && told < manifest->chunk_count()) {
-    co_await Sleep(kNewsInterval);
-    std::string news;
-    for (uint32_t chunk : context->m_store->Arrivals(whole, told)) {
-      AppendNumber(news, chunk);
-      ++told;
+  // The count is read before the bits: a chunk that arrives between the two
+  // reads is then sent twice. In the other order it would not be sent at all.
+  size_t sent_count = context->m_store->ArrivalsSince(digest, 0).size();
+  alive = co_await writer.Write(context->m_store->HeldChunkBits(digest));
+  while (alive && sent_count < manifest->chunk_count()) {
+    co_await Sleep(kUpdateSendInterval);
+    std::string update;
+    for (uint32_t chunk : context->m_store->ArrivalsSince(digest, sent_count)) {
+      AppendNumber(update, chunk);
+      ++sent_count;
     }
-    if (news.empty() && !context->m_store->GetManifest(whole))
+    if (update.empty() && !context->m_store->GetManifest(digest))
       co_return;
-    alive = news.empty() ? !writer.gone() : alive;
-    if (!news.empty())
-      alive = co_await writer.Write(std::move(news));
+    alive = update.empty() ? !writer.disconnected() : alive;
+    if (!update.empty())
+      alive = co_await writer.Write(std::move(update));
   }
   co_await writer.Finish({});
 }
@@ -108,31 +112,32 @@
   return {200, {}, std::move(text)};
 }
 
-/// Answers as soon as the report is urgent news to the asker, or with what else
-/// has changed, 204 if nothing, when the asker's patience is at its end. An
-/// idle target then costs its watchers two short messages each second and a
-/// half.
+/// Answers a long poll for the target's report. Responds as soon as the report
+/// has an urgent change against the one that the client has seen. At the end of
+/// the hold time it responds with any other change, or with 204 if there is
+/// none. An idle target thus costs each watching client two short messages per
+/// 1.5 seconds.
 Awaitable<wire::Response> ServeStatus(Context context, wire::Request request) {
-  using decide::ReportNews;
+  using decide::ReportChange;
   const std::string seen = wire::QueryValue(request, "seen");
-  const auto hold = std::chrono::milliseconds(
-      std::min(kLongestHoldMs,
-               std::strtoull(wire::QueryValue(request, "hold_ms").c_str(),
-                             nullptr, 10)));
-  const TimePoint give_up = Now() + hold;
+  const auto hold = std::chrono::milliseconds(std::min(
+      kMaxHoldMs, std::strtoull(wire::QueryValue(request, "hold_ms").c_str(),
+                                nullptr, 10)));
+  const TimePoint wait_end = Now() + hold;
   while (true) {
     const model::TargetReport report = context->m_report();
-    const std::string mark = decide::MarkOf(report);
-    const ReportNews news = decide::NewsOf(mark, seen);
-    const bool ended = Now() >= give_up;
-    if (news == ReportNews::kUrgent || (news == ReportNews::kLater && ended)) {
+    const std::string mark = decide::ReportMarkOf(report);
+    const ReportChange change = decide::CompareMarks(mark, seen);
+    const bool ended = Now() >= wait_end;
+    if (change == ReportChange::kUrgent ||
+        (change == ReportChange::kDeferrable && ended)) {
       wire::Response response = wire::JsonResponse(200, ToJson(report));
       response.m_headers[peer::kReportMark] = mark;
       co_return response;
     }
     if (ended)
       co_return wire::Response{204, {}, ""};
-    co_await Sleep(kReportPoll);
+    co_await Sleep(kReportPollInterval);
   }
 }
 
@@ -141,14 +146,14 @@
   if (path == "/v1/status")
     co_return co_await ServeStatus(context, std::move(request));
   if (path == "/v1/void")
-    co_return context->m_attempts->MakeVoid(request);
+    co_return context->m_attempts->HandleVoid(request);
   if (path == "/v1/drain") {
     context->m_drain();
     co_return wire::Response{200, {}, "leaving"};
   }
   if (path.starts_with(kHave)) {
     co_return wire::Response{
-        200, {}, context->m_store->HaveBits(DigestAfter(path, kHave))};
+        200, {}, context->m_store->HeldChunkBits(DigestAfter(path, kHave))};
   }
   if (path.starts_with(kChunk))
     co_return co_await ServeChunk(context, std::move(request));
@@ -195,15 +200,15 @@
     co_await writer.Send({404, {}, "unknown path"});
     co_return;
   }
-  const Digest whole = DigestAfter(path, kWeights);
-  const auto manifest = store.GetManifest(whole);
-  if (!manifest || store.HeldChunks(whole) != manifest->chunk_count()) {
+  const Digest digest = DigestAfter(path, kWeights);
+  const auto manifest = store.GetManifest(digest);
+  if (!manifest || store.HeldChunkCount(digest) != manifest->chunk_count()) {
     co_await writer.Send({404, {}, "not whole here"});
     co_return;
   }
   bool alive = co_await writer.Start({200, {}});
   for (uint32_t i = 0; alive && i < manifest->chunk_count(); ++i) {
-    const WeightsStore::Chunk chunk = store.Get(whole, i);
+    const WeightsStore::Chunk chunk = store.Get(digest, i);
     if (!chunk)
       co_return;
     alive = co_await writer.Write(*chunk);
--- a/src/libverbenalead/daemon/upload_scheduler.cc
+++ b/src/libverbenalead/daemon/upload_scheduler.cc
@@ -11,16 +11,18 @@
 
 namespace asio = boost::asio;
 
-/// Chunks on the link at once: the second one is there before the first has
-/// gone, so that the link isn't idle between them. More would only make the
-/// order of the queue count for less.
-constexpr uint32_t kUploadsAtOnce = 2;
-/// Versions whose counts are kept: the one in force and the one on its way.
+/// Number of chunks sent concurrently. With two, the second chunk is ready when
+/// the first has been sent, so that the link isn't idle in between. More would
+/// weaken the effect of the queue's order.
+constexpr uint32_t kMaxConcurrentUploads = 2;
+/// Number of versions above which queues without waiting requests are dropped.
+/// Normally two are in use: the active version and the one being transferred.
 constexpr size_t kMaxQueues = 4;
 
 }  // namespace
 
-/// A request that waits. All but m_request belongs to its executor.
+/// A waiting request. All members except m_request are used only on the
+/// request's executor.
 struct UploadScheduler::Waiter {
   Waiter(const asio::any_io_executor& executor, decide::UploadRequest request)
       : m_request(request), m_timer(executor) {
@@ -32,31 +34,31 @@
   bool m_granted = false;
 };
 
-Awaitable<void> UploadScheduler::Take(Digest whole,
-                                      decide::UploadRequest request,
-                                      uint64_t bytes) {
+Awaitable<void> UploadScheduler::WaitForTurn(Digest digest,
+                                             decide::UploadRequest request,
+                                             uint64_t bytes) {
   const auto executor = co_await asio::this_coro::executor;
   auto waiter = std::make_shared<Waiter>(executor, request);
-  Enqueue(whole, waiter);
+  Enqueue(digest, waiter);
   while (!waiter->m_granted) {
     boost::system::error_code cancelled;
     co_await waiter->m_timer.async_wait(
         asio::redirect_error(asio::use_awaitable, cancelled));
   }
-  co_await m_link.Take(bytes);
+  co_await m_link.Acquire(bytes);
   Release();
 }
 
-void UploadScheduler::Enqueue(const Digest& whole,
+void UploadScheduler::Enqueue(const Digest& digest,
                               std::shared_ptr<Waiter> waiter) {
   std::lock_guard lock(m_mutex);
-  if (!m_queues.contains(whole) && m_queues.size() >= kMaxQueues) {
+  if (!m_queues.contains(digest) && m_queues.size() >= kMaxQueues) {
     std::erase_if(m_queues, [](const auto& each) {
       return each.second.m_waiting.empty();
     });
   }
   waiter->m_request.m_id = ++m_next_id;
-  decide::AddUpload(m_queues[whole], waiter->m_request);
+  decide::EnqueueUpload(m_queues[digest], waiter->m_request);
   m_waiters[m_next_id] = std::move(waiter);
   Grant();
 }
@@ -68,9 +70,9 @@
 }
 
 void UploadScheduler::Grant() {
-  for (auto& [whole, queue] : m_queues) {
-    while (m_busy < kUploadsAtOnce) {
-      const auto next = decide::TakeUpload(queue);
+  for (auto& [digest, queue] : m_queues) {
+    while (m_busy < kMaxConcurrentUploads) {
+      const auto next = decide::DequeueUpload(queue);
       if (!next)
         break;
       ++m_busy;
--- a/src/libverbenalead/daemon/weights_fetcher.cc
+++ b/src/libverbenalead/daemon/weights_fetcher.cc
@@ -18,19 +18,21 @@
 
 namespace asio = boost::asio;
 
-constexpr Duration kAskTimeout = 1s;
-/// How soon a read notices that the core has given it up.
-constexpr Duration kCancelPoll = 250ms;
-constexpr Duration kStep = 5ms;
+constexpr Duration kPeerRequestTimeout = 1s;
+/// Interval at which a read checks whether it has been cancelled.
+constexpr Duration kCancelPollInterval = 250ms;
+constexpr Duration kStepInterval = 5ms;
 constexpr Duration kMembersInterval = 500ms;
-constexpr Duration kManifestRetry = 100ms;
-/// A host that isn't the manifest's drawer waits this many tries for a peer.
-constexpr int kManifestPatience = 20;
+constexpr Duration kManifestRetryDelay = 100ms;
+/// Number of failed attempts to get the manifest from peers after which any
+/// host may fetch it from the origin. The designated host may do so at once.
+constexpr int kManifestPeerAttempts = 20;
 constexpr size_t kMaxManifest = size_t{64} << 20;
-/// Hosts asked for the manifest in one try.
-constexpr size_t kMaxAsked = 16;
-/// The manifest is drawn by the host that this number's hash names.
-constexpr uint64_t kManifestNumber = ~uint64_t{0};
+/// Maximum number of hosts queried for the manifest in one attempt.
+constexpr size_t kMaxPeersQueried = 16;
+/// Key of the rendezvous hash that designates the host that fetches the
+/// manifest from the origin.
+constexpr uint64_t kManifestHashKey = ~uint64_t{0};
 
 bool IsTimeout(const Failure& failure) {
   return failure.m_code == FailureCode::kTimeout;
@@ -38,17 +40,18 @@
 
 }  // namespace
 
-struct WeightsFetcher::Run {
-  explicit Run(const asio::any_io_executor& executor) : m_wake(executor) {}
+struct WeightsFetcher::Transfer {
+  explicit Transfer(const asio::any_io_executor& executor) : m_wake(executor) {}
 
-  /// Cancelled when a fetch has ended: what is next need not wait for a step.
+  /// Cancelled when a fetch has ended, so that the next step starts at once.
   asio::steady_timer m_wake;
   model::VersionSpec m_version;
   model::Manifest m_manifest;
   decide::TransferState m_transfer;
   std::map<std::string, Endpoint> m_endpoints;
   TimePoint m_next_members{};
-  /// Set to true to give up the fetch of a chunk, the news of a host.
+  /// Flags that cancel the fetch of a chunk, or the stream of announcements of
+  /// a host, when set to true.
   std::map<uint32_t, std::shared_ptr<bool>> m_fetches;
   std::map<std::string, std::shared_ptr<bool>> m_follows;
 
@@ -82,7 +85,7 @@
   auto manifest = co_await FetchManifest(version);
   if (!manifest)
     co_return manifest.error();
-  auto run = std::make_shared<Run>(co_await asio::this_coro::executor);
+  auto run = std::make_shared<Transfer>(co_await asio::this_coro::executor);
   run->m_version = version;
   run->m_manifest = *manifest;
   decide::TransferLinks links = m_options.m_links;
@@ -91,15 +94,15 @@
       links, m_options.m_preference, m_options.m_origin_budget_percent);
   run->m_transfer = decide::StartTransfer(
       m_options.m_self, manifest->chunk_count(), limits, Now());
-  for (uint32_t chunk : m_store.Arrivals(manifest->whole(), 0))
-    decide::ChunkArrived(run->m_transfer, chunk, Now());
+  for (uint32_t chunk : m_store.ArrivalsSince(manifest->digest(), 0))
+    decide::RecordChunkArrival(run->m_transfer, chunk, Now());
   const auto executor = co_await asio::this_coro::executor;
-  const TimePoint begun = Now();
+  const TimePoint start = Now();
   bool still_wanted = wanted();
   while (still_wanted && !decide::IsComplete(run->m_transfer)) {
     UpdateMembers(*run);
     DoStep(run, executor);
-    run->m_wake.expires_after(kStep);
+    run->m_wake.expires_after(kStepInterval);
     boost::system::error_code ignored;
     co_await run->m_wake.async_wait(
         asio::redirect_error(asio::use_awaitable, ignored));
@@ -109,12 +112,12 @@
   LogLine("transfer_ended")
       .With("version", version.m_name)
       .With("whole", still_wanted)
-      .With("ms", ToMilliseconds(Now() - begun))
+      .With("ms", ToMilliseconds(Now() - start))
       .Info();
   co_return still_wanted;
 }
 
-void WeightsFetcher::DoStep(std::shared_ptr<Run> run,
+void WeightsFetcher::DoStep(std::shared_ptr<Transfer> run,
                             const asio::any_io_executor& executor) {
   const decide::TransferActions actions =
       decide::Step(run->m_transfer, Now(), m_random);
@@ -130,7 +133,7 @@
   for (const std::string& name : actions.m_follows) {
     auto cancelled = std::make_shared<bool>(false);
     run->m_follows[name] = cancelled;
-    Spawn(executor, Follow(run, name, cancelled), "follow");
+    Spawn(executor, FollowHost(run, name, cancelled), "follow");
   }
   for (const decide::FetchChunk& fetch : actions.m_fetches) {
     auto cancelled = std::make_shared<bool>(false);
@@ -144,7 +147,7 @@
   }
 }
 
-void WeightsFetcher::UpdateMembers(Run& run) {
+void WeightsFetcher::UpdateMembers(Transfer& run) {
   if (Now() < run.m_next_members)
     return;
   run.m_next_members = Now() + kMembersInterval;
@@ -160,47 +163,48 @@
   decide::SetMembers(run.m_transfer, std::move(members), Now(), m_random);
 }
 
-Awaitable<void> WeightsFetcher::Follow(std::shared_ptr<Run> run,
-                                       std::string name,
-                                       std::shared_ptr<const bool> cancelled) {
-  const bool ended = co_await ReadNews(run, name, cancelled);
+Awaitable<void> WeightsFetcher::FollowHost(
+    std::shared_ptr<Transfer> run,
+    std::string name,
+    std::shared_ptr<const bool> cancelled) {
+  const bool ended = co_await ReadAnnouncements(run, name, cancelled);
   if (!ended && !*cancelled)
-    decide::NeighbourLost(run->m_transfer, name, Now(), m_random);
+    decide::RecordNeighbourLoss(run->m_transfer, name, Now(), m_random);
 }
 
-Awaitable<bool> WeightsFetcher::ReadNews(
-    std::shared_ptr<Run> run,
+Awaitable<bool> WeightsFetcher::ReadAnnouncements(
+    std::shared_ptr<Transfer> run,
     std::string name,
     std::shared_ptr<const bool> cancelled) {
   wire::Request request;
   request.m_path =
-      "/v1/have/" + ToString(run->m_manifest.whole()) + "?follow=1";
-  auto opened = co_await m_peers.Open(run->m_endpoints[name],
-                                      std::move(request), Now() + kAskTimeout);
+      "/v1/have/" + ToString(run->m_manifest.digest()) + "?follow=1";
+  auto opened = co_await m_peers.Open(
+      run->m_endpoints[name], std::move(request), Now() + kPeerRequestTimeout);
   if (!opened)
     co_return false;
   wire::ResponseReader& reader = **opened;
-  auto head = co_await reader.ReadHead(Now() + kAskTimeout);
+  auto head = co_await reader.ReadHead(Now() + kPeerRequestTimeout);
   if (!head || head->m_status != 200)
     co_return false;
-  HaveReader news(run->m_manifest.chunk_count());
+  HeldChunksReader have_reader(run->m_manifest.chunk_count());
   while (!*cancelled) {
-    auto piece = co_await reader.ReadBody(Now() + kCancelPoll);
+    auto piece = co_await reader.ReadBody(Now() + kCancelPollInterval);
     if (!piece && IsTimeout(piece.error()))
       continue;
     if (!piece)
       co_return false;
     if (!piece->has_value())
       co_return true;
-    const std::vector<uint32_t> chunks = news.Read(**piece);
+    const std::vector<uint32_t> chunks = have_reader.Read(**piece);
     if (!*cancelled)
-      decide::NeighbourHas(run->m_transfer, name, chunks, Now());
+      decide::RecordNeighbourChunks(run->m_transfer, name, chunks, Now());
   }
   co_return true;
 }
 
 Awaitable<AsyncResult<std::string>> WeightsFetcher::ReadFromOrigin(
-    std::shared_ptr<Run> run,
+    std::shared_ptr<Transfer> run,
     uint32_t chunk) {
   const model::Manifest& manifest = run->m_manifest;
   auto bytes = co_await m_origin.GetRange(run->m_version.m_weights,
@@ -212,25 +216,25 @@
 }
 
 Awaitable<AsyncResult<std::string>> WeightsFetcher::ReadFromPeer(
-    std::shared_ptr<Run> run,
+    std::shared_ptr<Transfer> run,
     decide::FetchChunk fetch,
     std::shared_ptr<const bool> cancelled) {
   const std::string& name = fetch.m_source.m_host;
   const uint64_t length = run->m_manifest.ChunkLength(fetch.m_chunk);
   wire::Request request;
   request.m_priority = wire::Priority::kBulk;
-  request.m_path = "/v1/chunk/" + ToString(run->m_manifest.whole()) + "/" +
+  request.m_path = "/v1/chunk/" + ToString(run->m_manifest.digest()) + "/" +
                    std::to_string(fetch.m_chunk);
   request.m_headers[kHeldHeader] = std::to_string(run->m_transfer.m_have_count);
   request.m_headers[kRegionHeader] = m_options.m_self.m_region;
-  auto opened = co_await m_peers.Open(run->m_endpoints[name],
-                                      std::move(request), Now() + kAskTimeout);
+  auto opened = co_await m_peers.Open(
+      run->m_endpoints[name], std::move(request), Now() + kPeerRequestTimeout);
   if (!opened)
     co_return opened.error();
   wire::ResponseReader& reader = **opened;
   AsyncResult<wire::ResponseHead> head = wire::ResponseHead();
   do {
-    head = co_await reader.ReadHead(Now() + kCancelPoll);
+    head = co_await reader.ReadHead(Now() + kCancelPollInterval);
   } while (!head && IsTimeout(head.error()) && !*cancelled);
   if (!head)
     co_return head.error();
@@ -241,7 +245,7 @@
   std::string bytes;
   bytes.reserve(length);
   while (!*cancelled) {
-    auto piece = co_await reader.ReadBody(Now() + kCancelPoll);
+    auto piece = co_await reader.ReadBody(Now() + kCancelPollInterval);
     if (!piece && IsTimeout(piece.error()))
       continue;
     if (!piece)
@@ -255,13 +259,13 @@
     bytes += **piece;
     m_counters.m_peer_bytes += (*piece)->size();
     if (!*cancelled)
-      decide::ChunkProgress(run->m_transfer, fetch.m_chunk, Now());
+      decide::RecordChunkProgress(run->m_transfer, fetch.m_chunk, Now());
   }
   co_return Failure{FailureCode::kCancelled, "fetch chunk", name, "given up"};
 }
 
 Awaitable<void> WeightsFetcher::FetchChunk(
-    std::shared_ptr<Run> run,
+    std::shared_ptr<Transfer> run,
     decide::FetchChunk fetch,
     std::shared_ptr<const bool> cancelled) {
   AsyncResult<std::string> bytes = std::string();
@@ -271,9 +275,9 @@
     bytes = co_await ReadFromPeer(run, fetch, cancelled);
   AsyncResult<void> kept;
   if (bytes) {
-    co_await m_download.Take(bytes->size());
+    co_await m_download.Acquire(bytes->size());
     kept = CatchFailure([&] {
-      return m_store.Put(run->m_manifest.whole(), fetch.m_chunk,
+      return m_store.Put(run->m_manifest.digest(), fetch.m_chunk,
                          std::move(*bytes));
     });
   } else {
@@ -283,7 +287,7 @@
   if (*cancelled)
     co_return;
   if (kept) {
-    decide::ChunkArrived(run->m_transfer, fetch.m_chunk, Now());
+    decide::RecordChunkArrival(run->m_transfer, fetch.m_chunk, Now());
     co_return;
   }
   const bool corrupt = kept.error().m_code == FailureCode::kCorrupt;
@@ -293,15 +297,16 @@
             fetch.m_source.IsOrigin() ? "origin" : fetch.m_source.m_host)
       .With(kept.error())
       .Info();
-  decide::ChunkFailed(run->m_transfer, fetch.m_chunk, corrupt, Now(), m_random);
+  decide::RecordChunkFailure(run->m_transfer, fetch.m_chunk, corrupt, Now(),
+                             m_random);
 }
 
 Awaitable<AsyncResult<std::string>> WeightsFetcher::ManifestFromPeers(
     model::VersionSpec version) {
   std::vector<model::Host> hosts = m_hosts.Hosts(model::HostRole::kTarget);
   std::shuffle(hosts.begin(), hosts.end(), m_random);
-  if (hosts.size() > kMaxAsked)
-    hosts.resize(kMaxAsked);
+  if (hosts.size() > kMaxPeersQueried)
+    hosts.resize(kMaxPeersQueried);
   for (const model::Host& host : hosts) {
     if (host.name() == m_options.m_self.m_name)
       continue;
@@ -309,7 +314,7 @@
     request.m_path = "/v1/manifest/" + ToString(version.m_digest);
     auto response =
         co_await wire::Fetch(m_peers, host.peer(), std::move(request),
-                             Now() + kAskTimeout, kMaxManifest);
+                             Now() + kPeerRequestTimeout, kMaxManifest);
     if (response && response->m_status == 200)
       co_return std::move(response->m_body);
   }
@@ -321,39 +326,41 @@
     model::VersionSpec version) {
   if (auto held = m_store.GetManifest(version.m_digest))
     co_return *held;
-  for (int tries = 0;; ++tries) {
+  for (int attempts = 0;; ++attempts) {
     auto text = co_await ManifestFromPeers(version);
     std::vector<std::string> members;
     for (const model::Host& host : m_hosts.Hosts(model::HostRole::kTarget)) {
       if (host.pool() == m_options.m_pool)
         members.push_back(host.name());
     }
-    const bool ours = decide::RendezvousChoice(members, kManifestNumber) ==
-                      m_options.m_self.m_name;
-    if (!text && (ours || tries > kManifestPatience)) {
+    const bool is_designated =
+        decide::RendezvousChoice(members, kManifestHashKey) ==
+        m_options.m_self.m_name;
+    if (!text && (is_designated || attempts > kManifestPeerAttempts)) {
       text = co_await m_origin.Get(version.m_manifest, kMaxManifest);
       if (text)
         m_counters.m_origin_bytes += text->size();
     }
     if (!text || Sha256(*text) != version.m_manifest_digest) {
-      if (tries > 2 * kManifestPatience) {
+      if (attempts > 2 * kManifestPeerAttempts) {
         co_return Failure{FailureCode::kCorrupt, "fetch manifest",
                           version.m_name,
                           "no manifest with the declared digest"};
       }
-      co_await Sleep(kManifestRetry);
+      co_await Sleep(kManifestRetryDelay);
       continue;
     }
     auto manifest = CatchFailure([&] { return model::ParseManifest(*text); });
     if (!manifest)
       co_return manifest.error();
-    if (manifest->whole() != version.m_digest) {
+    if (manifest->digest() != version.m_digest) {
       co_return Failure{FailureCode::kCorrupt, "check manifest", version.m_name,
                         "it is of another version"};
     }
-    auto begun = CatchFailure([&] { return m_store.Begin(*manifest, *text); });
-    if (!begun)
-      co_return begun.error();
+    auto stored =
+        CatchFailure([&] { return m_store.Reserve(*manifest, *text); });
+    if (!stored)
+      co_return stored.error();
     co_return *manifest;
   }
 }
--- a/src/libverbenalead/decide/call_policy.cc
+++ b/src/libverbenalead/decide/call_policy.cc
@@ -5,28 +5,32 @@
 namespace verbenalead::decide {
 namespace {
 
-/// Sends of one call, those that were turned away included.
-constexpr uint32_t kMostSends = 4;
-/// For the network both ways, 8 ms, and what is queued on the links.
+/// Limit of attempts that are sent for one call, including those that were
+/// rejected.
+constexpr uint32_t kMaxAttemptsSent = 4;
+/// Allowance for the network, 8 ms for both directions, and for queues on the
+/// links.
 constexpr Duration kFirstEventSlack = 40ms;
-/// A call waits for the pass that runs when it comes, and its first event is
-/// written by the next one. Reckoned with one pass, calls were placed that came
-/// late, and took the places of others.
+/// Engine passes until the first event: a call waits for the pass that runs
+/// when it arrives, and the next one writes its first event. Estimates with one
+/// pass placed calls that were late, and these took slots of other calls.
 constexpr int kPassesToFirstEvent = 2;
-/// Part of a plain call's objective that its work takes.
-constexpr double kPlainWorkShare = 0.5;
-/// Callers whose time differs by no more than this part may all be at their
-/// first try.
-constexpr double kFirstTryShare = 0.8;
-/// Wait of calls that can't be on time any more.
+/// Share of the latency objective that the work of a call takes if its service
+/// runs no model.
+constexpr double kWorkShareWithoutModel = 0.5;
+/// Callers that have at least this share of the longest remaining time may all
+/// be at their first attempt.
+constexpr double kFirstAttemptShare = 0.8;
+/// Wait limit of calls that can no longer be on time.
 constexpr Duration kLateWait = 250ms;
 
-/// By then whoever looks after the request has been asked.
-constexpr Duration kCrashesRetryAfter = 60s;
+/// Retry delay of a request that crashed replicas: long enough for the owner of
+/// the request to be informed.
+constexpr Duration kRetryAfterCrashes = 60s;
 
-Duration Draw(Duration least, Duration most, std::mt19937_64& random) {
-  return Duration(std::uniform_int_distribution<int64_t>(least.count(),
-                                                         most.count())(random));
+Duration RandomDuration(Duration min, Duration max, std::mt19937_64& random) {
+  return Duration(
+      std::uniform_int_distribution<int64_t>(min.count(), max.count())(random));
 }
 
 Duration PrefillTime(const model::EngineProfile& engine, uint64_t tokens) {
@@ -36,7 +40,7 @@
       static_cast<double>(tokens) / engine.m_prefill_rate));
 }
 
-/// Time from a free place to the first event at a replica that is busy.
+/// Time from acquiring a slot at a busy replica to the first event.
 Duration FirstEventTime(const model::EngineProfile& engine,
                         const model::InboundCall& call) {
   const Duration pass = engine.m_step * std::max<uint32_t>(1, engine.m_stride);
@@ -46,7 +50,7 @@
 
 }  // namespace
 
-bool MayRunAgain(const CallProgress& progress) {
+bool IsRerunSafe(const CallProgress& progress) {
   switch (progress.m_kind) {
     case model::CallKind::kIdempotent:
       return true;
@@ -58,45 +62,48 @@
   return false;
 }
 
-bool MayTryAgain(const CallProgress& progress, AttemptEnd end) {
-  if (progress.m_sent >= kMostSends)
+bool MayRetry(const CallProgress& progress, AttemptEnd end) {
+  if (progress.m_sent_attempts >= kMaxAttemptsSent)
     return false;
-  if (progress.m_runs == 0)
-    return end == AttemptEnd::kNotRun || end == AttemptEnd::kWrongHost ||
+  if (progress.m_possible_runs == 0)
+    return end == AttemptEnd::kNotRun || end == AttemptEnd::kWrongReplica ||
            end == AttemptEnd::kUnreachable;
-  return MayRunAgain(progress) && progress.m_runs < progress.m_max_attempts &&
+  return IsRerunSafe(progress) &&
+         progress.m_possible_runs < progress.m_max_attempts &&
          end != AttemptEnd::kGood && end != AttemptEnd::kAbandoned;
 }
 
-Duration KnownElapsed(Duration longest, Duration left) {
-  const auto least =
-      std::chrono::duration_cast<Duration>(longest * kFirstTryShare);
-  return left >= least ? Duration() : longest - left;
+Duration MinElapsed(Duration longest, Duration left) {
+  const auto first_attempt_left =
+      std::chrono::duration_cast<Duration>(longest * kFirstAttemptShare);
+  return left >= first_attempt_left ? Duration() : longest - left;
 }
 
-Patience PatienceFor(const model::Route& route,
-                     const model::EngineProfile* engine,
-                     const model::InboundCall& call,
-                     Duration elapsed,
-                     double share) {
-  const Duration needed = engine ? FirstEventTime(*engine, call)
-                                 : std::chrono::duration_cast<Duration>(
-                                       route.m_objective * kPlainWorkShare);
-  const Duration most = route.m_objective - elapsed - needed;
-  if (most <= Duration() && elapsed > Duration())
+WaitLimit WaitLimitFor(const model::Route& route,
+                       const model::EngineProfile* engine,
+                       const model::InboundCall& call,
+                       Duration elapsed,
+                       double share) {
+  const Duration needed = engine
+                              ? FirstEventTime(*engine, call)
+                              : std::chrono::duration_cast<Duration>(
+                                    route.m_objective * kWorkShareWithoutModel);
+  const Duration slack = route.m_objective - elapsed - needed;
+  if (slack <= Duration() && elapsed > Duration())
     return {kLateWait, false, Duration()};
   const auto wait =
-      std::chrono::duration_cast<Duration>(std::max(most, Duration()) * share);
+      std::chrono::duration_cast<Duration>(std::max(slack, Duration()) * share);
   const Duration reading =
       engine ? PrefillTime(*engine, call.m_prompt_tokens) : Duration();
   return {wait, true, wait + reading};
 }
 
-Duration RunTime(const model::EngineProfile& engine,
-                 const model::InboundCall& call) {
+Duration ExpectedRunTime(const model::EngineProfile& engine,
+                         const model::InboundCall& call) {
   if (call.m_output_tokens == 0)
     return Duration();
-  // Prompts of others are read between its tokens for as long again.
+  // Prompts of other calls are read between the tokens of this call and take as
+  // long as the tokens themselves, hence the factor of two.
   return PrefillTime(engine, call.m_prompt_tokens) +
          2 * engine.m_step * call.m_output_tokens;
 }
@@ -118,33 +125,33 @@
 Duration RetryAfter(Refusal refusal, std::mt19937_64& random) {
   switch (refusal) {
     case Refusal::kNotReady:
-      // Another entry answers at once.
-      return Draw(100ms, 400ms, random);
+      // Another entry can serve the call at once.
+      return RandomDuration(100ms, 400ms, random);
     case Refusal::kNoReplica:
-      // Replicas restart or load for some seconds; callers that ask again
-      // earlier only use up their tries.
-      return Draw(1500ms, 2500ms, random);
+      // Replicas restart or load weights for several seconds; a caller that
+      // retries earlier only uses up its attempts.
+      return RandomDuration(1500ms, 2500ms, random);
     case Refusal::kFull:
-      // A pool that is full now is full for the next second or two: while many
-      // come at once, or replicas load. A caller that comes back sooner finds
-      // the same queue and has used up its try.
-      return Draw(800ms, 1900ms, random);
+      // A full pool stays full for a second or two, while many calls arrive at
+      // once or replicas load weights. A caller that retries sooner finds the
+      // same queue and has used up its retry.
+      return RandomDuration(800ms, 1900ms, random);
     case Refusal::kCrashes:
-      return kCrashesRetryAfter;
+      return kRetryAfterCrashes;
   }
   return 1s;
 }
 
-void PrepareRepeat(PoolCall& call, double prefill_rate, TimePoint now) {
-  if (call.m_read_by == TimePoint::max() || prefill_rate <= 0)
+void PrepareRetry(PoolCall& call, double prefill_rate, TimePoint now) {
+  if (call.m_read_deadline == TimePoint::max() || prefill_rate <= 0)
     return;
   const auto reading =
       std::chrono::duration_cast<Duration>(std::chrono::duration<double>(
           static_cast<double>(call.m_prompt_tokens) / prefill_rate));
-  if (now + reading < call.m_read_by)
+  if (now + reading < call.m_read_deadline)
     return;
-  call.m_fresh = false;
-  call.m_read_by = TimePoint::max();
+  call.m_can_be_on_time = false;
+  call.m_read_deadline = TimePoint::max();
 }
 
 }  // namespace verbenalead::decide
--- a/src/libverbenalead/decide/chunk_buckets.h
+++ b/src/libverbenalead/decide/chunk_buckets.h
@@ -6,8 +6,8 @@
 
 namespace verbenalead::decide {
 
-/// Chunks sorted by how many copies are known, so that the rarest is found
-/// without a look at all. Insert and erase cost O(1).
+/// Chunks grouped by the number of copies that are known, so that the rarest
+/// one is found without scanning all chunks. Insert and erase cost O(1).
 class ChunkBuckets {
  public:
   static constexpr uint32_t kMaxCopies = 64;
@@ -16,10 +16,12 @@
   explicit ChunkBuckets(uint32_t chunk_count)
       : m_buckets(kMaxCopies + 1),
         m_copies(chunk_count),
-        m_places(chunk_count, kNowhere) {}
+        m_positions(chunk_count, kNotContained) {}
 
-  bool Contains(uint32_t chunk) const { return m_places[chunk] != kNowhere; }
-  /// Puts `chunk` under `copies`, from wherever it was.
+  bool Contains(uint32_t chunk) const {
+    return m_positions[chunk] != kNotContained;
+  }
+  /// Moves `chunk` to the bucket of `copies`, whether or not it was in one.
   void Put(uint32_t chunk, uint32_t copies);
   void Erase(uint32_t chunk);
   const std::vector<uint32_t>& Bucket(uint32_t copies) const {
@@ -27,11 +29,11 @@
   }
 
  private:
-  static constexpr uint32_t kNowhere = ~uint32_t{0};
+  static constexpr uint32_t kNotContained = ~uint32_t{0};
 
   std::vector<std::vector<uint32_t>> m_buckets;
   std::vector<uint8_t> m_copies;
-  std::vector<uint32_t> m_places;
+  std::vector<uint32_t> m_positions;
 };
 
 }  // namespace verbenalead::decide
--- a/src/libverbenalead/decide/config.cc
+++ b/src/libverbenalead/decide/config.cc
@@ -28,9 +28,9 @@
 
 ApplyResult Apply(ConfigState& state, const model::Change& change) {
   if (change.m_revision <= state.m_revision)
-    return ApplyResult::kOld;
+    return ApplyResult::kAlreadyApplied;
   if (change.m_revision != state.m_revision + 1)
-    return ApplyResult::kGap;
+    return ApplyResult::kMissingRevision;
   if (change.m_deleted) {
     state.m_resources.erase(change.m_key);
   } else {
@@ -94,8 +94,10 @@
     BOOST_LEAF_AUTO(revision, model::NumberField(resource, "revision"));
     BOOST_LEAF_AUTO(spec, model::TextField(resource, "spec"));
     BOOST_LEAF_AUTO(operation, model::TextFieldOr(resource, "operation", ""));
-    BOOST_LEAF_AUTO(who, model::TextFieldOr(resource, "operator", ""));
-    state.m_resources[{kind, name}] = {spec, revision, operation, who};
+    BOOST_LEAF_AUTO(operator_name,
+                    model::TextFieldOr(resource, "operator", ""));
+    state.m_resources[{kind, name}] = {spec, revision, operation,
+                                       operator_name};
   }
   return state;
 }
--- a/src/libverbenalead/decide/digest_readers.cc
+++ b/src/libverbenalead/decide/digest_read_order.cc
@@ -1,4 +1,4 @@
-#include "decide/digest_readers.h"
+#include "decide/digest_read_order.h"
 
 #include <algorithm>
 #include <utility>
@@ -8,13 +8,13 @@
 namespace verbenalead::decide {
 namespace {
 
-/// The wait of those that come right after the first ones.
-constexpr Duration kFirstPatience = 1s;
+/// Delay of the hosts that follow directly after the first kDigestReaders.
+constexpr Duration kFirstDelay = 1s;
 
 }  // namespace
 
-std::vector<std::string> DigestOrder(std::vector<std::string> hosts,
-                                     uint64_t version) {
+std::vector<std::string> DigestReadOrder(std::vector<std::string> hosts,
+                                         uint64_t version) {
   std::sort(hosts.begin(), hosts.end());
   hosts.erase(std::unique(hosts.begin(), hosts.end()), hosts.end());
   std::stable_sort(hosts.begin(), hosts.end(),
@@ -24,14 +24,14 @@
   return hosts;
 }
 
-Duration DigestPatience(size_t place) {
-  Duration patience{};
-  Duration next = kFirstPatience;
-  for (size_t asking = kDigestReaders; asking <= place; asking *= 2) {
-    patience += next;
-    next *= 2;
+Duration DigestReadDelay(size_t position) {
+  Duration delay{};
+  Duration step = kFirstDelay;
+  for (size_t readers = kDigestReaders; readers <= position; readers *= 2) {
+    delay += step;
+    step *= 2;
   }
-  return patience;
+  return delay;
 }
 
 }  // namespace verbenalead::decide
--- /dev/null
+++ b/src/libverbenalead/decide/digest_read_order_test.cc
@@ -0,0 +1,53 @@
+#include "decide/digest_read_order.h"
+
+#include <cppunit/extensions/HelperMacros.h>
+
+#include <set>
+
+namespace verbenalead::decide {
+namespace {
+
+std::vector<std::string> Hosts(size_t count) {
+  std::vector<std::string> hosts;
+  for (size_t i = 0; i < count; ++i)
+    hosts.push_back("host-" + std::to_string(i));
+  return hosts;
+}
+
+class DigestReadOrderTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(DigestReadOrderTest);
+  CPPUNIT_TEST(AllHostsAgreeOnTheOrder);
+  CPPUNIT_TEST(FewHostsReadFromAReturnedOrigin);
+  CPPUNIT_TEST_SUITE_END();
+
+ public:
+  void AllHostsAgreeOnTheOrder() {
+    std::vector<std::string> reversed = Hosts(20);
+    std::reverse(reversed.begin(), reversed.end());
+    CPPUNIT_ASSERT(DigestReadOrder(Hosts(20), 3) ==
+                   DigestReadOrder(reversed, 3));
+    std::set<std::string> first;
+    for (uint64_t version = 0; version < 40; ++version)
+      first.insert(DigestReadOrder(Hosts(20), version).front());
+    // Different versions have different first hosts.
+    CPPUNIT_ASSERT(first.size() > 10);
+  }
+
+  // Guards against first chunks of new weights that arrive one second late: the
+  // origin was unreachable for 6 s, and all hosts request the digests when it
+  // returns.
+  void FewHostsReadFromAReturnedOrigin() {
+    size_t readers = 0;
+    for (size_t position = 0; position < 300; ++position)
+      readers += DigestReadDelay(position) <= Duration(6s);
+    CPPUNIT_ASSERT(readers > kDigestReaders);
+    CPPUNIT_ASSERT(readers <= 20);
+    CPPUNIT_ASSERT(DigestReadDelay(kDigestReaders - 1) == Duration());
+    CPPUNIT_ASSERT(DigestReadDelay(kDigestReaders) == Duration(1s));
+  }
+};
+
+CPPUNIT_TEST_SUITE_REGISTRATION(DigestReadOrderTest);
+
+}  // namespace
+}  // namespace verbenalead::decide
--- a/src/libverbenalead/decide/earliest_write_test.cc
+++ b/src/libverbenalead/decide/earliest_write_test.cc
@@ -5,47 +5,52 @@
 namespace verbenalead::decide {
 namespace {
 
-class EarliestWriteTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(EarliestWriteTest);
-  CPPUNIT_TEST(AQuestionThatWasOpenDatesTheRow);
-  CPPUNIT_TEST(TimeWithoutAQuestionMayBeTheRowsAge);
-  CPPUNIT_TEST(ARowIsYoungerThanTheLastProof);
-  CPPUNIT_TEST(AnOutageIsNoAge);
+class EarliestWriteTimeTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(EarliestWriteTimeTest);
+  CPPUNIT_TEST(OpenQueryDatesTheRow);
+  CPPUNIT_TEST(TimeWithoutQueryAddsToTheRowsAge);
+  CPPUNIT_TEST(RowIsYoungerThanTheLastProof);
+  CPPUNIT_TEST(OutageDoesNotAddToTheRowsAge);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void AQuestionThatWasOpenDatesTheRow() {
-    CPPUNIT_ASSERT(EarliestWrite(10s, 11s, Duration(10s)) == Duration(11s));
-    CPPUNIT_ASSERT(EarliestWrite(10s, 11s, std::nullopt) == Duration(11s));
+  void OpenQueryDatesTheRow() {
+    CPPUNIT_ASSERT(EarliestWriteTime(10s, 11s, Duration(10s)) == Duration(11s));
+    CPPUNIT_ASSERT(EarliestWriteTime(10s, 11s, std::nullopt) == Duration(11s));
   }
 
-  // Calls begin on older weights after their bound: a large configuration took
-  // a second to come, and new weights were declared meanwhile. The
-  // next question brought them, and their bound was counted from its answer.
-  void TimeWithoutAQuestionMayBeTheRowsAge() {
+  // Guards against calls that begin on older weights after the deadline of a
+  // declaration. A large configuration took a second to transfer, and new
+  // weights were declared meanwhile. The next query returned them, and their
+  // deadline was counted from its answer.
+  void TimeWithoutQueryAddsToTheRowsAge() {
     const Duration proved = 10s;
-    const Duration asked = 11s;
-    CPPUNIT_ASSERT(EarliestWrite(asked, 11005ms, proved) == Duration(10005ms));
+    const Duration requested_at = 11s;
+    CPPUNIT_ASSERT(EarliestWriteTime(requested_at, 11005ms, proved) ==
+                   Duration(10005ms));
   }
 
-  void ARowIsYoungerThanTheLastProof() {
-    CPPUNIT_ASSERT(EarliestWrite(12s, 10500ms, Duration(10s)) == Duration(10s));
-    // A neighbour proved it while the question was open.
-    CPPUNIT_ASSERT(EarliestWrite(10s, 12s, Duration(11s)) == Duration(12s));
+  void RowIsYoungerThanTheLastProof() {
+    CPPUNIT_ASSERT(EarliestWriteTime(12s, 10500ms, Duration(10s)) ==
+                   Duration(10s));
+    // The store confirmed to another entry, while the query was open, that
+    // there was nothing newer.
+    CPPUNIT_ASSERT(EarliestWriteTime(10s, 12s, Duration(11s)) == Duration(12s));
   }
 
-  // Callers find no replica for five seconds: the store was away for eight, and
-  // the weights that were declared meanwhile barred the older ones as soon as
-  // they were heard of, when no host had them yet.
-  void AnOutageIsNoAge() {
-    CPPUNIT_ASSERT(EarliestWrite(18s, 18005ms, Duration(10s)) ==
+  // Guards against five seconds without a usable replica. The store was
+  // unavailable for eight seconds. The weights that were declared meanwhile
+  // forbade the older ones as soon as entries read the declaration, when no
+  // host had the new weights yet.
+  void OutageDoesNotAddToTheRowsAge() {
+    CPPUNIT_ASSERT(EarliestWriteTime(18s, 18005ms, Duration(10s)) ==
                    Duration(18005ms));
-    CPPUNIT_ASSERT(EarliestWrite(13s, 13005ms, Duration(10s)) ==
+    CPPUNIT_ASSERT(EarliestWriteTime(13s, 13005ms, Duration(10s)) ==
                    Duration(10005ms));
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(EarliestWriteTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(EarliestWriteTimeTest);
 
 }  // namespace
 }  // namespace verbenalead::decide
--- a/src/libverbenalead/decide/gate_test.cc
+++ b/src/libverbenalead/decide/gate_test.cc
@@ -20,76 +20,76 @@
 
 class GateTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(GateTest);
-  CPPUNIT_TEST(RefusesWhatItMustNotRun);
-  CPPUNIT_TEST(VoidBeatsALateMessage);
-  CPPUNIT_TEST(StartedCannotBeMadeVoid);
-  CPPUNIT_TEST(AnswerAcrossALoadIsNotPassed);
-  CPPUNIT_TEST(ForgetsOnlyWhatHasEnded);
+  CPPUNIT_TEST(RefusesAttemptsThatMustNotRun);
+  CPPUNIT_TEST(VoidAttemptRefusesLateMessage);
+  CPPUNIT_TEST(StartedAttemptCannotBeMadeVoid);
+  CPPUNIT_TEST(WithholdsAnswerAcrossLoad);
+  CPPUNIT_TEST(ErasesOnlyInactiveAttempts);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void RefusesWhatItMustNotRun() {
+  void RefusesAttemptsThatMustNotRun() {
     GateState gate = OpenGate(kOld);
-    CPPUNIT_ASSERT(Enter(gate, {"a", 1}, 6, kOld, kStart) ==
-                   EnterResult::kWrongIncarnation);
-    CPPUNIT_ASSERT(Enter(gate, {"a", 1}, kIncarnation, kNew, kStart) ==
-                   EnterResult::kWrongVersion);
-    CPPUNIT_ASSERT(Enter(gate, {"a", 1}, kIncarnation, kOld, kStart) ==
-                   EnterResult::kEntered);
-    CPPUNIT_ASSERT(Enter(gate, {"a", 1}, kIncarnation, kOld, kStart) ==
-                   EnterResult::kRepeated);
-    CPPUNIT_ASSERT(Enter(gate, {"b", 1}, kIncarnation, {}, kStart) ==
-                   EnterResult::kEntered);
-    CPPUNIT_ASSERT(Enter(gate, {"c", 1}, kIncarnation, {}, kStart) ==
-                   EnterResult::kFull);
-    Leave(gate, {"b", 1}, kStart);
+    CPPUNIT_ASSERT(Admit(gate, {"a", 1}, 6, kOld, kStart) ==
+                   AdmitResult::kWrongIncarnation);
+    CPPUNIT_ASSERT(Admit(gate, {"a", 1}, kIncarnation, kNew, kStart) ==
+                   AdmitResult::kWrongVersion);
+    CPPUNIT_ASSERT(Admit(gate, {"a", 1}, kIncarnation, kOld, kStart) ==
+                   AdmitResult::kAdmitted);
+    CPPUNIT_ASSERT(Admit(gate, {"a", 1}, kIncarnation, kOld, kStart) ==
+                   AdmitResult::kDuplicate);
+    CPPUNIT_ASSERT(Admit(gate, {"b", 1}, kIncarnation, {}, kStart) ==
+                   AdmitResult::kAdmitted);
+    CPPUNIT_ASSERT(Admit(gate, {"c", 1}, kIncarnation, {}, kStart) ==
+                   AdmitResult::kFull);
+    EndAttempt(gate, {"b", 1}, kStart);
     gate.m_leaving = true;
-    CPPUNIT_ASSERT(Enter(gate, {"d", 1}, kIncarnation, {}, kStart) ==
-                   EnterResult::kLeaving);
+    CPPUNIT_ASSERT(Admit(gate, {"d", 1}, kIncarnation, {}, kStart) ==
+                   AdmitResult::kLeaving);
   }
 
-  // The caller is told "not run" and calls again elsewhere.
-  // The connection that carried the attempt goes silent; the entry makes the
-  // attempt void over a new one; then the first message comes after all.
-  // Were it run now, the work would run twice.
-  void VoidBeatsALateMessage() {
+  // Guards against running a call twice. The connection that carried the
+  // attempt stops responding, the entry makes the attempt void over a new
+  // connection, and the caller receives "not run" and calls again. Then the
+  // first message arrives late and has to be refused.
+  void VoidAttemptRefusesLateMessage() {
     GateState gate = OpenGate(kOld);
     CPPUNIT_ASSERT(VoidAttempt(gate, {"a", 1}, kStart) ==
                    VoidResult::kNeverStarted);
-    CPPUNIT_ASSERT(Enter(gate, {"a", 1}, kIncarnation, kOld, kStart) ==
-                   EnterResult::kVoid);
+    CPPUNIT_ASSERT(Admit(gate, {"a", 1}, kIncarnation, kOld, kStart) ==
+                   AdmitResult::kVoid);
     CPPUNIT_ASSERT_EQUAL(uint32_t{0}, gate.m_running);
   }
 
-  void StartedCannotBeMadeVoid() {
+  void StartedAttemptCannotBeMadeVoid() {
     GateState gate = OpenGate(kOld);
-    Enter(gate, {"a", 1}, kIncarnation, kOld, kStart);
+    Admit(gate, {"a", 1}, kIncarnation, kOld, kStart);
     CPPUNIT_ASSERT(VoidAttempt(gate, {"a", 1}, kStart) == VoidResult::kStarted);
-    Leave(gate, {"a", 1}, kStart);
+    EndAttempt(gate, {"a", 1}, kStart);
     CPPUNIT_ASSERT(VoidAttempt(gate, {"a", 1}, kStart) == VoidResult::kStarted);
   }
 
-  // The caller gets no answer from mixed weights.
-  // An answer begins under the old version; the gate opens for the new one;
-  // the engine goes on sending. Its pieces belong to neither version whole.
-  void AnswerAcrossALoadIsNotPassed() {
+  // Guards against forwarding an answer computed with mixed weights. An answer
+  // begins under the old version, the gate opens for the new one, and the
+  // engine continues to send. The complete answer belongs to neither version.
+  void WithholdsAnswerAcrossLoad() {
     GateState gate = OpenGate(kOld);
     const uint64_t generation = gate.m_generation;
-    CPPUNIT_ASSERT(MayPass(gate, generation, kOld));
-    CPPUNIT_ASSERT(!MayPass(gate, generation, kNew));
+    CPPUNIT_ASSERT(MayForward(gate, generation, kOld));
+    CPPUNIT_ASSERT(!MayForward(gate, generation, kNew));
     Shut(gate);
     Open(gate, kNew);
-    CPPUNIT_ASSERT(!MayPass(gate, generation, kOld));
-    CPPUNIT_ASSERT(!MayPass(gate, generation, kNew));
+    CPPUNIT_ASSERT(!MayForward(gate, generation, kOld));
+    CPPUNIT_ASSERT(!MayForward(gate, generation, kNew));
   }
 
-  void ForgetsOnlyWhatHasEnded() {
+  void ErasesOnlyInactiveAttempts() {
     GateState gate = OpenGate(kOld);
-    Enter(gate, {"running", 1}, kIncarnation, kOld, kStart);
+    Admit(gate, {"running", 1}, kIncarnation, kOld, kStart);
     VoidAttempt(gate, {"void", 1}, kStart);
-    Forget(gate, kStart + kRemember);
+    EraseOldAttempts(gate, kStart + kAttemptRetention);
     CPPUNIT_ASSERT_EQUAL(size_t{2}, gate.m_attempts.size());
-    Forget(gate, kStart + kRemember + 1s);
+    EraseOldAttempts(gate, kStart + kAttemptRetention + 1s);
     CPPUNIT_ASSERT_EQUAL(size_t{1}, gate.m_attempts.size());
   }
 };
--- a/src/libverbenalead/decide/hedge_test.cc
+++ b/src/libverbenalead/decide/hedge_test.cc
@@ -23,51 +23,54 @@
 
 class HedgeTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(HedgeTest);
-  CPPUNIT_TEST(AnotherReplicaIsAskedBeforeCallersLeave);
-  CPPUNIT_TEST(NoneIsAskedWhereTheCallMayNotRunThere);
-  CPPUNIT_TEST(BothTogetherRunNoMoreOftenThanTheRouteAllows);
+  CPPUNIT_TEST(HedgesBeforeCallersLeave);
+  CPPUNIT_TEST(DoesNotHedgeIfTheCallMayNotRunAgain);
+  CPPUNIT_TEST(RunsStayWithinTheRoutesLimit);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void AnotherReplicaIsAskedBeforeCallersLeave() {
+  void HedgesBeforeCallersLeave() {
     const model::Route route = MakeRoute(model::CallKind::kStream);
     CallProgress progress = StreamProgress();
-    CPPUNIT_ASSERT(SilenceBeforeHedge(progress, route) < Duration(2s));
-    progress.m_sent = progress.m_runs = 1;
-    progress.m_begun = true;
-    CPPUNIT_ASSERT(SilenceBeforeHedge(progress, route) < Duration(2s));
-    CPPUNIT_ASSERT(SilenceBeforeHedge(progress, route) > Duration(500ms));
+    CPPUNIT_ASSERT(HedgeDelay(progress, route) < Duration(2s));
+    progress.m_sent_attempts = progress.m_possible_runs = 1;
+    progress.m_answer_begun = true;
+    CPPUNIT_ASSERT(HedgeDelay(progress, route) < Duration(2s));
+    CPPUNIT_ASSERT(HedgeDelay(progress, route) > Duration(500ms));
   }
 
-  void NoneIsAskedWhereTheCallMayNotRunThere() {
+  void DoesNotHedgeIfTheCallMayNotRunAgain() {
     CallProgress once;
     once.m_max_attempts = 3;
-    CPPUNIT_ASSERT(
-        !SilenceBeforeHedge(once, MakeRoute(model::CallKind::kAtMostOnce)));
+    CPPUNIT_ASSERT(!HedgeDelay(once, MakeRoute(model::CallKind::kAtMostOnce)));
     const model::Route route = MakeRoute(model::CallKind::kStream);
     CallProgress progress = StreamProgress();
     progress.m_resumable = false;
-    CPPUNIT_ASSERT(!SilenceBeforeHedge(progress, route));
-    // It has run once, and is on its way to its last replica.
+    CPPUNIT_ASSERT(!HedgeDelay(progress, route));
+    // The first attempt may have run, and the second is being sent. The call
+    // may run only twice, so no run is left for a hedge.
     progress = StreamProgress();
-    progress.m_sent = progress.m_runs = 1;
-    CPPUNIT_ASSERT(!SilenceBeforeHedge(progress, route));
+    progress.m_sent_attempts = progress.m_possible_runs = 1;
+    CPPUNIT_ASSERT(!HedgeDelay(progress, route));
   }
 
-  void BothTogetherRunNoMoreOftenThanTheRouteAllows() {
+  void RunsStayWithinTheRoutesLimit() {
     const bool held = rc::check("runs", [] {
       CallProgress progress;
       progress.m_kind = *rc::gen::element(model::CallKind::kStream,
                                           model::CallKind::kIdempotent);
       progress.m_resumable = true;
       progress.m_max_attempts = *rc::gen::inRange<uint32_t>(1, 4);
-      progress.m_begun = *rc::gen::arbitrary<bool>();
-      progress.m_runs = *rc::gen::inRange<uint32_t>(progress.m_begun, 5);
-      progress.m_sent = progress.m_runs + *rc::gen::inRange<uint32_t>(0, 5);
-      const uint32_t first = progress.m_begun ? 0 : 1;
-      if (SilenceBeforeHedge(progress, MakeRoute(progress.m_kind))) {
-        RC_ASSERT(progress.m_runs + first + 1 <= progress.m_max_attempts);
-        RC_ASSERT(progress.m_sent + first + 1 <= 4u);
+      progress.m_answer_begun = *rc::gen::arbitrary<bool>();
+      progress.m_possible_runs =
+          *rc::gen::inRange<uint32_t>(progress.m_answer_begun, 5);
+      progress.m_sent_attempts =
+          progress.m_possible_runs + *rc::gen::inRange<uint32_t>(0, 5);
+      const uint32_t first = progress.m_answer_begun ? 0 : 1;
+      if (HedgeDelay(progress, MakeRoute(progress.m_kind))) {
+        RC_ASSERT(progress.m_possible_runs + first + 1 <=
+                  progress.m_max_attempts);
+        RC_ASSERT(progress.m_sent_attempts + first + 1 <= 4u);
       }
     });
     CPPUNIT_ASSERT(held);
--- a/src/libverbenalead/decide/permit_board.cc
+++ b/src/libverbenalead/decide/load_permits.cc
@@ -1,4 +1,4 @@
-#include "decide/permit_board.h"
+#include "decide/load_permits.h"
 
 #include <boost/json.hpp>
 
@@ -9,8 +9,8 @@
 
 namespace json = boost::json;
 
-Result<Permit> ReadPermit(const json::object& object) {
-  Permit permit;
+Result<LoadPermit> ReadPermit(const json::object& object) {
+  LoadPermit permit;
   BOOST_LEAF_AUTO(digest, model::TextField(object, "digest"));
   BOOST_LEAF_ASSIGN(permit.m_digest, ParseDigest(digest));
   BOOST_LEAF_ASSIGN(permit.m_plan, model::NumberField(object, "plan"));
@@ -24,9 +24,9 @@
 
 }  // namespace
 
-std::string ToJson(const PermitBoard& board) {
+std::string ToJson(const LoadPermits& permits) {
   json::object out;
-  for (const auto& [host, permit] : board.m_permits) {
+  for (const auto& [host, permit] : permits.m_permits) {
     out[host] = json::object{{"digest", ToString(permit.m_digest)},
                              {"plan", permit.m_plan},
                              {"owner", permit.m_owner},
@@ -37,17 +37,17 @@
   return json::serialize(out);
 }
 
-Result<PermitBoard> ParsePermitBoard(std::string_view text, uint64_t revision) {
+Result<LoadPermits> ParseLoadPermits(std::string_view text, uint64_t revision) {
   BOOST_LEAF_AUTO(object, model::ParseObject(text, "permits"));
-  PermitBoard board;
-  board.m_revision = revision;
+  LoadPermits permits;
+  permits.m_revision = revision;
   for (const auto& item : object) {
     if (!item.value().is_object())
       return model::BadField(item.key(), "a permit");
     BOOST_LEAF_AUTO(permit, ReadPermit(item.value().get_object()));
-    board.m_permits[item.key()] = std::move(permit);
+    permits.m_permits[item.key()] = std::move(permit);
   }
-  return board;
+  return permits;
 }
 
 }  // namespace verbenalead::decide
--- a/src/libverbenalead/decide/load_plan.cc
+++ b/src/libverbenalead/decide/load_plan.cc
@@ -5,32 +5,34 @@
 namespace verbenalead::decide {
 namespace {
 
-/// A version is skipped for a newer one only if all replicas can load that
-/// within no less than this: each is out of service for a second, so that in
-/// less than two more than half of them would be. For the same reason one that
-/// would serve for less than this isn't loaded at all.
-constexpr Duration kLeastWindow = 2s;
-/// The first hosts have a version whole after this part of the time that it
-/// takes to all.
-constexpr double kFirstWhole = 0.85;
+/// A version is skipped for a newer one only if all replicas can load the newer
+/// one within a window of at least this length. Each replica is out of service
+/// for a second, so that within less than two seconds more than half of them
+/// would be out at once. For the same reason, a version that would serve for
+/// less than this is not loaded at all.
+constexpr Duration kMinLoadWindow = 2s;
+/// Share of the transfer time to all hosts after which the first hosts have the
+/// complete version.
+constexpr double kFirstCompleteShare = 0.85;
 
-/// Nearly all streams end within the longest drain, half within the shortest.
-constexpr Duration kLongestDrain = 1500ms;
-constexpr Duration kShortestDrain = 550ms;
-/// With so many places taken, those that are left take the calls that replicas
-/// turn away while they drain.
-constexpr double kRoomForDrains = 0.8;
+/// Nearly all streams end within the longest drain time, half of them within
+/// the shortest.
+constexpr Duration kMaxDrainTime = 1500ms;
+constexpr Duration kMinDrainTime = 550ms;
+/// Share of occupied slots up to which the free ones can take the calls that
+/// draining replicas no longer accept.
+constexpr double kMaxFullnessForFullDrain = 0.8;
 
-/// Whether the version at `candidate` would come so late that a newer one bars
-/// it soon after.
-bool IsBarredSoon(
+/// Whether the version at `candidate` would arrive too late to be loaded: a
+/// newer one becomes binding within kMinLoadWindow after its arrival.
+bool IsUnusableSoon(
     const LoadTimes& times,
     const std::map<uint64_t, DeclaredVersion>& declared,
     std::map<uint64_t, DeclaredVersion>::const_iterator candidate) {
   return std::any_of(std::next(candidate), declared.end(),
                      [&](const auto& newer) {
                        return newer.second.m_declared + times.m_bound <
-                              candidate->second.m_here + kLeastWindow;
+                              candidate->second.m_complete_at + kMinLoadWindow;
                      });
 }
 
@@ -43,43 +45,45 @@
   auto oldest = declared.upper_bound(loaded);
   if (oldest == declared.end())
     return std::nullopt;
-  while (IsBarredSoon(times, declared, oldest))
+  while (IsUnusableSoon(times, declared, oldest))
     ++oldest;
-  TimePoint binds = TimePoint::max();
+  TimePoint binding_at = TimePoint::max();
   for (auto version = oldest; version != declared.end(); ++version)
-    binds = std::min(binds, version->second.m_declared + times.m_bound);
+    binding_at =
+        std::min(binding_at, version->second.m_declared + times.m_bound);
   auto chosen = oldest;
   for (auto version = oldest; version != declared.end(); ++version) {
-    if (version->second.m_here + kLeastWindow <= binds)
+    if (version->second.m_complete_at + kMinLoadWindow <= binding_at)
       chosen = version;
   }
   LoadPlan plan;
   plan.m_version = chosen->first;
-  plan.m_first = std::max(
-      chosen->second.m_here,
-      chosen->second.m_declared +
-          std::chrono::duration_cast<Duration>(times.m_transfer * kFirstWhole));
-  plan.m_last = std::max(plan.m_first, binds);
+  plan.m_first_load_at = std::max(
+      chosen->second.m_complete_at,
+      chosen->second.m_declared + std::chrono::duration_cast<Duration>(
+                                      times.m_transfer * kFirstCompleteShare));
+  plan.m_last_load_at = std::max(plan.m_first_load_at, binding_at);
   return plan;
 }
 
 Duration DrainTime(double fullness) {
-  const double room =
-      std::clamp((1 - fullness) / (1 - kRoomForDrains), 0.0, 1.0);
-  return kShortestDrain + std::chrono::duration_cast<Duration>(
-                              (kLongestDrain - kShortestDrain) * room);
+  const double spare_share =
+      std::clamp((1 - fullness) / (1 - kMaxFullnessForFullDrain), 0.0, 1.0);
+  return kMinDrainTime + std::chrono::duration_cast<Duration>(
+                             (kMaxDrainTime - kMinDrainTime) * spare_share);
 }
 
-TimePoint LoadTurn(const LoadPlan& plan,
-                   const std::string& replica,
-                   std::vector<std::string> replicas) {
+TimePoint ScheduledLoadTime(const LoadPlan& plan,
+                            const std::string& replica,
+                            std::vector<std::string> replicas) {
   std::sort(replicas.begin(), replicas.end());
   const auto found = std::find(replicas.begin(), replicas.end(), replica);
   if (found == replicas.end() || replicas.size() < 2)
-    return plan.m_first;
+    return plan.m_first_load_at;
   const auto rank = found - replicas.begin();
   const auto last = static_cast<std::ptrdiff_t>(replicas.size()) - 1;
-  return plan.m_first + (plan.m_last - plan.m_first) * rank / last;
+  return plan.m_first_load_at +
+         (plan.m_last_load_at - plan.m_first_load_at) * rank / last;
 }
 
 }  // namespace verbenalead::decide
--- a/src/libverbenalead/decide/load_plan_test.cc
+++ b/src/libverbenalead/decide/load_plan_test.cc
@@ -17,33 +17,35 @@
 
 class LoadPlanTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(LoadPlanTest);
-  CPPUNIT_TEST(NothingToDo);
-  CPPUNIT_TEST(TurnsFillTheTimeBetweenTransferAndBound);
+  CPPUNIT_TEST(NoPlanWithoutNewerVersion);
+  CPPUNIT_TEST(LoadsFillTimeBetweenTransferAndBound);
   CPPUNIT_TEST(FewReplicasAreOutAtOnce);
-  CPPUNIT_TEST(NoVersionIsSkippedForAStampede);
-  CPPUNIT_TEST(AVersionIsSkippedIfTheNewerComesInTime);
-  CPPUNIT_TEST(AnOlderVersionIsLoadedWhileTheOriginIsDown);
-  CPPUNIT_TEST(AVersionThatIsBarredSoonIsSkipped);
-  CPPUNIT_TEST(AFullPoolDrainsForLess);
-  CPPUNIT_TEST(EachReplicaHasItsOwnTurnBeforeTheBound);
+  CPPUNIT_TEST(NoVersionIsSkippedForShortLoadWindow);
+  CPPUNIT_TEST(VersionIsSkippedIfNewerArrivesInTime);
+  CPPUNIT_TEST(OlderVersionIsLoadedWhileOriginIsDown);
+  CPPUNIT_TEST(SoonUnusableVersionIsSkipped);
+  CPPUNIT_TEST(FullPoolDrainsForLessTime);
+  CPPUNIT_TEST(ReplicasLoadAtDistinctTimesBeforeBound);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void NothingToDo() {
+  void NoPlanWithoutNewerVersion() {
     CPPUNIT_ASSERT(!PlanLoad(kTimes, {}, 1));
     CPPUNIT_ASSERT(!PlanLoad(kTimes, {{2, Declared(0s, 3s)}}, 2));
   }
 
-  void TurnsFillTheTimeBetweenTransferAndBound() {
+  void LoadsFillTimeBetweenTransferAndBound() {
     const auto plan = PlanLoad(kTimes, {{2, Declared(0s, 3s)}}, 1);
     CPPUNIT_ASSERT_EQUAL(uint64_t{2}, plan->m_version);
-    CPPUNIT_ASSERT(plan->m_first == kStart + 3s);
-    CPPUNIT_ASSERT(plan->m_last == kStart + 7300ms);
+    CPPUNIT_ASSERT(plan->m_first_load_at == kStart + 3s);
+    CPPUNIT_ASSERT(plan->m_last_load_at == kStart + 7300ms);
   }
 
-  // 27 replicas load one after the other, each out of service for a second, at
-  // three quarters of what the pool can do. With turns over 2.8 s ten were out
-  // at once and half of the calls late; no more than seven may be.
+  // Guards against too many replicas being out of service at once: 27 replicas
+  // load one after the other, each out of service for a second, at three
+  // quarters of the capacity of the pool. When the loads began within 2.8 s,
+  // ten replicas were out of service at once and half of the calls were late.
+  // No more than seven may be out at once.
   void FewReplicasAreOutAtOnce() {
     constexpr size_t kReplicas = 27;
     constexpr size_t kMostOut = kReplicas / 4 + 1;
@@ -51,61 +53,64 @@
     for (size_t i = 0; i < kReplicas; ++i)
       replicas.push_back("r" + std::to_string(i));
     const auto plan = PlanLoad(kTimes, {{2, Declared(0s, 3300ms)}}, 1);
-    std::vector<TimePoint> turns;
+    std::vector<TimePoint> load_times;
     for (const std::string& replica : replicas)
-      turns.push_back(LoadTurn(*plan, replica, replicas));
-    for (const TimePoint turn : turns) {
-      const auto out = static_cast<size_t>(
-          std::count_if(turns.begin(), turns.end(), [turn](TimePoint other) {
-            return other <= turn && turn < other + 1s;
+      load_times.push_back(ScheduledLoadTime(*plan, replica, replicas));
+    for (const TimePoint load_time : load_times) {
+      const auto out = static_cast<size_t>(std::count_if(
+          load_times.begin(), load_times.end(), [load_time](TimePoint other) {
+            return other <= load_time && load_time < other + 1s;
           }));
       CPPUNIT_ASSERT(out <= kMostOut);
     }
   }
 
-  // Half of the replicas would stop at once: an older version is skipped for a
-  // newer one that comes whole just before the older one binds. It is loaded
-  // as well where less than two seconds would be left for the newer one.
-  void NoVersionIsSkippedForAStampede() {
+  // Guards against half of the replicas being out of service at once: an older
+  // version is skipped for a newer one that is complete only just before the
+  // older one becomes binding. The older one must also be loaded if less than
+  // two seconds would be left for the newer one.
+  void NoVersionIsSkippedForShortLoadWindow() {
     const std::map<uint64_t, DeclaredVersion> declared = {
         {2, Declared(0s, 3s)}, {3, Declared(2800ms, 6200ms)}};
     CPPUNIT_ASSERT_EQUAL(uint64_t{2}, PlanLoad(kTimes, declared, 1)->m_version);
   }
 
-  void AVersionIsSkippedIfTheNewerComesInTime() {
+  void VersionIsSkippedIfNewerArrivesInTime() {
     const auto plan =
         PlanLoad(kTimes, {{2, Declared(0s, 3s)}, {3, Declared(1s, 4400ms)}}, 1);
     CPPUNIT_ASSERT_EQUAL(uint64_t{3}, plan->m_version);
-    // The older one's bound still holds.
-    CPPUNIT_ASSERT(plan->m_last == kStart + 7300ms);
+    // The bound of the older version still applies.
+    CPPUNIT_ASSERT(plan->m_last_load_at == kStart + 7300ms);
   }
 
-  // Callers find no replica for seconds: two versions are named 2 s apart and
-  // the origin dies in between. The newer one can't come before the older one
-  // binds, so the older one has to be loaded meanwhile.
-  void AnOlderVersionIsLoadedWhileTheOriginIsDown() {
+  // Guards against callers finding no replica for seconds: two versions are
+  // declared 2 s apart, and the origin becomes unavailable in between. The
+  // newer version can't arrive before the older one becomes binding, so the
+  // older one has to be loaded in the meantime.
+  void OlderVersionIsLoadedWhileOriginIsDown() {
     const auto plan =
         PlanLoad(kTimes, {{2, Declared(0s, 3s)}, {3, Declared(2s, 11s)}}, 1);
     CPPUNIT_ASSERT_EQUAL(uint64_t{2}, plan->m_version);
   }
 
-  // Callers find no replica for seven seconds: the origin died while the older
-  // of two versions was drawn, and returned when the newer one was about to bar
-  // it. All replicas loaded the older one, used it for half a second, and
-  // loaded again once the newer one had come, which had to wait.
-  void AVersionThatIsBarredSoonIsSkipped() {
+  // Guards against callers finding no replica for seven seconds: the origin was
+  // unavailable during the transfer of the older of two versions, and returned
+  // when the newer one was about to become binding. All replicas loaded the
+  // older version, used it for half a second, and had to load again once the
+  // newer one had arrived late.
+  void SoonUnusableVersionIsSkipped() {
     const std::map<uint64_t, DeclaredVersion> late = {{2, Declared(0s, 8s)},
                                                       {3, Declared(2s, 11s)}};
     CPPUNIT_ASSERT_EQUAL(uint64_t{3}, PlanLoad(kTimes, late, 1)->m_version);
     const std::map<uint64_t, DeclaredVersion> in_time = {
         {2, Declared(0s, 7200ms)}, {3, Declared(2s, 11s)}};
     CPPUNIT_ASSERT_EQUAL(uint64_t{2}, PlanLoad(kTimes, in_time, 1)->m_version);
-    // The newest is loaded however late it comes.
+    // The newest version is loaded however late it arrives.
     CPPUNIT_ASSERT_EQUAL(
         uint64_t{2}, PlanLoad(kTimes, {{2, Declared(0s, 99s)}}, 1)->m_version);
   }
 
-  void AFullPoolDrainsForLess() {
+  void FullPoolDrainsForLessTime() {
     CPPUNIT_ASSERT(DrainTime(0.5) == DrainTime(0.8));
     CPPUNIT_ASSERT(DrainTime(0.8) > DrainTime(0.9));
     CPPUNIT_ASSERT(DrainTime(0.9) > DrainTime(1));
@@ -113,20 +118,20 @@
     CPPUNIT_ASSERT(DrainTime(1) > Duration());
   }
 
-  // Each host works out its turn alone. For any number of replicas no two turns
-  // are the same, and all leave time for the load before the bound.
-  void EachReplicaHasItsOwnTurnBeforeTheBound() {
+  // Each host computes its load time from the same list. For any number of
+  // replicas, all load times must differ and must not be later than the bound.
+  void ReplicasLoadAtDistinctTimesBeforeBound() {
     const bool held = rc::check("turns", [] {
       const size_t count = *rc::gen::inRange<size_t>(2, 60);
       std::vector<std::string> replicas;
       for (size_t i = 0; i < count; ++i)
         replicas.push_back("r" + std::to_string(i));
       const auto plan = PlanLoad(kTimes, {{2, Declared(0s, 3s)}}, 1);
-      std::map<TimePoint, int> turns;
+      std::map<TimePoint, int> load_times;
       for (const std::string& replica : replicas) {
-        const TimePoint turn = LoadTurn(*plan, replica, replicas);
-        RC_ASSERT(turn <= kStart + kTimes.m_bound);
-        RC_ASSERT(++turns[turn] == 1);
+        const TimePoint load_time = ScheduledLoadTime(*plan, replica, replicas);
+        RC_ASSERT(load_time <= kStart + kTimes.m_bound);
+        RC_ASSERT(++load_times[load_time] == 1);
       }
     });
     CPPUNIT_ASSERT(held);
--- a/src/libverbenalead/decide/place_bench.cc
+++ b/src/libverbenalead/decide/place_bench.cc
@@ -1,9 +1,9 @@
-/// Prints how long one placement takes:
+/// Prints the mean time of one placement, by load and by prefix:
 ///
 ///     bench=decide decision=place targets=200 by=load us=...
 #include <cstdio>
 
-#include "decide/place.h"
+#include "decide/target_selection.h"
 #include "model/call_builder.h"
 
 namespace verbenalead::decide {
@@ -13,8 +13,8 @@
 constexpr int kRounds = 200000;
 constexpr uint64_t kPrefixes = 1000;
 
-PlaceState MakePool(TimePoint now) {
-  PlaceState state;
+TargetSelectionState MakePool(TimePoint now) {
+  TargetSelectionState state;
   for (int i = 0; i < kTargets; ++i) {
     model::TargetReport report;
     report.m_name = "target-" + std::to_string(i);
@@ -22,14 +22,14 @@
     report.m_capacity = 16;
     report.m_running = static_cast<uint32_t>(i * 7 % 13);
     report.m_open = true;
-    Report(state, report, now);
+    ApplyReport(state, report, now);
   }
   return state;
 }
 
 void Measure(bool by_prefix) {
   const TimePoint now = Now();
-  PlaceState state = MakePool(now);
+  TargetSelectionState state = MakePool(now);
   Random random;
   const std::set<std::string> tried;
   uint64_t placed = 0;
@@ -40,13 +40,13 @@
     const model::Call call =
         builder.Prefix(by_prefix ? 1 + i * 7919 % kPrefixes : 0).Build();
     const TimePoint start = Now();
-    const auto placement = Place(state, call, tried, {}, now, random);
+    const auto placement = ChooseTarget(state, call, tried, {}, now, random);
     spent += Now() - start;
     if (!placement)
       continue;
     ++placed;
     AttemptSent(state, placement->m_target, call, now);
-    AttemptEnded(state, placement->m_target, call, TargetSign::kGood, 100ms,
+    AttemptEnded(state, placement->m_target, call, TargetFeedback::kGood, 100ms,
                  now);
   }
   std::printf(
--- a/src/libverbenalead/decide/quarantine.cc
+++ b/src/libverbenalead/decide/quarantine.cc
@@ -8,37 +8,39 @@
 namespace verbenalead::decide {
 namespace {
 
-void ForgetOld(QuarantineState& state, TimePoint now) {
+void EvictExpired(QuarantineState& state, TimePoint now) {
   std::erase_if(state.m_crashes, [&](auto& entry) {
-    return std::all_of(entry.second.begin(), entry.second.end(),
-                       [&](const auto& crash) {
-                         return now - crash.second > state.m_limits.m_hold;
-                       });
+    return std::all_of(
+        entry.second.begin(), entry.second.end(), [&](const auto& crash) {
+          return now - crash.second > state.m_limits.m_quarantine_time;
+        });
   });
   std::erase_if(state.m_cleared, [&](const auto& entry) {
-    return now - entry.second > state.m_limits.m_hold;
+    return now - entry.second > state.m_limits.m_quarantine_time;
   });
 }
 
-void Keep(QuarantineState& state, const CrashNote& note, TimePoint now) {
-  if (state.m_crashes.size() >= kMaxKeys)
-    ForgetOld(state, now);
-  if (state.m_crashes.size() >= kMaxKeys)
+void StoreCrash(QuarantineState& state,
+                const CrashRecord& record,
+                TimePoint now) {
+  if (state.m_crashes.size() >= kMaxTrackedRequests)
+    EvictExpired(state, now);
+  if (state.m_crashes.size() >= kMaxTrackedRequests)
     return;
-  TimePoint& at = state.m_crashes[note.m_key][note.m_target];
-  at = std::max(at, note.m_at);
+  TimePoint& at = state.m_crashes[record.m_key][record.m_target];
+  at = std::max(at, record.m_at);
 }
 
 }  // namespace
 
-void NoteCrash(QuarantineState& state,
-               uint64_t key,
-               const std::string& target,
-               TimePoint now) {
-  const CrashNote note{key, target, now};
-  Keep(state, note, now);
-  if (state.m_news.size() < kMaxKeys)
-    state.m_news.push_back(note);
+void RecordCrash(QuarantineState& state,
+                 uint64_t key,
+                 const std::string& target,
+                 TimePoint now) {
+  const CrashRecord record{key, target, now};
+  StoreCrash(state, record, now);
+  if (state.m_unsent.size() < kMaxTrackedRequests)
+    state.m_unsent.push_back(record);
 }
 
 uint64_t RequestKey(const std::string& organisation,
@@ -48,34 +50,35 @@
   return StableHash().Add(organisation).Add(method).Add(path).Add(body).value();
 }
 
-void NoteSuccess(QuarantineState& state, uint64_t key, TimePoint now) {
-  if (state.m_crashes.erase(key) > 0 && state.m_cleared.size() < kMaxKeys)
+void RecordSuccess(QuarantineState& state, uint64_t key, TimePoint now) {
+  if (state.m_crashes.erase(key) > 0 &&
+      state.m_cleared.size() < kMaxTrackedRequests)
     state.m_cleared[key] = now;
 }
 
-bool IsSetAside(const QuarantineState& state, uint64_t key, TimePoint now) {
+bool IsQuarantined(const QuarantineState& state, uint64_t key, TimePoint now) {
   auto found = state.m_crashes.find(key);
   if (found == state.m_crashes.end())
     return false;
   const auto recent = std::count_if(
       found->second.begin(), found->second.end(), [&](const auto& crash) {
-        return now - crash.second <= state.m_limits.m_hold;
+        return now - crash.second <= state.m_limits.m_quarantine_time;
       });
   return static_cast<size_t>(recent) >= state.m_limits.m_crashes;
 }
 
-std::vector<CrashNote> News(QuarantineState& state) {
-  return std::exchange(state.m_news, {});
+std::vector<CrashRecord> TakeCrashRecords(QuarantineState& state) {
+  return std::exchange(state.m_unsent, {});
 }
 
-void Merge(QuarantineState& state,
-           const std::vector<CrashNote>& notes,
-           TimePoint now) {
-  for (const CrashNote& note : notes) {
-    const auto cleared = state.m_cleared.find(note.m_key);
+void MergeCrashRecords(QuarantineState& state,
+                       const std::vector<CrashRecord>& records,
+                       TimePoint now) {
+  for (const CrashRecord& record : records) {
+    const auto cleared = state.m_cleared.find(record.m_key);
     if (cleared == state.m_cleared.end() ||
-        now - cleared->second > state.m_limits.m_hold)
-      Keep(state, note, now);
+        now - cleared->second > state.m_limits.m_quarantine_time)
+      StoreCrash(state, record, now);
   }
 }
 
