--- a/src/libverbenalead/links/summary_codec.cc
+++ b/src/libverbenalead/links/summary_codec.cc
@@ -9,14 +9,14 @@
 
 namespace json = boost::json;
 
-// Places in the list that stands for an entry.
+// Indices in the array that encodes an entry.
 constexpr size_t kHost = 0;
 constexpr size_t kCallers = 1;
 constexpr size_t kPeers = 2;
 constexpr size_t kReady = 3;
 constexpr size_t kEntryFields = 4;
 
-// Places in the list that stands for a replica.
+// Indices in the array that encodes a replica.
 constexpr size_t kReplica = 0;
 constexpr size_t kVersion = 1;
 constexpr size_t kFlags = 2;
@@ -28,7 +28,7 @@
 constexpr int64_t kClosingFlag = 1;
 constexpr int64_t kLoadingFlag = 2;
 
-/// The list `name` of `object`, or a failure.
+/// Returns the array `name` of `object`; fails if there is none.
 Result<const json::array*> ListField(const json::object& object,
                                      const char* name) {
   const json::value* value = object.if_contains(name);
@@ -38,19 +38,19 @@
   return list;
 }
 
-Result<std::string> TextAt(const json::array& list, size_t place) {
-  const json::string* text = list[place].if_string();
+Result<std::string> TextAt(const json::array& list, size_t index) {
+  const json::string* text = list[index].if_string();
   if (!text)
     return model::BadField("summary",
-                           "a text at place " + std::to_string(place));
+                           "a text at place " + std::to_string(index));
   return std::string(*text);
 }
 
-Result<int64_t> NumberAt(const json::array& list, size_t place) {
-  const int64_t* number = list[place].if_int64();
+Result<int64_t> NumberAt(const json::array& list, size_t index) {
+  const int64_t* number = list[index].if_int64();
   if (!number || *number < 0)
     return model::BadField("summary",
-                           "a whole number at place " + std::to_string(place));
+                           "a whole number at place " + std::to_string(index));
   return *number;
 }
 
@@ -77,8 +77,12 @@
 json::array EncodeReplica(const ReplicaSummary& replica) {
   const int64_t flags = (replica.m_closing ? kClosingFlag : 0) |
                         (replica.m_loading ? kLoadingFlag : 0);
-  return {replica.m_replica,       replica.m_version,        flags,
-          replica.m_calls.m_calls, replica.m_calls.m_unread, replica.m_waiting};
+  return {replica.m_replica,
+          replica.m_version,
+          flags,
+          replica.m_calls.m_calls,
+          replica.m_calls.m_unread_tokens,
+          replica.m_queued_calls};
 }
 
 Result<ReplicaSummary> DecodeReplica(const json::value& value) {
@@ -96,8 +100,8 @@
   replica.m_closing = (flags & kClosingFlag) != 0;
   replica.m_loading = (flags & kLoadingFlag) != 0;
   replica.m_calls.m_calls = static_cast<uint32_t>(calls);
-  replica.m_calls.m_unread = static_cast<uint64_t>(unread);
-  replica.m_waiting = static_cast<uint32_t>(waiting);
+  replica.m_calls.m_unread_tokens = static_cast<uint64_t>(unread);
+  replica.m_queued_calls = static_cast<uint32_t>(waiting);
   return replica;
 }
 
@@ -112,10 +116,10 @@
     replicas.push_back(EncodeReplica(replica));
   return {{"data_center", summary.m_data_center},
           {"sender", summary.m_sender},
-          {"number", summary.m_number},
+          {"number", summary.m_sequence},
           {"relayed", summary.m_relayed},
           {"revision", summary.m_operator_revision},
-          {"proof_ms", ToMilliseconds(summary.m_operator_proof)},
+          {"proof_ms", ToMilliseconds(summary.m_operator_confirmed_at)},
           {"entries", std::move(entries)},
           {"replicas", std::move(replicas)},
           {"crashes", EncodeCrashes(summary.m_crashes)}};
@@ -126,13 +130,13 @@
   BOOST_LEAF_ASSIGN(summary.m_data_center,
                     model::TextField(object, "data_center"));
   BOOST_LEAF_ASSIGN(summary.m_sender, model::TextField(object, "sender"));
-  BOOST_LEAF_ASSIGN(summary.m_number, model::NumberField(object, "number"));
+  BOOST_LEAF_ASSIGN(summary.m_sequence, model::NumberField(object, "number"));
   BOOST_LEAF_ASSIGN(summary.m_relayed,
                     model::FlagFieldOr(object, "relayed", false));
   BOOST_LEAF_ASSIGN(summary.m_operator_revision,
                     model::NumberField(object, "revision"));
   BOOST_LEAF_AUTO(proof, model::NumberField(object, "proof_ms"));
-  summary.m_operator_proof = std::chrono::milliseconds(proof);
+  summary.m_operator_confirmed_at = std::chrono::milliseconds(proof);
   BOOST_LEAF_AUTO(entries, ListField(object, "entries"));
   for (const json::value& value : *entries) {
     BOOST_LEAF_AUTO(entry, DecodeEntry(value));
@@ -147,28 +151,28 @@
   return summary;
 }
 
-json::array EncodeCrashes(const std::vector<decide::CrashNote>& crashes) {
-  json::array notes;
-  for (const decide::CrashNote& note : crashes) {
-    notes.push_back(json::object{{"request", std::to_string(note.m_key)},
-                                 {"replica", note.m_target}});
+json::array EncodeCrashes(const std::vector<decide::CrashRecord>& crashes) {
+  json::array records;
+  for (const decide::CrashRecord& record : crashes) {
+    records.push_back(json::object{{"request", std::to_string(record.m_key)},
+                                   {"replica", record.m_target}});
   }
-  return notes;
+  return records;
 }
 
-Result<std::vector<decide::CrashNote>> DecodeCrashes(
+Result<std::vector<decide::CrashRecord>> DecodeCrashes(
     const json::object& object) {
   BOOST_LEAF_AUTO(list, ListField(object, "crashes"));
-  std::vector<decide::CrashNote> crashes;
+  std::vector<decide::CrashRecord> crashes;
   for (const json::value& value : *list) {
     if (!value.is_object())
       return model::BadField("crashes", "objects");
-    decide::CrashNote note;
+    decide::CrashRecord record;
     BOOST_LEAF_AUTO(request, model::TextField(value.as_object(), "request"));
-    note.m_key = std::strtoull(request.c_str(), nullptr, 10);
-    BOOST_LEAF_ASSIGN(note.m_target,
+    record.m_key = std::strtoull(request.c_str(), nullptr, 10);
+    BOOST_LEAF_ASSIGN(record.m_target,
                       model::TextField(value.as_object(), "replica"));
-    crashes.push_back(std::move(note));
+    crashes.push_back(std::move(record));
   }
   return crashes;
 }
--- a/src/libverbenalead/links/table_follower.cc
+++ b/src/libverbenalead/links/table_follower.cc
@@ -8,44 +8,44 @@
 namespace verbenalead::links {
 namespace {
 
-/// Pauses after a question that failed, drawn between these two. A store that
-/// comes back is found within the lower half of the second in which changes
-/// must be in force; all processes together then ask 30 times a second, of
-/// 2,000 that the store answers.
-constexpr Duration kLeastPause = 150ms;
-constexpr Duration kMostPause = 350ms;
-/// How often one that is held looks whether it still is.
-constexpr Duration kHoldPoll = 50ms;
+/// Bounds of the random pause after a failed request. Changes must be in force
+/// within a second; with these pauses, the return of the store is detected
+/// within the first half of that second. All processes together then send 30
+/// requests a second, of the 2,000 a second that the store can answer.
+constexpr Duration kMinRetryPause = 150ms;
+constexpr Duration kMaxRetryPause = 350ms;
+/// How often PollSchedule::m_paused is checked again while it is set.
+constexpr Duration kHoldPollInterval = 50ms;
 
 }  // namespace
 
 TableFollower::TableFollower(const boost::asio::any_io_executor& executor,
                              platform::Store& store,
                              std::string table,
-                             std::function<FollowPace()> pace,
+                             std::function<PollSchedule()> schedule,
                              OnRows on_rows)
     : m_store(store),
       m_table(std::move(table)),
-      m_pace(std::move(pace)),
+      m_pace(std::move(schedule)),
       m_on_rows(std::move(on_rows)),
       m_timer(executor),
       m_random(std::random_device{}()) {}
 
 Awaitable<void> TableFollower::Run() {
   while (true) {
-    const TimePoint asked = Now();
-    const FollowPace pace = m_pace();
-    if (pace.m_hold) {
-      co_await WaitUntil(asked + kHoldPoll);
+    const TimePoint requested_at = Now();
+    const PollSchedule schedule = m_pace();
+    if (schedule.m_paused) {
+      co_await WaitUntil(requested_at + kHoldPollInterval);
       continue;
     }
-    m_poked = false;
-    const bool answered = co_await Ask(pace.m_wait);
-    if (m_poked)
+    m_poll_requested = false;
+    const bool answered = co_await Poll(schedule.m_long_poll);
+    if (m_poll_requested)
       continue;
     const TimePoint next =
-        answered ? asked + pace.m_interval
-                 : Now() + std::max(pace.m_after_failure, RetryPause());
+        answered ? requested_at + schedule.m_interval
+                 : Now() + std::max(schedule.m_retry_pause, RetryPause());
     if (next > Now())
       co_await WaitUntil(next);
   }
@@ -58,47 +58,47 @@
       boost::asio::redirect_error(boost::asio::use_awaitable, ignored));
 }
 
-void TableFollower::Poke() {
-  m_poked = true;
+void TableFollower::PollNow() {
+  m_poll_requested = true;
   m_timer.cancel();
 }
 
-Awaitable<bool> TableFollower::Ask(Duration wait) {
-  const bool whole = m_revision == 0;
+Awaitable<bool> TableFollower::Poll(Duration wait) {
+  const bool is_snapshot = m_revision == 0;
   AsyncResult<platform::Rows> rows = Failure();
-  if (whole)
+  if (is_snapshot)
     rows = co_await m_store.ReadTable(m_table);
   else
     rows = co_await m_store.ReadChanges(m_table, m_revision, wait);
   if (!rows) {
-    if (rows.error().m_code == FailureCode::kNotFound && !whole) {
+    if (rows.error().m_code == FailureCode::kNotFound && !is_snapshot) {
       LogLine("history_gone").With("table", m_table).Warn();
       m_revision = 0;
       co_return false;
     }
-    NoteFailure(rows.error());
+    RecordFailure(rows.error());
     co_return false;
   }
-  NoteSuccess();
+  RecordSuccess();
   m_revision = std::max(m_revision, rows->m_revision);
-  m_on_rows(*rows, whole);
+  m_on_rows(*rows, is_snapshot);
   co_return true;
 }
 
-void TableFollower::NoteSuccess() {
+void TableFollower::RecordSuccess() {
   if (m_connected)
     return;
   m_connected = true;
-  if (m_ever_connected)
+  if (m_was_connected)
     m_regained_at = Now();
-  m_ever_connected = true;
+  m_was_connected = true;
   LogLine("store_connected")
       .With("peer", ToString(m_store.endpoint()))
       .With("table", m_table)
       .Info();
 }
 
-void TableFollower::NoteFailure(const Failure& failure) {
+void TableFollower::RecordFailure(const Failure& failure) {
   if (!m_connected)
     return;
   m_connected = false;
@@ -107,7 +107,7 @@
 
 Duration TableFollower::RetryPause() {
   return Duration(std::uniform_int_distribution<int64_t>(
-      kLeastPause.count(), kMostPause.count())(m_random));
+      kMinRetryPause.count(), kMaxRetryPause.count())(m_random));
 }
 
 }  // namespace verbenalead::links
--- a/src/libverbenalead/model/manifest_test.cc
+++ b/src/libverbenalead/model/manifest_test.cc
@@ -15,18 +15,18 @@
 
 class ManifestTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ManifestTest);
-  CPPUNIT_TEST(ReadsWhatItWrites);
-  CPPUNIT_TEST(RefusesWrongNumberOfChunks);
-  CPPUNIT_TEST(ACutDocumentIsRefused);
+  CPPUNIT_TEST(RoundTrips);
+  CPPUNIT_TEST(RejectsWrongChunkCount);
+  CPPUNIT_TEST(RejectsTruncatedDocument);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void ReadsWhatItWrites() {
+  void RoundTrips() {
     CPPUNIT_ASSERT(rc::check("round trip", [] {
       const auto size = *rc::gen::inRange<uint64_t>(1, 5000);
       const auto chunk = *rc::gen::inRange<uint64_t>(1, 600);
       ManifestBuilder builder;
-      builder.Whole(Sha256("w")).Size(size).ChunkSize(chunk);
+      builder.WeightsDigest(Sha256("w")).Size(size).ChunkSize(chunk);
       uint64_t sum = 0;
       for (uint64_t i = 0; i * chunk < size; ++i)
         builder.Chunk(Sha256(std::to_string(i)));
@@ -40,9 +40,9 @@
     }));
   }
 
-  void RefusesWrongNumberOfChunks() {
+  void RejectsWrongChunkCount() {
     ManifestBuilder builder;
-    builder.Whole(Sha256("w")).Size(10).ChunkSize(5).Chunk(Sha256("a"));
+    builder.WeightsDigest(Sha256("w")).Size(10).ChunkSize(5).Chunk(Sha256("a"));
     CPPUNIT_ASSERT(!CatchFailure([&] { return builder.Build(); }));
     builder.Chunk(Sha256("b"));
     CPPUNIT_ASSERT(CatchFailure([&] { return builder.Build(); }).has_value());
@@ -50,10 +50,10 @@
     CPPUNIT_ASSERT(!CatchFailure([&] { return builder.Build(); }));
   }
 
-  // A manifest that lost its end in transfer must not pass for a shorter one.
-  void ACutDocumentIsRefused() {
+  // Guards against accepting a manifest truncated in transit as a shorter one.
+  void RejectsTruncatedDocument() {
     ManifestBuilder builder;
-    builder.Whole(Sha256("w")).Size(10).ChunkSize(5);
+    builder.WeightsDigest(Sha256("w")).Size(10).ChunkSize(5);
     builder.Chunk(Sha256("a")).Chunk(Sha256("b"));
     const std::string text =
         ToJson(*CatchFailure([&] { return builder.Build(); }));
--- a/src/libverbenalead/peer/session.cc
+++ b/src/libverbenalead/peer/session.cc
@@ -43,7 +43,7 @@
   state->m_peer =
       ToString(Endpoint(remote.address().to_string(), remote.port()));
   std::shared_ptr<Session> session(new Session(std::move(state)));
-  session->Begin();
+  session->Start();
   return session;
 }
 
@@ -53,11 +53,11 @@
   auto state = std::make_unique<State>(std::move(socket), limits);
   state->m_peer = ToString(endpoint);
   std::shared_ptr<Session> session(new Session(std::move(state)));
-  session->Begin();
+  session->Start();
   return session;
 }
 
-void Session::Begin() {
+void Session::Start() {
   boost::system::error_code ignored;
   m_state->m_socket.set_option(tcp::no_delay(true), ignored);
   nghttp2_session_callbacks* callbacks = nullptr;
@@ -147,24 +147,24 @@
   return !m_state->m_closed && !m_state->m_retired;
 }
 
-bool Session::fresh() const {
-  return Now() - m_state->m_last_received < m_state->m_limits.m_ping_after;
+bool Session::recently_active() const {
+  return Now() - m_state->m_last_received_at < m_state->m_limits.m_ping_after;
 }
 
 Awaitable<bool> Session::Probe() {
   const auto self = shared_from_this();
-  const TimePoint asked = Now();
-  const TimePoint give_up = asked + m_state->m_limits.m_probe_timeout;
+  const TimePoint sent_at = Now();
+  const TimePoint deadline = sent_at + m_state->m_limits.m_probe_timeout;
   SendPing();
-  while (!m_state->m_closed && Now() < give_up) {
-    if (m_state->m_last_received >= asked)
+  while (!m_state->m_closed && Now() < deadline) {
+    if (m_state->m_last_received_at >= sent_at)
       co_return true;
     auto event =
         std::make_shared<asio::steady_timer>(m_state->m_socket.get_executor());
-    m_state->m_probes.push_back(event);
-    co_await WaitForEvent(*event, give_up);
+    m_state->m_probe_timers.push_back(event);
+    co_await WaitForEvent(*event, deadline);
   }
-  co_return !m_state->m_closed && m_state->m_last_received >= asked;
+  co_return !m_state->m_closed && m_state->m_last_received_at >= sent_at;
 }
 
 void Session::Retire() {
@@ -180,13 +180,13 @@
   Flush();
 }
 
-Duration Session::SilenceAllowed() const {
+Duration Session::SilenceTimeout() const {
   const SessionLimits& limits = m_state->m_limits;
   if (!m_state->m_handler)
-    return limits.m_silent_after;
+    return limits.m_silence_timeout;
   return m_state->m_streams.empty()
-             ? limits.m_idle_ping + limits.m_accepted_silent_after
-             : limits.m_accepted_silent_after;
+             ? limits.m_idle_ping_interval + limits.m_accepted_silence_timeout
+             : limits.m_accepted_silence_timeout;
 }
 
 void Session::Drain() {
@@ -211,7 +211,7 @@
   boost::system::error_code ignored;
   m_state->m_socket.close(ignored);
   m_state->m_watch_timer.cancel();
-  for (const auto& probe : std::exchange(m_state->m_probes, {}))
+  for (const auto& probe : std::exchange(m_state->m_probe_timers, {}))
     probe->cancel();
   auto streams = std::move(m_state->m_streams);
   m_state->m_streams.clear();
@@ -230,19 +230,19 @@
       Close("connection lost: " + error.message());
       co_return;
     }
-    m_state->m_last_received = Now();
+    m_state->m_last_received_at = Now();
     m_state->m_ping_sent = false;
-    for (const auto& probe : std::exchange(m_state->m_probes, {}))
+    for (const auto& probe : std::exchange(m_state->m_probe_timers, {}))
       probe->cancel();
-    const ssize_t taken =
+    const ssize_t consumed =
         nghttp2_session_mem_recv(m_state->m_session, buffer.data(), size);
-    if (taken < 0) {
+    if (consumed < 0) {
       Close(std::string("protocol error: ") +
-            nghttp2_strerror(static_cast<int>(taken)));
+            nghttp2_strerror(static_cast<int>(consumed)));
       co_return;
     }
-    auto ready = std::move(m_state->m_ready);
-    m_state->m_ready.clear();
+    auto ready = std::move(m_state->m_ready_requests);
+    m_state->m_ready_requests.clear();
     for (int32_t id : ready)
       Spawn(m_state->m_socket.get_executor(), Answer(self, id), "answer");
     Flush();
@@ -286,17 +286,19 @@
     const bool idle = m_state->m_streams.empty();
     if (idle && m_state->m_retired)
       Close("retired");
-    // The dialling side probes an idle connection when it is next used.
+    // The dialling side checks an idle connection with Probe() before its next
+    // use.
     if (m_state->m_closed || (idle && !m_state->m_handler))
       continue;
-    const Duration silence = Now() - m_state->m_last_received;
-    if (silence >= SilenceAllowed()) {
+    const Duration silence = Now() - m_state->m_last_received_at;
+    if (silence >= SilenceTimeout()) {
       LogLine("connection_silent")
           .With("peer", m_state->m_peer)
           .With("silent_ms", ToMilliseconds(silence))
           .Warn();
       Close("nothing received although pinged");
-    } else if (silence >= (idle ? limits.m_idle_ping : limits.m_ping_after)) {
+    } else if (silence >=
+               (idle ? limits.m_idle_ping_interval : limits.m_ping_after)) {
       SendPing();
     }
   }
--- a/src/libverbenalead/peer/session_callbacks.cc
+++ b/src/libverbenalead/peer/session_callbacks.cc
@@ -37,9 +37,9 @@
   StreamPtr stream = Self(user_data).m_state->Find(frame->hd.stream_id);
   if (!stream)
     return 0;
-  wire::Headers& into =
+  wire::Headers& headers =
       stream->m_head_done ? stream->m_trailers : stream->m_headers;
-  into[std::string(reinterpret_cast<const char*>(name), name_size)] =
+  headers[std::string(reinterpret_cast<const char*>(name), name_size)] =
       std::string(reinterpret_cast<const char*>(value), value_size);
   return 0;
 }
@@ -64,7 +64,7 @@
   if (carries_end && (frame->hd.flags & NGHTTP2_FLAG_END_STREAM)) {
     stream->m_ended = true;
     if (state.m_handler)
-      state.m_ready.push_back(stream->m_id);
+      state.m_ready_requests.push_back(stream->m_id);
   }
   stream->m_inbound_event.cancel();
   return 0;
@@ -82,12 +82,13 @@
     nghttp2_session_consume(session, id, size);
     return 0;
   }
-  // Each stream is held back by its own window only: with one for the whole
-  // connection, a few callers that read slowly would hold up all others.
+  // Flow control applies to each stream separately. With a shared window for
+  // the whole connection, a few callers that read slowly would block all
+  // others.
   nghttp2_session_consume_connection(session, size);
   if (state.m_handler) {
-    // A request's body is taken whole, so its window opens again at once;
-    // the limit on its length bounds what is held.
+    // A request's body is stored whole, so its window is opened again at once;
+    // m_max_body bounds the memory.
     nghttp2_session_consume_stream(session, id, size);
     if (stream->m_inbound_bytes + size > state.m_limits.m_max_body) {
       nghttp2_submit_rst_stream(session, NGHTTP2_FLAG_NONE, id,
@@ -110,7 +111,7 @@
   if (!stream)
     return 0;
   state.m_streams.erase(id);
-  state.m_sent.push_back(stream);
+  state.m_flushing_streams.push_back(stream);
   stream->Close(
       std::string("stream closed: ") + nghttp2_http2_strerror(error_code),
       error_code == NGHTTP2_NO_ERROR);
@@ -128,11 +129,12 @@
   size_t copied = 0;
   while (copied < length && !stream.m_outbound.empty()) {
     const std::string& front = stream.m_outbound.front();
-    const size_t take =
+    const size_t count =
         std::min(length - copied, front.size() - stream.m_outbound_offset);
-    std::memcpy(buffer + copied, front.data() + stream.m_outbound_offset, take);
-    copied += take;
-    stream.m_outbound_offset += take;
+    std::memcpy(buffer + copied, front.data() + stream.m_outbound_offset,
+                count);
+    copied += count;
+    stream.m_outbound_offset += count;
     if (stream.m_outbound_offset == front.size()) {
       stream.m_outbound.pop_front();
       stream.m_outbound_offset = 0;
--- a/src/libverbenalead/peer/session_state.h
+++ b/src/libverbenalead/peer/session_state.h
@@ -18,12 +18,12 @@
 
 using StreamPtr = std::shared_ptr<Stream>;
 
-/// What a session holds; of the thread of its socket.
+/// State of a session, used only on the thread of its socket.
 struct Session::State {
   State(boost::asio::ip::tcp::socket socket, SessionLimits limits)
       : m_socket(std::move(socket)),
         m_limits(limits),
-        m_last_received(Now()),
+        m_last_received_at(Now()),
         m_watch_timer(m_socket.get_executor()) {}
   ~State();
 
@@ -33,7 +33,7 @@
   }
 
   void MarkFlushed() {
-    for (const StreamPtr& stream : std::exchange(m_sent, {})) {
+    for (const StreamPtr& stream : std::exchange(m_flushing_streams, {})) {
       stream->m_flushed = true;
       stream->m_outbound_event.cancel();
     }
@@ -47,16 +47,18 @@
   std::map<int32_t, StreamPtr> m_streams;
   bool m_writing = false;
   bool m_closed = false;
-  TimePoint m_last_received;
+  TimePoint m_last_received_at;
   bool m_ping_sent = false;
   bool m_retired = false;
-  /// Cancelled when bytes come.
-  std::vector<std::shared_ptr<boost::asio::steady_timer>> m_probes;
+  /// Timers of the calls of Probe() in progress; cancelled when data is
+  /// received.
+  std::vector<std::shared_ptr<boost::asio::steady_timer>> m_probe_timers;
   boost::asio::steady_timer m_watch_timer;
-  /// Requests whose last byte has come, to be answered after mem_recv.
-  std::vector<int32_t> m_ready;
+  /// Streams whose request has been received completely. They are answered
+  /// after nghttp2_session_mem_recv() has returned.
+  std::vector<int32_t> m_ready_requests;
   /// Streams whose last frame is in the buffer that is being written.
-  std::vector<StreamPtr> m_sent;
+  std::vector<StreamPtr> m_flushing_streams;
 };
 
 }  // namespace verbenalead::peer
--- a/src/libverbenalead/peer/session_writer.h
+++ b/src/libverbenalead/peer/session_writer.h
@@ -23,11 +23,11 @@
 
   Awaitable<bool> Finish(wire::Headers trailers) override;
 
-  bool gone() const override;
+  bool disconnected() const override;
 
-  void OnGone(std::function<void()> function) override;
+  void OnDisconnect(std::function<void()> function) override;
 
-  /// Resets a stream that the handler left unfinished.
+  /// Resets the stream if the handler left the response unfinished.
   void Abandon();
 
  private:
--- a/src/libverbenalead/target/chunk_cache.cc
+++ b/src/libverbenalead/target/chunk_cache.cc
@@ -5,15 +5,17 @@
 namespace verbenalead::target {
 namespace {
 
-/// The version that engines run and the one that is to replace it; a late host
-/// may still want the former.
-constexpr size_t kVersionsKept = 2;
+/// The version that engines run and the one that is to replace it: a host that
+/// is behind may still request the former.
+constexpr size_t kMaxVersions = 2;
 
 using Chunk = CachedVersion::Chunk;
 
-/// Numbers of the chunks of `version`, or none, that `which` picks.
+/// Numbers of the chunks of `version` that `which` selects; none if `version`
+/// is null.
 template <typename Which>
-std::vector<uint32_t> NumbersOf(const CachedVersion* version, Which which) {
+std::vector<uint32_t> FindChunkNumbers(const CachedVersion* version,
+                                       Which which) {
   std::vector<uint32_t> numbers;
   if (!version)
     return numbers;
@@ -24,8 +26,8 @@
   return numbers;
 }
 
-bool IsHere(const Chunk& chunk) {
-  return chunk.IsHere();
+bool IsPresent(const Chunk& chunk) {
+  return chunk.IsPresent();
 }
 
 bool IsStaged(const Chunk& chunk) {
@@ -39,7 +41,8 @@
 
 }  // namespace
 
-void ChunkCache::Begin(uint64_t version, const std::vector<Digest>& digests) {
+void ChunkCache::AddVersion(uint64_t version,
+                            const std::vector<Digest>& digests) {
   if (m_versions.contains(version))
     return;
   CachedVersion cached;
@@ -47,7 +50,7 @@
   for (size_t number = 0; number < digests.size(); ++number)
     cached.m_chunks[number].m_digest = digests[number];
   m_versions.emplace(version, std::move(cached));
-  while (m_versions.size() > kVersionsKept)
+  while (m_versions.size() > kMaxVersions)
     m_versions.erase(m_versions.begin());
 }
 
@@ -57,14 +60,14 @@
 }
 
 bool ChunkCache::Complete(uint64_t version) const {
-  return AreAll(Find(version), IsHere);
+  return AreAll(Find(version), IsPresent);
 }
 
 bool ChunkCache::Staged(uint64_t version) const {
   return AreAll(Find(version), IsStaged);
 }
 
-double ChunkCache::ShareHeld(uint64_t version) const {
+double ChunkCache::HeldShare(uint64_t version) const {
   const CachedVersion* cached = Find(version);
   if (!cached || cached->m_chunks.empty())
     return 0;
@@ -73,11 +76,11 @@
 }
 
 std::vector<uint32_t> ChunkCache::Held(uint64_t version) const {
-  return NumbersOf(Find(version), IsHere);
+  return FindChunkNumbers(Find(version), IsPresent);
 }
 
-std::vector<uint32_t> ChunkCache::Unstaged(uint64_t version) const {
-  return NumbersOf(Find(version), [](const Chunk& chunk) {
+std::vector<uint32_t> ChunkCache::UnstagedChunks(uint64_t version) const {
+  return FindChunkNumbers(Find(version), [](const Chunk& chunk) {
     return chunk.m_bytes && !chunk.m_staged;
   });
 }
@@ -86,13 +89,14 @@
   Chunk* found = FindChunk(version, chunk);
   if (!found || Sha256(bytes) != found->m_digest)
     return false;
-  if (!found->IsHere())
+  if (!found->IsPresent())
     found->m_bytes = std::make_shared<const std::string>(std::move(bytes));
   return true;
 }
 
-void ChunkCache::NoteStaged(uint64_t version, uint32_t chunk) {
-  // There is one place for each chunk number of a model.
+void ChunkCache::RecordStaged(uint64_t version, uint32_t chunk) {
+  // The staging area holds one chunk per chunk number, so staging a chunk
+  // overwrites that of the other version.
   for (auto& [other, cached] : m_versions) {
     if (chunk < cached.m_chunks.size())
       cached.m_chunks[chunk].m_staged = false;
@@ -104,9 +108,9 @@
   found->m_bytes.reset();
 }
 
-bool ChunkCache::CheckStaged(uint64_t version,
-                             uint32_t chunk,
-                             const std::string& bytes) {
+bool ChunkCache::VerifyStaged(uint64_t version,
+                              uint32_t chunk,
+                              const std::string& bytes) {
   Chunk* found = FindChunk(version, chunk);
   if (!found)
     return false;
@@ -114,16 +118,16 @@
     found->m_staged = false;
     return false;
   }
-  NoteStaged(version, chunk);
+  RecordStaged(version, chunk);
   return true;
 }
 
-void ChunkCache::ForgetStaged(uint64_t version, uint32_t chunk) {
+void ChunkCache::RecordUnstaged(uint64_t version, uint32_t chunk) {
   if (Chunk* found = FindChunk(version, chunk))
     found->m_staged = false;
 }
 
-void ChunkCache::ForgetAllStaged() {
+void ChunkCache::RecordAllUnstaged() {
   for (auto& [version, cached] : m_versions) {
     for (Chunk& chunk : cached.m_chunks)
       chunk.m_staged = false;
--- a/src/libverbenalead/target/chunk_fetcher.cc
+++ b/src/libverbenalead/target/chunk_fetcher.cc
@@ -19,49 +19,57 @@
 
 namespace asio = boost::asio;
 
-/// Chunks under way from other hosts at once. A host that sends paces itself
-/// and serves several; five from different hosts keep the downlink, 42 ms a
-/// chunk at 9.4 Mbit/s, busy meanwhile.
-constexpr uint32_t kMostFetches = 5;
-/// The same for a version that comes in ahead: what is left of the older one is
-/// waited for more than fetched.
-constexpr uint32_t kAheadFetches = 2;
-/// A link on which that many chunks take this many times their time has become
-/// narrow. Where hosts that send are busy, chunks take twice their time.
-constexpr int kNarrow = 2;
-/// A draw that hasn't been seen this long after it was due is taken over by the
-/// next host: the whole of a version must be everywhere within 8 s.
-constexpr Duration kPatience = 1s;
-/// After an outage of the origin the chunks that are missing hold up all hosts,
-/// so those that draw them ask often; few of them do.
-constexpr Duration kLongestOriginPause = 500ms;
-/// Hosts hear of a version and learn its digests within this time. Draws are
-/// due from then on, by the time of the declaration.
-constexpr Duration kDrawsBegin = 150ms;
-/// A version that was declared longer ago is held by other hosts.
-constexpr Duration kNewVersion = 1s;
-/// Live calls get the rest of the link.
+/// Most concurrent fetches from other hosts. A sending host limits its rate and
+/// serves several hosts; fetches from five hosts together keep the downlink
+/// busy, at 42 ms per chunk and 9.4 Mbit/s.
+constexpr uint32_t kMaxFetches = 5;
+/// Most concurrent fetches of a version that is fetched ahead. The rest of the
+/// older version mostly waits for other hosts, so the link has capacity left.
+constexpr uint32_t kMaxFetchesAhead = 2;
+/// This host's link counts as slow if a chunk takes longer than this factor
+/// times the time of `kMaxFetches` concurrent chunks at the link's rate. A
+/// chunk from a busy host takes twice its usual time.
+constexpr int kSlowLinkFactor = 2;
+/// An origin fetch that was not announced within this time after it was due is
+/// taken over by the next host: all hosts must have the complete version within
+/// 8 s.
+constexpr Duration kOriginTakeoverDelay = 1s;
+/// Longest backoff of origin fetches. After an outage of the origin the missing
+/// chunks delay all hosts, so the hosts that fetch them retry often; only few
+/// hosts do.
+constexpr Duration kMaxOriginBackoff = 500ms;
+/// Time from the declaration of a version until its first origin fetch is due.
+/// Hosts learn of the version and obtain its digests within this time.
+constexpr Duration kOriginFetchDelay = 150ms;
+/// A version that was declared longer ago than this is held by other hosts, so
+/// its origin fetches are due at once.
+constexpr Duration kNewVersionAge = 1s;
+/// Share of this host's link used for transfers; the rest is left to live
+/// calls.
 constexpr double kLinkShare = 0.8;
-/// Copies of a version drawn from the origin, in percent: it is paid by byte.
+/// Most bytes that all hosts together fetch from the origin, in percent of the
+/// size of a version. The origin charges by the byte.
 constexpr uint32_t kOriginBudgetPercent = 103;
-constexpr Duration kAskTimeout = 1s;
-/// A chunk waits for its turn at the host that sends it. The transfer gives it
-/// up sooner where others answer faster.
-constexpr Duration kTurnTimeout = 4s;
+constexpr Duration kPeerRequestTimeout = 1s;
+/// Time to wait for the response header. It is long because the sending host
+/// queues requests and responds only when it is a request's turn. The transfer
+/// cancels the fetch sooner if other hosts respond faster.
+constexpr Duration kResponseHeaderTimeout = 4s;
 constexpr Duration kOriginTimeout = 3s;
 constexpr Duration kMembersInterval = 500ms;
-/// A transfer without a chunk for so long, ten times the time of one, stands
-/// still.
-constexpr Duration kProgress = 500ms;
-/// Draws of all hosts that share the origin's link: with fewer it stands idle
-/// while the next host hears that one has ended.
-constexpr uint32_t kDrawsAtOnce = 8;
-/// How often others are told again of draws that go on.
-constexpr Duration kTellDrawsInterval = 250ms;
-/// Chunks from the origin that don't fit the digests before these are doubted.
-constexpr uint32_t kMismatchesToDoubt = 3;
-
-Failure GivenUp(const std::string& host) {
+/// A transfer that received no chunk for this time, ten times the duration of a
+/// chunk, has stalled.
+constexpr Duration kStallTimeout = 500ms;
+/// Most concurrent origin fetches of all hosts together. With fewer, the
+/// origin's link is idle until the next host learns that a fetch has ended.
+constexpr uint32_t kMaxOriginFetches = 8;
+/// Interval between announcements of an origin fetch in progress.
+constexpr Duration kAnnouncementInterval = 250ms;
+/// After this many chunks from the origin that do not match their digests, the
+/// digests themselves are considered wrong.
+constexpr uint32_t kMaxOriginMismatches = 3;
+
+Failure CancelledFailure(const std::string& host) {
   return Failure{FailureCode::kCancelled, "fetch chunk", host, "given up"};
 }
 
@@ -73,26 +81,27 @@
   links.m_origin = state.m_origin_rate;
   decide::TransferLimits limits = decide::LimitsFor(
       links, decide::TransferPreference::kTimeFirst, kOriginBudgetPercent);
-  limits.m_max_fetches = kMostFetches;
+  limits.m_max_fetches = kMaxFetches;
   const double chunk_seconds = static_cast<double>(links.m_chunk_bytes) /
                                static_cast<double>(links.m_host);
-  limits.m_slow_wait = std::chrono::duration_cast<Duration>(
-      std::chrono::duration<double>(chunk_seconds * kMostFetches * kNarrow));
-  limits.m_patience = kPatience;
-  limits.m_draws_at_once = kDrawsAtOnce;
-  limits.m_max_origin_back_off = kLongestOriginPause;
+  limits.m_slow_fetch_threshold =
+      std::chrono::duration_cast<Duration>(std::chrono::duration<double>(
+          chunk_seconds * kMaxFetches * kSlowLinkFactor));
+  limits.m_takeover_delay = kOriginTakeoverDelay;
+  limits.m_max_origin_fetches = kMaxOriginFetches;
+  limits.m_max_origin_backoff = kMaxOriginBackoff;
   return limits;
 }
 
-/// When the draws of `version` begin.
-TimePoint ScheduleOf(const TargetState& state,
-                     uint64_t version,
-                     TimePoint now) {
+/// When the first origin fetch of `version` is due.
+TimePoint FirstOriginFetchTime(const TargetState& state,
+                               uint64_t version,
+                               TimePoint now) {
   const auto declared = state.m_declared.find(version);
   if (declared == state.m_declared.end() ||
-      declared->second + kNewVersion < now)
+      declared->second + kNewVersionAge < now)
     return now;
-  return declared->second + kDrawsBegin;
+  return declared->second + kOriginFetchDelay;
 }
 
 }  // namespace
@@ -100,9 +109,9 @@
 struct ChunkFetcher::Transfer {
   explicit Transfer(const asio::any_io_executor& executor) : m_wake(executor) {}
 
-  /// The host that sends the chunk is told by the end of the connection, and
-  /// its link is free for others.
-  static void Cancel(Arrival& arrival) {
+  /// Cancels a fetch. Closing the connection makes the sending host stop, so
+  /// that its link is free for other hosts.
+  static void Cancel(PendingFetch& arrival) {
     arrival.m_cancelled = true;
     if (arrival.m_reader)
       arrival.m_reader->Cancel();
@@ -116,28 +125,28 @@
   decide::TransferState m_core;
   asio::steady_timer m_wake;
   TimePoint m_next_members{};
-  TimePoint m_next_telling{};
-  std::map<uint32_t, std::shared_ptr<Arrival>> m_fetches;
-  std::vector<std::string> m_followed;
+  TimePoint m_next_announcement{};
+  std::map<uint32_t, std::shared_ptr<PendingFetch>> m_fetches;
+  std::vector<std::string> m_followed_hosts;
   uint32_t m_origin_mismatches = 0;
-  /// Chunks kept, by where they came from.
+  /// Chunks added to the cache, by source.
   uint64_t m_from_origin = 0;
-  uint64_t m_from_near = 0;
-  uint64_t m_from_far = 0;
+  uint64_t m_from_local = 0;
+  uint64_t m_from_remote = 0;
   bool m_stopped = false;
-  TimePoint m_last_chunk{};
+  TimePoint m_last_chunk_at{};
 };
 
-ChunkFetcher::ChunkFetcher(
-    TargetState& state,
-    wire::Client& peers,
-    platform::OriginClient& origin,
-    std::function<void(const links::DrawNews&)> tell_draws)
+ChunkFetcher::ChunkFetcher(TargetState& state,
+                           wire::Client& peers,
+                           platform::OriginClient& origin,
+                           std::function<void(const links::OriginFetchUpdate&)>
+                               announce_origin_fetches)
     : m_state(state),
       m_peers(peers),
       m_origin(origin),
       m_digests(state, peers, origin),
-      m_tell_draws(std::move(tell_draws)) {}
+      m_announce_origin_fetches(std::move(announce_origin_fetches)) {}
 
 ChunkFetcher::~ChunkFetcher() = default;
 
@@ -145,12 +154,12 @@
   return m_transfer ? m_transfer->m_version : 0;
 }
 
-bool ChunkFetcher::progressing() const {
-  return m_transfer && Now() - m_transfer->m_last_chunk < kProgress;
+bool ChunkFetcher::is_progressing() const {
+  return m_transfer && Now() - m_transfer->m_last_chunk_at < kStallTimeout;
 }
 
-bool ChunkFetcher::IsDrawn() const {
-  return m_transfer && m_transfer->m_core.m_draws.empty() &&
+bool ChunkFetcher::OriginNoLongerNeeded() const {
+  return m_transfer && m_transfer->m_core.m_origin_schedule.empty() &&
          m_transfer->m_core.m_origin_fetching == 0;
 }
 
@@ -162,60 +171,63 @@
   transfer.reset();
 }
 
-std::vector<std::string> ChunkFetcher::Followed() const {
+std::vector<std::string> ChunkFetcher::FollowedHosts() const {
   std::set<std::string> hosts;
-  for (const auto& transfer : {m_transfer, m_ahead}) {
+  for (const auto& transfer : {m_transfer, m_prefetch}) {
     if (transfer)
-      hosts.insert(transfer->m_followed.begin(), transfer->m_followed.end());
+      hosts.insert(transfer->m_followed_hosts.begin(),
+                   transfer->m_followed_hosts.end());
   }
   return {hosts.begin(), hosts.end()};
 }
 
-void ChunkFetcher::TakeNews(const links::ChunkNews& news) {
-  if (!m_state.m_engine || news.m_model != m_state.m_engine->m_model)
+void ChunkFetcher::HandleChunkUpdate(const links::ChunkUpdate& update) {
+  if (!m_state.m_engine || update.m_model != m_state.m_engine->m_model)
     return;
-  for (const auto& transfer : {m_transfer, m_ahead}) {
-    if (!transfer || transfer->m_version != news.m_version)
+  for (const auto& transfer : {m_transfer, m_prefetch}) {
+    if (!transfer || transfer->m_version != update.m_version)
       continue;
-    decide::NeighbourHas(transfer->m_core, news.m_host, news.m_chunks, Now());
+    decide::RecordNeighbourChunks(transfer->m_core, update.m_host,
+                                  update.m_chunks, Now());
     transfer->m_wake.cancel();
   }
 }
 
-void ChunkFetcher::TakeDraws(const links::DrawNews& news) {
-  if (!m_state.m_engine || news.m_model != m_state.m_engine->m_model)
+void ChunkFetcher::HandleOriginFetches(const links::OriginFetchUpdate& update) {
+  if (!m_state.m_engine || update.m_model != m_state.m_engine->m_model)
     return;
-  if (!decide::IsWithin(news.m_report, m_state.m_engine->m_chunks)) {
+  if (!decide::HasOnlyKnownChunks(update.m_report,
+                                  m_state.m_engine->m_chunks)) {
     LogLine("bad_draw_news")
-        .With("peer", news.m_report.m_host)
-        .With("version", news.m_version)
-        .With("reason", "it names chunks that the version doesn't have")
+        .With("peer", update.m_report.m_host)
+        .With("version", update.m_version)
+        .With("reason", "chunk number out of range for the version")
         .Warn();
     return;
   }
-  for (const auto& transfer : {m_transfer, m_ahead}) {
-    if (!transfer || transfer->m_version != news.m_version)
+  for (const auto& transfer : {m_transfer, m_prefetch}) {
+    if (!transfer || transfer->m_version != update.m_version)
       continue;
-    decide::HostDraws(transfer->m_core, news.m_report, Now());
-    // There is room for the next draw.
-    if (!news.m_report.m_drawn.empty())
+    decide::RecordOriginFetches(transfer->m_core, update.m_report, Now());
+    // A fetch has ended, so the next one may start on the origin's link.
+    if (!update.m_report.m_origin_fetched.empty())
       transfer->m_wake.cancel();
   }
 }
 
-void ChunkFetcher::NoteSpoilt(uint64_t version, uint32_t chunk) {
-  for (const auto& transfer : {m_transfer, m_ahead}) {
+void ChunkFetcher::RecordCorruptChunk(uint64_t version, uint32_t chunk) {
+  for (const auto& transfer : {m_transfer, m_prefetch}) {
     if (!transfer || transfer->m_version != version)
       continue;
-    decide::ChunkLost(transfer->m_core, chunk, Now());
+    decide::RecordChunkLoss(transfer->m_core, chunk, Now());
     transfer->m_wake.cancel();
   }
 }
 
-void ChunkFetcher::NoteOrigin(bool answers, const std::string& reason) {
-  if (m_origin_answers == answers)
+void ChunkFetcher::RecordOriginState(bool answers, const std::string& reason) {
+  if (m_origin_reachable == answers)
     return;
-  m_origin_answers = answers;
+  m_origin_reachable = answers;
   LogLine line(answers ? "origin_regained" : "origin_lost");
   line.With("origin", ToString(m_state.m_origin));
   if (!answers)
@@ -223,23 +235,24 @@
   line.Info();
 }
 
-void ChunkFetcher::TellDraws(Transfer& transfer, std::vector<uint32_t> drawn) {
-  links::DrawNews news;
-  news.m_model = m_state.m_engine->m_model;
-  news.m_version = transfer.m_version;
-  news.m_report.m_host = m_state.m_options.m_peers.address();
+void ChunkFetcher::AnnounceOriginFetches(Transfer& transfer,
+                                         std::vector<uint32_t> fetched) {
+  links::OriginFetchUpdate update;
+  update.m_model = m_state.m_engine->m_model;
+  update.m_version = transfer.m_version;
+  update.m_report.m_host = m_state.m_options.m_peers.address();
   for (const auto& [chunk, fetch] : transfer.m_core.m_fetching) {
     if (fetch.m_source.IsOrigin())
-      news.m_report.m_under_way.push_back(chunk);
+      update.m_report.m_in_progress.push_back(chunk);
   }
-  if (news.m_report.m_under_way.empty() && drawn.empty())
+  if (update.m_report.m_in_progress.empty() && fetched.empty())
     return;
-  news.m_report.m_drawn = std::move(drawn);
-  m_tell_draws(news);
-  transfer.m_next_telling = Now() + kTellDrawsInterval;
+  update.m_report.m_origin_fetched = std::move(fetched);
+  m_announce_origin_fetches(update);
+  transfer.m_next_announcement = Now() + kAnnouncementInterval;
 }
 
-std::shared_ptr<ChunkFetcher::Transfer> ChunkFetcher::Begin(
+std::shared_ptr<ChunkFetcher::Transfer> ChunkFetcher::CreateTransfer(
     uint64_t version,
     const decide::TransferLimits& limits,
     const asio::any_io_executor& executor) {
@@ -249,12 +262,12 @@
       {m_state.m_options.m_peers.address(), m_state.m_options.m_data_center,
        m_state.m_options.m_data_center},
       m_state.m_engine->m_chunks, limits, Now(),
-      ScheduleOf(m_state, version, Now()));
+      FirstOriginFetchTime(m_state, version, Now()));
   for (uint32_t chunk : m_state.m_cache.Held(version))
-    decide::ChunkArrived(transfer->m_core, chunk, Now());
+    decide::RecordChunkArrival(transfer->m_core, chunk, Now());
   LogLine("transfer_begun")
       .With("version", version)
-      .With("ahead", limits.m_max_fetches == kAheadFetches)
+      .With("ahead", limits.m_max_fetches == kMaxFetchesAhead)
       .Info();
   return transfer;
 }
@@ -263,7 +276,7 @@
                                   asio::any_io_executor executor) {
   const TimePoint begun = Now();
   while (!transfer->m_stopped && !decide::IsComplete(transfer->m_core) &&
-         transfer->m_origin_mismatches < kMismatchesToDoubt) {
+         transfer->m_origin_mismatches < kMaxOriginMismatches) {
     UpdateMembers(*transfer);
     DoStep(transfer, executor);
     transfer->m_wake.expires_after(decide::kTransferTick);
@@ -272,7 +285,7 @@
         asio::redirect_error(asio::use_awaitable, ignored));
   }
   transfer->CancelAll();
-  if (transfer->m_origin_mismatches >= kMismatchesToDoubt) {
+  if (transfer->m_origin_mismatches >= kMaxOriginMismatches) {
     LogLine("digests_doubted").With("version", transfer->m_version).Warn();
     m_state.m_cache.Drop(transfer->m_version);
   }
@@ -280,8 +293,8 @@
       .With("version", transfer->m_version)
       .With("whole", m_state.m_cache.Complete(transfer->m_version))
       .With("from_origin", transfer->m_from_origin)
-      .With("from_near", transfer->m_from_near)
-      .With("from_far", transfer->m_from_far)
+      .With("from_near", transfer->m_from_local)
+      .With("from_far", transfer->m_from_remote)
       .With("ms", ToMilliseconds(Now() - begun))
       .Info();
 }
@@ -289,53 +302,54 @@
 Awaitable<void> ChunkFetcher::Fetch(uint64_t version) {
   const auto executor = co_await asio::this_coro::executor;
   StopTransfer(m_transfer);
-  if (m_ahead && m_ahead->m_version == version) {
-    // What it draws goes on, and what is known of others' draws stays known.
-    m_transfer = std::move(m_ahead);
-    m_ahead.reset();
+  if (m_prefetch && m_prefetch->m_version == version) {
+    // Continuing the transfer keeps its origin fetches and what is known of the
+    // origin fetches of other hosts.
+    m_transfer = std::move(m_prefetch);
+    m_prefetch.reset();
     decide::SetLimits(m_transfer->m_core, LimitsOf(m_state));
     m_transfer->m_wake.cancel();
     co_return;
   }
-  StopTransfer(m_ahead);
-  const auto transfer = Begin(version, LimitsOf(m_state), executor);
+  StopTransfer(m_prefetch);
+  const auto transfer = CreateTransfer(version, LimitsOf(m_state), executor);
   m_transfer = transfer;
   co_await Run(transfer, executor);
   End(transfer);
 }
 
 void ChunkFetcher::End(const std::shared_ptr<Transfer>& transfer) {
-  if (m_ahead == transfer)
-    m_ahead.reset();
+  if (m_prefetch == transfer)
+    m_prefetch.reset();
   if (m_transfer == transfer)
     m_transfer.reset();
 }
 
-Awaitable<void> ChunkFetcher::FetchAhead(uint64_t version) {
-  if (m_ahead_version == version)
+Awaitable<void> ChunkFetcher::Prefetch(uint64_t version) {
+  if (m_prefetch_version == version)
     co_return;
-  m_ahead_version = version;
+  m_prefetch_version = version;
   const auto executor = co_await asio::this_coro::executor;
-  const uint64_t before = this->version();
-  const bool learned = co_await m_digests.Learn(version);
-  const auto waits = [&] {
-    return m_ahead_version == version && this->version() == before;
+  const uint64_t previous = this->version();
+  const bool has_digests = co_await m_digests.Obtain(version);
+  const auto is_current = [&] {
+    return m_prefetch_version == version && this->version() == previous;
   };
-  while (learned && waits() && !IsDrawn())
+  while (has_digests && is_current() && !OriginNoLongerNeeded())
     co_await Sleep(decide::kTransferTick);
-  if (learned && waits() && !m_ahead) {
+  if (has_digests && is_current() && !m_prefetch) {
     decide::TransferLimits limits = LimitsOf(m_state);
-    limits.m_max_fetches = kAheadFetches;
-    const auto transfer = Begin(version, limits, executor);
-    m_ahead = transfer;
+    limits.m_max_fetches = kMaxFetchesAhead;
+    const auto transfer = CreateTransfer(version, limits, executor);
+    m_prefetch = transfer;
     co_await Run(transfer, executor);
     End(transfer);
   }
-  if (m_ahead_version == version)
-    m_ahead_version = 0;
+  if (m_prefetch_version == version)
+    m_prefetch_version = 0;
 }
 
-bool ChunkFetcher::IsNear(const std::string& host) const {
+bool ChunkFetcher::IsInSameDataCenter(const std::string& host) const {
   for (const auto& [id, replica] : m_state.m_replicas) {
     if (replica.m_endpoint.address() == host)
       return replica.m_data_center == m_state.m_options.m_data_center;
@@ -369,41 +383,41 @@
     Transfer::Cancel(*transfer->m_fetches[cancel.m_chunk]);
   }
   for (const std::string& name : actions.m_unfollows)
-    std::erase(transfer->m_followed, name);
+    std::erase(transfer->m_followed_hosts, name);
   for (const std::string& name : actions.m_follows)
-    transfer->m_followed.push_back(name);
-  bool draws = false;
+    transfer->m_followed_hosts.push_back(name);
+  bool starts_origin_fetch = false;
   for (const decide::FetchChunk& fetch : actions.m_fetches) {
-    draws |= fetch.m_source.IsOrigin();
-    auto arrival = std::make_shared<Arrival>();
+    starts_origin_fetch |= fetch.m_source.IsOrigin();
+    auto arrival = std::make_shared<PendingFetch>();
     transfer->m_fetches[fetch.m_chunk] = arrival;
     Spawn(executor,
           FetchChunk(transfer, fetch.m_chunk, fetch.m_source.m_host, arrival),
           "fetch_chunk");
   }
-  if (draws || Now() >= transfer->m_next_telling)
-    TellDraws(*transfer, {});
+  if (starts_origin_fetch || Now() >= transfer->m_next_announcement)
+    AnnounceOriginFetches(*transfer, {});
 }
 
 Awaitable<AsyncResult<std::string>> ChunkFetcher::ReadFromHost(
     std::shared_ptr<Transfer> transfer,
     uint32_t chunk,
     std::string host,
-    std::shared_ptr<Arrival> arrival) {
+    std::shared_ptr<PendingFetch> arrival) {
   wire::Request request;
   request.m_path =
       ChunkPath(m_state.m_engine->m_model, transfer->m_version, chunk) + "?" +
       kHeldField + "=" + std::to_string(transfer->m_core.m_have_count);
-  if (!IsNear(host))
-    request.m_path += std::string("&") + kFarField + "=1";
+  if (!IsInSameDataCenter(host))
+    request.m_path += std::string("&") + kRemoteField + "=1";
   const Endpoint endpoint(host, m_state.m_options.m_peers.port());
-  auto opened =
-      co_await m_peers.Open(endpoint, std::move(request), Now() + kAskTimeout);
+  auto opened = co_await m_peers.Open(endpoint, std::move(request),
+                                      Now() + kPeerRequestTimeout);
   if (!opened)
     co_return opened.error();
   wire::ResponseReader& reader = **opened;
   if (arrival->m_cancelled)
-    co_return GivenUp(host);
+    co_return CancelledFailure(host);
   arrival->m_reader = &reader;
   auto bytes = co_await ReadChunkFrom(transfer, chunk, host, reader);
   arrival->m_reader = nullptr;
@@ -415,7 +429,7 @@
     uint32_t chunk,
     std::string host,
     wire::ResponseReader& reader) {
-  const auto head = co_await reader.ReadHead(Now() + kTurnTimeout);
+  const auto head = co_await reader.ReadHead(Now() + kResponseHeaderTimeout);
   if (!head)
     co_return head.error();
   if (head->m_status != 200) {
@@ -424,7 +438,7 @@
   }
   std::string bytes;
   while (true) {
-    auto piece = co_await reader.ReadBody(Now() + kAskTimeout);
+    auto piece = co_await reader.ReadBody(Now() + kPeerRequestTimeout);
     if (!piece)
       co_return piece.error();
     if (!piece->has_value())
@@ -434,14 +448,15 @@
       co_return Failure{FailureCode::kCorrupt, "fetch chunk", host,
                         "longer than declared"};
     }
-    decide::ChunkProgress(transfer->m_core, chunk, Now());
+    decide::RecordChunkProgress(transfer->m_core, chunk, Now());
   }
 }
 
-Awaitable<void> ChunkFetcher::FetchChunk(std::shared_ptr<Transfer> transfer,
-                                         uint32_t chunk,
-                                         std::string host,
-                                         std::shared_ptr<Arrival> arrival) {
+Awaitable<void> ChunkFetcher::FetchChunk(
+    std::shared_ptr<Transfer> transfer,
+    uint32_t chunk,
+    std::string host,
+    std::shared_ptr<PendingFetch> arrival) {
   const bool from_origin = host.empty();
   AsyncResult<std::string> bytes = std::string();
   if (from_origin) {
@@ -462,28 +477,28 @@
       bytes.has_value() &&
       m_state.m_cache.Put(transfer->m_version, chunk, std::move(*bytes));
   if (arrival->m_cancelled) {
-    // Another transfer of this version may have begun meanwhile.
+    // Another transfer of this version may have started since.
     if (kept && m_transfer && m_transfer->m_version == transfer->m_version)
-      decide::ChunkArrived(m_transfer->m_core, chunk, Now());
+      decide::RecordChunkArrival(m_transfer->m_core, chunk, Now());
     co_return;
   }
   if (kept) {
     if (from_origin) {
-      NoteOrigin(true, "");
+      RecordOriginState(true, "");
       ++transfer->m_from_origin;
       LogLine("chunk_drawn")
           .With("chunk", uint64_t{chunk})
           .With("version", transfer->m_version)
           .Info();
-    } else if (IsNear(host)) {
-      ++transfer->m_from_near;
+    } else if (IsInSameDataCenter(host)) {
+      ++transfer->m_from_local;
     } else {
-      ++transfer->m_from_far;
+      ++transfer->m_from_remote;
     }
-    transfer->m_last_chunk = Now();
-    decide::ChunkArrived(transfer->m_core, chunk, Now());
+    transfer->m_last_chunk_at = Now();
+    decide::RecordChunkArrival(transfer->m_core, chunk, Now());
     if (from_origin)
-      TellDraws(*transfer, std::vector<uint32_t>(1, chunk));
+      AnnounceOriginFetches(*transfer, std::vector<uint32_t>(1, chunk));
     co_return;
   }
   const bool corrupt =
@@ -491,16 +506,17 @@
   if (corrupt && from_origin)
     ++transfer->m_origin_mismatches;
   if (from_origin && !corrupt)
-    NoteOrigin(false, ToString(bytes.error()));
+    RecordOriginState(false, ToString(bytes.error()));
   LogLine("chunk_failed")
       .With("chunk", uint64_t{chunk})
       .With("version", transfer->m_version)
       .With("source", from_origin ? "origin" : host)
-      .With("reason", corrupt ? "the bytes are not the declared ones"
-                              : ToString(bytes.error()))
+      .With("reason",
+            corrupt ? "the bytes do not have the declared digest or length"
+                    : ToString(bytes.error()))
       .Info();
-  decide::ChunkFailed(transfer->m_core, chunk, corrupt, Now(),
-                      m_state.m_random);
+  decide::RecordChunkFailure(transfer->m_core, chunk, corrupt, Now(),
+                             m_state.m_random);
 }
 
 }  // namespace verbenalead::target
--- a/src/libverbenalead/target/chunk_server.cc
+++ b/src/libverbenalead/target/chunk_server.cc
@@ -8,19 +8,21 @@
 namespace verbenalead::target {
 namespace {
 
-/// Chunks go out in pieces of this size at this part of the link's rate. Events
-/// of live streams leave by the same link, and would be late behind whole
-/// chunks.
-constexpr size_t kUploadPiece = 4096;
+/// Chunks are sent in pieces of this many bytes, and while there are live calls
+/// at this share of the link's rate. Events of live streams use the same link
+/// and would be delayed behind whole chunks.
+constexpr size_t kUploadPieceBytes = 4096;
 constexpr double kUploadShare = 0.8;
+/// Unused time that the pacer may make up for.
 constexpr Duration kUploadCredit = 20ms;
 
-/// What a request for `chunk` says of its sender.
-decide::UploadRequest UploadOf(const wire::Request& request, uint32_t chunk) {
+/// Reads the fields about the requesting host from a request for `chunk`.
+decide::UploadRequest ParseUploadRequest(const wire::Request& request,
+                                         uint32_t chunk) {
   decide::UploadRequest upload;
   upload.m_chunk = chunk;
-  upload.m_far = wire::QueryValue(request, kFarField) == "1";
-  upload.m_held = static_cast<uint32_t>(
+  upload.m_other_region = wire::QueryValue(request, kRemoteField) == "1";
+  upload.m_chunk_count = static_cast<uint32_t>(
       std::strtoul(wire::QueryValue(request, kHeldField).c_str(), nullptr, 10));
   return upload;
 }
@@ -35,15 +37,15 @@
 ChunkServer::ChunkServer(TargetState& state,
                          platform::EngineClient& engine,
                          std::function<bool()> has_calls,
-                         OnSpoilt on_spoilt)
+                         OnCorruptChunk on_corrupt_chunk)
     : m_state(state),
       m_engine(engine),
       m_has_calls(std::move(has_calls)),
-      m_on_spoilt(std::move(on_spoilt)),
-      m_upload(UploadRate(state.m_options), kUploadCredit) {}
+      m_on_corrupt_chunk(std::move(on_corrupt_chunk)),
+      m_upload_pacer(UploadRate(state.m_options), kUploadCredit) {}
 
-Awaitable<void> ChunkServer::Tell(const wire::Request& request,
-                                  wire::ResponseWriter& caller) {
+Awaitable<void> ChunkServer::Respond(const wire::Request& request,
+                                     wire::ResponseWriter& caller) {
   if (const CachedVersion* cached = FindDigests(request.m_path)) {
     co_await caller.Send(wire::Response(200, {}, FormatDigests(*cached)));
     co_return;
@@ -53,14 +55,15 @@
     co_await caller.Send(wire::Response(404, {}, ""));
     co_return;
   }
-  const uint64_t id = m_gate.NewId();
-  co_await m_gate.Wait(id, name->m_version, UploadOf(request, name->m_chunk));
-  if (!caller.gone())
+  const uint64_t id = m_admission.NewId();
+  co_await m_admission.Wait(id, name->m_version,
+                            ParseUploadRequest(request, name->m_chunk));
+  if (!caller.disconnected())
     co_await Upload(*name, caller);
-  m_gate.End(id);
+  m_admission.End(id);
 }
 
-Awaitable<void> ChunkServer::Upload(ChunkName name,
+Awaitable<void> ChunkServer::Upload(ChunkId name,
                                     wire::ResponseWriter& caller) {
   const std::shared_ptr<const std::string> bytes = co_await ReadChunk(name);
   if (!bytes) {
@@ -70,11 +73,11 @@
   wire::ResponseHead head(200, {{"content-type", "application/octet-stream"}});
   if (!co_await caller.Start(std::move(head)))
     co_return;
-  for (size_t begin = 0; begin < bytes->size(); begin += kUploadPiece) {
-    std::string piece = bytes->substr(begin, kUploadPiece);
-    // With no calls there is nothing that chunks could hold up.
+  for (size_t begin = 0; begin < bytes->size(); begin += kUploadPieceBytes) {
+    std::string piece = bytes->substr(begin, kUploadPieceBytes);
+    // Without live calls there are no events that the chunks could delay.
     if (m_has_calls())
-      co_await m_upload.Take(piece.size());
+      co_await m_upload_pacer.Acquire(piece.size());
     if (!co_await caller.Write(std::move(piece)))
       co_return;
   }
@@ -90,7 +93,7 @@
   return nullptr;
 }
 
-std::optional<ChunkServer::ChunkName> ChunkServer::FindChunk(
+std::optional<ChunkServer::ChunkId> ChunkServer::FindChunk(
     const std::string& path) const {
   for (const auto& [version, cached] : m_state.m_cache.versions()) {
     const std::string prefix = ChunkPrefix(version);
@@ -98,15 +101,15 @@
       continue;
     const uint64_t number =
         std::strtoull(path.c_str() + prefix.size(), nullptr, 10);
-    if (number < cached.m_chunks.size() && cached.m_chunks[number].IsHere())
-      return ChunkName{version, static_cast<uint32_t>(number)};
+    if (number < cached.m_chunks.size() && cached.m_chunks[number].IsPresent())
+      return ChunkId{version, static_cast<uint32_t>(number)};
   }
   return std::nullopt;
 }
 
 Awaitable<std::shared_ptr<const std::string>> ChunkServer::ReadChunk(
-    ChunkName name) {
-  // It may have gone while it waited for its turn.
+    ChunkId name) {
+  // The version may have been removed while the upload waited.
   const CachedVersion* cached = m_state.m_cache.Find(name.m_version);
   if (!cached)
     co_return nullptr;
@@ -122,12 +125,12 @@
   auto bytes = co_await m_engine.ReadStaged(m_state.m_engine->m_model, chunk);
   if (!bytes)
     co_return nullptr;
-  if (!m_state.m_cache.CheckStaged(version, chunk, *bytes)) {
+  if (!m_state.m_cache.VerifyStaged(version, chunk, *bytes)) {
     LogLine("staged_chunk_spoilt")
         .With("version", version)
         .With("chunk", uint64_t{chunk})
         .Info();
-    m_on_spoilt(version, chunk);
+    m_on_corrupt_chunk(version, chunk);
     co_return nullptr;
   }
   co_return std::make_shared<const std::string>(std::move(*bytes));
--- /dev/null
+++ b/src/libverbenalead/target/engine_controller.cc
@@ -0,0 +1,311 @@
+#include "target/engine_controller.h"
+
+#include <boost/asio/this_coro.hpp>
+#include <cmath>
+
+#include "base/log.h"
+#include "base/sleep.h"
+#include "base/spawn.h"
+
+namespace verbenalead::target {
+namespace {
+
+/// Interval between status queries to the engine. Queries from the same host
+/// are answered at once and cost nothing. Entries learn of a change within this
+/// interval plus the one-way network delay.
+constexpr Duration kEnginePollInterval = 100ms;
+/// The last replica starts to load this long before the deadline for new
+/// weights. From 0.6 s before the deadline on, entries send no calls to a
+/// replica with older weights. Such a replica may load after the deadline, as
+/// no call starts there any more.
+constexpr Duration kDeadlineMargin = 700ms;
+/// Time from the scheduled start of a load to its end: calls finish or are
+/// aborted, and the load takes 0.3 s.
+constexpr Duration kLoadOutage = 1000ms;
+/// Entries are notified this long before the scheduled load, and then send new
+/// calls to the replica only if no other one has a free slot. Three quarters of
+/// the users' streams end within this time, so few have to be aborted. An
+/// aborted stream has its prompt read again at another replica and pauses for
+/// longer than its caller accepts.
+constexpr Duration kClosingNotice = 1200ms;
+/// The time until all hosts have all chunks is estimated as a sum of three: the
+/// time of a copy of the weights over this host's link, times the first factor;
+/// that of a copy over the origin's link, times the second; and
+/// kTimePerDoubling for each doubling from one host to all of them.
+constexpr double kLinkCopyFactor = 1.25;
+constexpr double kOriginCopyFactor = 0.45;
+constexpr Duration kTimePerDoubling = 130ms;
+constexpr Duration kLoadPollInterval = 25ms;
+
+/// Time of a copy of the weights over a link; zero if its rate is not known.
+Duration CopyTime(const model::EngineProfile& engine, uint64_t rate) {
+  const double bytes = static_cast<double>(engine.m_chunk_bytes) *
+                       static_cast<double>(engine.m_chunks);
+  return rate == 0 ? Duration()
+                   : std::chrono::duration_cast<Duration>(
+                         std::chrono::duration<double>(
+                             bytes / static_cast<double>(rate)));
+}
+
+/// Time until a chunk that one host has is on all hosts.
+Duration SpreadTime(const TargetState& state) {
+  const double hosts =
+      static_cast<double>(std::max<size_t>(2, state.m_replicas.size()));
+  return std::chrono::duration_cast<Duration>(kTimePerDoubling *
+                                              std::log2(hosts));
+}
+
+Duration TransferTime(const TargetState& state) {
+  const Duration link = CopyTime(*state.m_engine, state.m_options.m_link_rate);
+  const Duration origin = CopyTime(*state.m_engine, state.m_origin_rate);
+  return std::chrono::duration_cast<Duration>(link * kLinkCopyFactor +
+                                              origin * kOriginCopyFactor) +
+         SpreadTime(state);
+}
+
+decide::LoadTimes LoadTimesOf(const TargetState& state) {
+  return {state.m_options.m_weights_bound - kDeadlineMargin,
+          TransferTime(state)};
+}
+
+}  // namespace
+
+EngineController::EngineController(TargetState& state,
+                                   platform::EngineClient& engine,
+                                   ChunkFetcher& fetcher,
+                                   std::function<void()> notify,
+                                   std::function<double()> fullness)
+    : m_state(state),
+      m_engine(engine),
+      m_fetcher(fetcher),
+      m_notify(std::move(notify)),
+      m_get_utilisation(std::move(fullness)),
+      m_stager(state, engine) {}
+
+Awaitable<void> EngineController::Run() {
+  while (true) {
+    if (m_state.m_engine && !m_state.m_engine->m_model.empty())
+      co_await Poll();
+    const links::ReplicaUpdate update = CurrentUpdate();
+    if (update != m_last_update || update.m_loading) {
+      m_last_update = update;
+      m_notify();
+    }
+    co_await Sleep(kEnginePollInterval);
+  }
+}
+
+uint64_t EngineController::Loaded() const {
+  if (!m_report)
+    return 0;
+  const auto found = m_report->m_weights.find(m_state.m_engine->m_model);
+  return found == m_report->m_weights.end() ? 0 : found->second;
+}
+
+links::ReplicaUpdate EngineController::CurrentUpdate() const {
+  links::ReplicaUpdate update;
+  const model::Replica* replica = OwnReplica(m_state);
+  update.m_replica = replica ? replica->m_id : "";
+  update.m_service = m_state.m_options.m_service;
+  update.m_version = m_state.m_engine ? Loaded() : 0;
+  update.m_closing = m_closing;
+  update.m_loading = m_calls_stopped || (m_report && m_report->m_loading);
+  return update;
+}
+
+void EngineController::RecordEngineReport(
+    AsyncResult<model::EngineReport> report) {
+  if (!report) {
+    if (m_report)
+      LogLine("engine_lost").With(report.error()).Warn();
+    m_report.reset();
+    return;
+  }
+  const bool restarted =
+      m_report && (m_report->m_started_ms != report->m_started_ms ||
+                   report->m_orders < m_report->m_orders);
+  if (!m_report || restarted) {
+    LogLine("engine_found")
+        .With("restarted", restarted)
+        .With("orders", report->m_orders)
+        .With("started_ms", report->m_started_ms)
+        .Info();
+  }
+  if (restarted) {
+    m_stager.ForgetAll();
+    m_staging_searched_for = 0;
+  }
+  m_report = *report;
+}
+
+void EngineController::RecordCompleteVersions() {
+  for (const auto& [version, cached] : m_state.m_cache.versions()) {
+    if (m_state.m_cache.Complete(version))
+      m_version_complete_at.emplace(version, Now());
+    else
+      m_version_complete_at.erase(version);
+  }
+}
+
+std::optional<decide::LoadPlan> EngineController::PlanNextLoad() const {
+  const decide::LoadTimes times = LoadTimesOf(m_state);
+  std::map<uint64_t, decide::DeclaredVersion> declared;
+  for (const auto& [version, when] : m_state.m_declared) {
+    // Even a few missing chunks have to be fetched from the origin and spread
+    // to all hosts, so the estimate has a lower bound.
+    const double left = 1 - m_state.m_cache.HeldShare(version);
+    const Duration needed =
+        std::max(SpreadTime(m_state),
+                 std::chrono::duration_cast<Duration>(times.m_transfer * left));
+    const auto complete_at = m_version_complete_at.find(version);
+    declared[version] = {when, complete_at == m_version_complete_at.end()
+                                   ? Now() + needed
+                                   : complete_at->second};
+  }
+  if (auto plan = decide::PlanLoad(times, declared, Loaded()))
+    return plan;
+  // The engine has no weights, or does not answer. Before any declaration,
+  // engines run version 1, which `NewestVersion` then returns.
+  if (Loaded() == 0)
+    return decide::LoadPlan{NewestVersion(m_state), Now(), Now()};
+  return std::nullopt;
+}
+
+bool EngineController::ShouldFinishFetch() const {
+  // The missing chunks of a version that is held in large part come from other
+  // hosts even if the origin fails. The newer version may be unavailable for a
+  // long time.
+  const uint64_t version = m_fetcher.version();
+  return version > Loaded() && m_fetcher.is_progressing() &&
+         m_state.m_cache.HeldShare(version) >= decide::kMinShareToFinish;
+}
+
+bool EngineController::IsLoadedElsewhere(uint64_t version) const {
+  for (const auto& [id, replica] : m_state.m_replicas) {
+    const auto loaded = replica.m_weights.find(m_state.m_engine->m_model);
+    if (replica.m_service == m_state.m_options.m_service &&
+        replica.m_endpoint != m_state.m_options.m_engine &&
+        loaded != replica.m_weights.end() && loaded->second >= version)
+      return true;
+  }
+  return false;
+}
+
+Awaitable<void> EngineController::Poll() {
+  RecordEngineReport(co_await m_engine.Report());
+  if (m_report && m_report->m_loading)
+    co_return;
+  m_calls_stopped = false;
+  RecordCompleteVersions();
+  const auto plan = PlanNextLoad();
+  const uint64_t version = plan ? plan->m_version : Loaded();
+  m_closing = plan && Loaded() > 0 && m_state.m_cache.Staged(version) &&
+              Now() + kClosingNotice >= LoadTime(*plan);
+  if (!m_report) {
+    // A new host is up one second before its engine. Fetching from then on puts
+    // its replica into service one second earlier.
+    if (IsLoadedElsewhere(version))
+      co_await Obtain(version);
+    co_return;
+  }
+  co_await m_stager.Stage(version, Loaded());
+  if (!m_state.m_cache.Complete(version)) {
+    co_await Obtain(version);
+    co_await PrefetchNewest();
+    co_return;
+  }
+  if (!plan)
+    co_return;
+  // Fetches the newest version while this one waits for its scheduled load.
+  if (m_fetcher.version() == 0)
+    co_await Obtain(NewestVersion(m_state));
+  // An engine without weights serves no calls, so it loads at once.
+  if (m_state.m_cache.Staged(version) &&
+      (Loaded() == 0 || Now() >= LoadTime(*plan)))
+    co_await Load(version);
+}
+
+Awaitable<void> EngineController::Obtain(uint64_t version) {
+  const auto executor = co_await boost::asio::this_coro::executor;
+  if (m_state.m_cache.Complete(version) || m_fetcher.version() == version ||
+      ShouldFinishFetch())
+    co_return;
+  if (!co_await m_fetcher.ObtainDigests(version))
+    co_return;
+  // Chunks that the engine still has staged need not be fetched. If the staging
+  // area holds all chunks of the loaded version, it holds none of a newer one,
+  // and reading it would only delay the transfer.
+  const bool loaded_is_staged = m_staging_searched_for > 0 &&
+                                m_staging_searched_for == Loaded() &&
+                                m_state.m_cache.Complete(Loaded());
+  if (m_report && m_staging_searched_for < version && !loaded_is_staged) {
+    m_staging_searched_for = version;
+    co_await m_stager.FindStaged(version);
+    m_notify();
+  }
+  if (m_state.m_cache.Complete(version))
+    co_return;
+  Spawn(executor, m_fetcher.Fetch(version), "fetch");
+}
+
+Awaitable<void> EngineController::PrefetchNewest() {
+  const uint64_t newest = NewestVersion(m_state);
+  if (m_fetcher.version() == 0 || newest <= m_fetcher.version())
+    co_return;
+  Spawn(co_await boost::asio::this_coro::executor, m_fetcher.Prefetch(newest),
+        "fetch_ahead");
+}
+
+TimePoint EngineController::LoadTime(const decide::LoadPlan& plan) const {
+  const model::Replica* own = OwnReplica(m_state);
+  std::vector<std::string> replicas;
+  for (const auto& [id, replica] : m_state.m_replicas) {
+    if (replica.m_service == m_state.m_options.m_service && !replica.m_leaving)
+      replicas.push_back(id);
+  }
+  return decide::ScheduledLoadTime(plan, own ? own->m_id : "",
+                                   std::move(replicas));
+}
+
+Awaitable<void> EngineController::WaitForDrain(TimePoint end) {
+  while (m_report && m_report->m_active + m_report->m_queued > 0 &&
+         Now() < end) {
+    co_await Sleep(kLoadPollInterval);
+    RecordEngineReport(co_await m_engine.Report());
+  }
+}
+
+Awaitable<void> EngineController::Load(uint64_t version) {
+  // Reads the staged chunks back as late as possible before the load; only the
+  // drain comes between. The engine loads staged chunks without checking them,
+  // and they can become corrupt without any write.
+  if (!co_await m_stager.Verify(version) || !m_report)
+    co_return;
+  m_calls_stopped = true;
+  m_notify();
+  const double fullness = m_get_utilisation();
+  if (Loaded() > 0)
+    co_await WaitForDrain(Now() + decide::DrainTime(fullness));
+  if (!m_report)
+    co_return;
+  auto loading = co_await m_engine.Load(m_state.m_engine->m_model, version,
+                                        m_report->m_orders);
+  LogLine line("load_ordered");
+  line.With("version", version)
+      .With("pool_fullness", fullness)
+      .With("before", Loaded())
+      .With("orders", m_report->m_orders)
+      .With("accepted", loading.has_value());
+  if (!loading) {
+    line.With(loading.error());
+    m_calls_stopped = false;
+  }
+  line.Info();
+  const TimePoint until = Now() + m_state.m_engine->m_load + kLoadOutage;
+  do {
+    co_await Sleep(kLoadPollInterval);
+    RecordEngineReport(co_await m_engine.Report());
+  } while (m_report && m_report->m_loading && Now() < until);
+}
+
+}  // namespace verbenalead::target
--- /dev/null
+++ b/src/libverbenalead/target/engine_controller.h
@@ -0,0 +1,95 @@
+#ifndef VERBENALEAD_TARGET_ENGINE_CONTROLLER_H_
+#define VERBENALEAD_TARGET_ENGINE_CONTROLLER_H_
+
+#include <functional>
+#include <optional>
+
+#include "decide/load_plan.h"
+#include "links/replica_update.h"
+#include "platform/engine_client.h"
+#include "target/chunk_fetcher.h"
+#include "target/chunk_stager.h"
+#include "target/target_state.h"
+
+namespace verbenalead::target {
+
+/// Polls the engine on this host and brings it to the declared version of the
+/// weights: has the chunks fetched and staged, stops new calls at the scheduled
+/// time, lets running calls finish and orders the load. Without it the replica
+/// would keep serving an old version and be unusable after the deadline for new
+/// weights.
+class EngineController {
+ public:
+  /// `notify` is called when the result of `CurrentUpdate` has changed, and
+  /// repeatedly while the engine loads. `fullness` returns the share of the
+  /// slots of the service that are in use, 0 to 1.
+  EngineController(TargetState& state,
+                   platform::EngineClient& engine,
+                   ChunkFetcher& fetcher,
+                   std::function<void()> notify,
+                   std::function<double()> fullness);
+
+  /// Doesn't return.
+  Awaitable<void> Run();
+  /// The state of the replica to be sent to entries, without its calls.
+  links::ReplicaUpdate CurrentUpdate() const;
+
+ private:
+  /// Queries the engine once and takes the next step towards the planned
+  /// version.
+  Awaitable<void> Poll();
+  /// Records the status of the engine, or that the query failed. After a
+  /// restart of the engine, its staged chunks are no longer relied on.
+  void RecordEngineReport(AsyncResult<model::EngineReport> report);
+  /// Whether a replica on another host has loaded `version` or a newer one, so
+  /// that `version` can be fetched before the engine on this host answers.
+  bool IsLoadedElsewhere(uint64_t version) const;
+  /// Verifies the staged chunks of `version`, drains the engine and orders the
+  /// load.
+  Awaitable<void> Load(uint64_t version);
+  /// Waits until the engine has no calls left, at most until `end`.
+  Awaitable<void> WaitForDrain(TimePoint end);
+  /// Starts the transfer of `version` into the cache, unless it is complete,
+  /// already being fetched, or another transfer should finish first.
+  Awaitable<void> Obtain(uint64_t version);
+  /// Handles two versions declared in quick succession: obtains the digests of
+  /// the newer one now, as the origin may be unreachable later, and fetches the
+  /// newer one once the older one no longer needs the origin.
+  Awaitable<void> PrefetchNewest();
+  /// Whether the current transfer should finish before another one starts.
+  bool ShouldFinishFetch() const;
+  /// Records when each version in the cache became complete.
+  void RecordCompleteVersions();
+  /// What to load next; nothing if the engine runs the version that it should.
+  std::optional<decide::LoadPlan> PlanNextLoad() const;
+  /// When this replica starts its load under `plan`.
+  TimePoint LoadTime(const decide::LoadPlan& plan) const;
+  /// The version that the engine runs; 0: none, or not known.
+  uint64_t Loaded() const;
+
+  TargetState& m_state;
+  platform::EngineClient& m_engine;
+  ChunkFetcher& m_fetcher;
+  const std::function<void()> m_notify;
+  const std::function<double()> m_get_utilisation;
+  /// The last status of the engine; empty if the last query failed.
+  std::optional<model::EngineReport> m_report;
+  ChunkStager m_stager;
+  /// The newest version for which the staging area was searched; 0: none since
+  /// the engine started.
+  uint64_t m_staging_searched_for = 0;
+  /// The scheduled load starts soon.
+  bool m_closing = false;
+  /// The replica takes no calls, because it is draining before a load or is
+  /// loading.
+  bool m_calls_stopped = false;
+  /// When this host was first seen to hold all chunks of each version;
+  /// incomplete versions are absent.
+  std::map<uint64_t, TimePoint> m_version_complete_at;
+  /// The state at the last call of `m_notify` from `Run`.
+  links::ReplicaUpdate m_last_update;
+};
+
+}  // namespace verbenalead::target
+
+#endif  // VERBENALEAD_TARGET_ENGINE_CONTROLLER_H_
--- a/src/libverbenalead/target/platform_target.cc
+++ b/src/libverbenalead/target/platform_target.cc
@@ -11,13 +11,13 @@
 #include "base/spawn.h"
 #include "http/client.h"
 #include "http/server.h"
-#include "links/datagrams.h"
+#include "links/datagram_socket.h"
 #include "links/process_servers.h"
 #include "platform/store.h"
 #include "target/chunk_server.h"
-#include "target/engine_keeper.h"
-#include "target/place_granter.h"
+#include "target/engine_controller.h"
 #include "target/row_source.h"
+#include "target/slot_granter.h"
 #include "target/transfer_members.h"
 
 namespace verbenalead::target {
@@ -26,19 +26,21 @@
 namespace asio = boost::asio;
 
 constexpr Duration kConnectTimeout = 300ms;
-/// While draws fill the origin's link, answers to new connections wait behind
-/// them.
+/// While origin fetches fill the origin's link, the replies to new connections
+/// are queued behind them.
 constexpr Duration kOriginConnectTimeout = 1s;
 constexpr double kPercent = 100;
-/// How often those who follow are told what changed, and all anew.
-constexpr Duration kNewsInterval = 50ms;
-constexpr uint64_t kRoundsToTellAll = 20;
-/// Of so many rounds, near entries are told what changed in one.
-constexpr uint64_t kRoundsToTellChanges = 2;
-/// How often hosts are asked for their chunk news, and how long such a question
-/// holds.
+/// Interval of the rounds in which subscribers are sent changes.
+constexpr Duration kUpdateSendInterval = 50ms;
+/// In one of this many rounds, subscribers are sent the whole state even if it
+/// has not changed, as datagrams can be lost.
+constexpr uint64_t kRoundsPerFullUpdate = 20;
+/// In one of this many rounds, entries of this data centre are sent changes.
+constexpr uint64_t kRoundsPerChangeUpdate = 2;
+/// Interval at which subscriptions to the chunk updates of hosts are renewed.
 constexpr Duration kFollowInterval = 500ms;
-constexpr Duration kFollowHold = 5s;
+/// Lifetime of a subscription to this host that is not renewed.
+constexpr Duration kSubscriptionLifetime = 5s;
 
 http::ClientOptions Connections() {
   http::ClientOptions options;
@@ -46,11 +48,12 @@
   return options;
 }
 
-/// The origin takes few connections of all hosts together; kept ones of 45
-/// hosts left no room for the 31 that came later.
+/// The origin accepts few connections of all hosts together, so connections to
+/// it are not kept. Kept connections of 45 hosts left none for 31 hosts that
+/// connected later.
 http::ClientOptions OriginConnections() {
   http::ClientOptions options = Connections();
-  options.m_keep = false;
+  options.m_reuse_connections = false;
   options.m_connect_timeout = kOriginConnectTimeout;
   return options;
 }
@@ -69,149 +72,162 @@
         m_fetcher(m_state,
                   m_http,
                   m_origin,
-                  [this](const links::DrawNews& news) { TellDraws(news); }),
+                  [this](const links::OriginFetchUpdate& update) {
+                    AnnounceOriginFetches(update);
+                  }),
         m_datagrams(m_threads.main(), m_state.m_options.m_peers),
-        m_places(m_state, m_datagrams, [this] { return m_keeper.News(); }),
+        m_slot_granter(m_state,
+                       m_datagrams,
+                       [this] { return m_engine_controller.CurrentUpdate(); }),
         m_chunks(
             m_state,
             m_engine,
-            [this] { return m_places.Calls().m_calls > 0; },
+            [this] { return m_slot_granter.Calls().m_calls > 0; },
             [this](uint64_t version, uint32_t chunk) {
-              m_fetcher.NoteSpoilt(version, chunk);
+              m_fetcher.RecordCorruptChunk(version, chunk);
             }),
-        m_keeper(
+        m_engine_controller(
             m_state,
             m_engine,
             m_fetcher,
-            [this] { m_places.TellAll(); },
-            [this] { return m_pool_fullness; }),
+            [this] { m_slot_granter.SendToAll(); },
+            [this] { return m_pool_utilisation; }),
         m_rows(m_threads.main(), m_state, m_store, m_http),
         m_chunk_server(
             m_threads,
             {},
             [this](const wire::Request& request, wire::ResponseWriter& caller) {
-              return m_chunks.Tell(request, caller);
+              return m_chunks.Respond(request, caller);
             }),
         m_metrics(m_threads, {}, links::MetricsHandler(m_state.m_metrics)),
         m_signals(m_threads.main(), SIGTERM, SIGINT, SIGHUP) {}
 
   void TakeMessage(const Endpoint& sender, const links::Message& message) {
-    if (const auto* follow = std::get_if<links::FollowRequest>(&message)) {
-      TakeFollower(sender, *follow);
-    } else if (const auto* calls = std::get_if<links::CallNews>(&message)) {
-      if (IsOwn(sender, calls->m_replica))
-        m_places.TakeCalls(sender, *calls);
-    } else if (const auto* ask = std::get_if<links::PlaceRequest>(&message)) {
-      if (IsOwn(sender, ask->m_replica))
-        m_places.Grant(sender, *ask);
+    if (const auto* follow =
+            std::get_if<links::SubscriptionRequest>(&message)) {
+      HandleFollowRequest(sender, *follow);
+    } else if (const auto* calls = std::get_if<links::CallUpdate>(&message)) {
+      if (IsOwnReplica(sender, calls->m_replica))
+        m_slot_granter.HandleCallReport(sender, *calls);
+    } else if (const auto* slot_request =
+                   std::get_if<links::SlotRequestMessage>(&message)) {
+      if (IsOwnReplica(sender, slot_request->m_replica))
+        m_slot_granter.Grant(sender, *slot_request);
     } else if (const auto* withdrawal =
-                   std::get_if<links::PlaceWithdrawal>(&message)) {
-      m_places.Withdraw(sender, withdrawal->m_ticket);
-    } else if (const auto* news = std::get_if<links::ChunkNews>(&message)) {
-      m_fetcher.TakeNews(*news);
-    } else if (const auto* draws = std::get_if<links::DrawNews>(&message)) {
-      m_fetcher.TakeDraws(*draws);
+                   std::get_if<links::SlotWithdrawal>(&message)) {
+      m_slot_granter.Withdraw(sender, withdrawal->m_ticket);
+    } else if (const auto* update = std::get_if<links::ChunkUpdate>(&message)) {
+      m_fetcher.HandleChunkUpdate(*update);
+    } else if (const auto* origin_fetches =
+                   std::get_if<links::OriginFetchUpdate>(&message)) {
+      m_fetcher.HandleOriginFetches(*origin_fetches);
     }
   }
 
-  /// Whether `entry` speaks of the replica on this host. Entries know the list
-  /// of replicas sooner than this process, which takes it over from one that
-  /// knows another replica: it has started anew, and a target that doesn't
-  /// answer for it leaves the entries to guess.
-  bool IsOwn(const Endpoint& entry, const std::string& replica) {
+  /// Whether `replica`, named in a message of `entry`, is the replica on this
+  /// host. If not, reads the list of replicas from `entry`: the replica may
+  /// have restarted under a new id, which entries learn before this process.
+  /// Until this process knows the new id, it grants no slots at the replica,
+  /// and entries have no information about it.
+  bool IsOwnReplica(const Endpoint& entry, const std::string& replica) {
     const model::Replica* own = OwnReplica(m_state);
     if (own && own->m_id == replica)
       return true;
-    m_rows.FetchReplicas(entry);
+    m_rows.RequestReplicaRows(entry);
     return false;
   }
 
-  void TakeFollower(const Endpoint& sender,
-                    const links::FollowRequest& request) {
-    const TimePoint until = Now() + kFollowHold;
-    if (request.m_chunks) {
-      const bool known = m_chunk_followers.contains(sender);
-      m_chunk_followers[sender] = until;
+  void HandleFollowRequest(const Endpoint& sender,
+                           const links::SubscriptionRequest& request) {
+    const TimePoint until = Now() + kSubscriptionLifetime;
+    if (request.m_wants_chunks) {
+      const bool known = m_chunk_subscribers.contains(sender);
+      m_chunk_subscribers[sender] = until;
       if (!known)
-        TellChunks(sender);
+        SendChunkUpdate(sender);
       return;
     }
-    m_rows.TakeTold(sender, request);
-    // Far entries learn of this replica from their near ones.
-    if (request.m_near) {
-      m_places.Follow(sender, until);
-      m_pool_fullness = request.m_fullness_percent / kPercent;
+    m_rows.HandleAnnouncement(sender, request);
+    // Entries elsewhere learn the state of this replica from the entries of
+    // this data centre.
+    if (request.m_same_data_center) {
+      m_slot_granter.Follow(sender, until);
+      m_pool_utilisation = request.m_used_slots_percent / kPercent;
     }
   }
 
-  void TellChunks(const Endpoint& to) {
+  void SendChunkUpdate(const Endpoint& to) {
     if (!m_state.m_engine)
       return;
     for (const auto& [version, cached] : m_state.m_cache.versions()) {
-      links::ChunkNews news;
-      news.m_host = m_state.m_options.m_peers.address();
-      news.m_model = m_state.m_engine->m_model;
-      news.m_version = version;
-      news.m_chunks = m_state.m_cache.Held(version);
-      m_datagrams.Send(to, news);
+      links::ChunkUpdate update;
+      update.m_host = m_state.m_options.m_peers.address();
+      update.m_model = m_state.m_engine->m_model;
+      update.m_version = version;
+      update.m_chunks = m_state.m_cache.Held(version);
+      m_datagrams.Send(to, update);
     }
   }
 
-  void TellDraws(const links::DrawNews& news) {
+  void AnnounceOriginFetches(const links::OriginFetchUpdate& update) {
     for (const decide::TransferMember& member : OtherMembers(m_state))
       m_datagrams.Send(
-          Endpoint(member.m_name, m_state.m_options.m_peers.port()), news);
+          Endpoint(member.m_name, m_state.m_options.m_peers.port()), update);
   }
 
-  uint64_t HeldChunks() const {
+  /// A value that changes when chunks arrive or a newer version is added.
+  uint64_t HeldChunkCount() const {
     uint64_t held = 0;
     for (const auto& [version, cached] : m_state.m_cache.versions())
       held += m_state.m_cache.Held(version).size() + version;
     return held;
   }
 
+  /// Sends updates to the subscribed hosts and entries. Doesn't return.
   Awaitable<void> SendNews() {
-    uint64_t told = 0;
+    uint64_t last_sent = 0;
     uint64_t round = 0;
     while (true) {
-      co_await Sleep(kNewsInterval);
+      co_await Sleep(kUpdateSendInterval);
       const TimePoint now = Now();
-      std::erase_if(m_chunk_followers, [now](const auto& follower) {
+      std::erase_if(m_chunk_subscribers, [now](const auto& follower) {
         return follower.second <= now;
       });
-      m_places.ForgetSilent(now);
-      const bool all = ++round % kRoundsToTellAll == 0;
-      if (HeldChunks() != told || all) {
-        told = HeldChunks();
-        for (const auto& [host, until] : m_chunk_followers)
-          TellChunks(host);
+      m_slot_granter.ExpireSilentEntries(now);
+      const bool all = ++round % kRoundsPerFullUpdate == 0;
+      if (HeldChunkCount() != last_sent || all) {
+        last_sent = HeldChunkCount();
+        for (const auto& [host, until] : m_chunk_subscribers)
+          SendChunkUpdate(host);
       }
       if (all)
-        m_places.TellAll();
-      else if (round % kRoundsToTellChanges == 0)
-        m_places.TellChanges();
+        m_slot_granter.SendToAll();
+      else if (round % kRoundsPerChangeUpdate == 0)
+        m_slot_granter.SendChanges();
     }
   }
 
+  /// Subscribes to the chunk updates of the hosts that the transfers need: to
+  /// new ones at once, to all every `kFollowInterval`. Doesn't return.
   Awaitable<void> FollowHosts() {
-    std::set<std::string> asked;
-    TimePoint ask_all{};
+    std::set<std::string> subscribed;
+    TimePoint next_renewal{};
     while (true) {
-      const bool all = ask_all <= Now();
+      const bool all = next_renewal <= Now();
       if (all)
-        ask_all = Now() + kFollowInterval;
-      std::set<std::string> followed;
-      for (const std::string& host : m_fetcher.Followed()) {
-        followed.insert(host);
-        if (!all && asked.contains(host))
+        next_renewal = Now() + kFollowInterval;
+      std::set<std::string> needed;
+      for (const std::string& host : m_fetcher.FollowedHosts()) {
+        needed.insert(host);
+        if (!all && subscribed.contains(host))
           continue;
-        links::FollowRequest request;
-        request.m_chunks = true;
+        links::SubscriptionRequest request;
+        request.m_wants_chunks = true;
         m_datagrams.Send(Endpoint(host, m_state.m_options.m_peers.port()),
                          request);
       }
-      asked = std::move(followed);
-      co_await Sleep(kNewsInterval);
+      subscribed = std::move(needed);
+      co_await Sleep(kUpdateSendInterval);
     }
   }
 
@@ -222,8 +238,9 @@
         break;
       LogLine("reload").With("changed", false).Info();
     }
-    // Nothing of ours is under way for callers; a load that was ordered goes on
-    // in the engine, and the next process finds it there.
+    // No caller depends on this process, so there is nothing to drain. A load
+    // that was ordered continues in the engine, and the next target process
+    // finds it there.
     LogLine("stopping").Info();
     m_threads.Stop();
   }
@@ -236,19 +253,19 @@
   http::Client m_origin_http;
   platform::OriginClient m_origin;
   ChunkFetcher m_fetcher;
-  links::Datagrams m_datagrams;
-  PlaceGranter m_places;
+  links::DatagramSocket m_datagrams;
+  SlotGranter m_slot_granter;
   ChunkServer m_chunks;
-  EngineKeeper m_keeper;
+  EngineController m_engine_controller;
   RowSource m_rows;
   http::Server m_chunk_server;
   http::Server m_metrics;
   asio::signal_set m_signals;
-  /// The part of the places of this service that is taken, by the last word of
-  /// a near entry.
-  double m_pool_fullness = 1;
-  /// Who wants news, until when.
-  std::map<Endpoint, TimePoint> m_chunk_followers;
+  /// Share of the slots of this service that are in use, 0 to 1, as last
+  /// reported by an entry of this data centre.
+  double m_pool_utilisation = 1;
+  /// Hosts that subscribed to chunk updates, and when the subscription ends.
+  std::map<Endpoint, TimePoint> m_chunk_subscribers;
 };
 
 PlatformTarget::PlatformTarget(const Settings& settings)
@@ -270,7 +287,7 @@
     return 1;
   const auto main = parts.m_threads.main();
   parts.m_rows.Start();
-  SpawnLoop(main, parts.m_keeper.Run(), "keep_engine");
+  SpawnLoop(main, parts.m_engine_controller.Run(), "keep_engine");
   SpawnLoop(main, parts.SendNews(), "send_news");
   SpawnLoop(main, parts.FollowHosts(), "follow_hosts");
   SpawnLoop(main, parts.AwaitSignals(), "await_signals");
--- a/src/libverbenalead/target/row_source_test.cc
+++ b/src/libverbenalead/target/row_source_test.cc
@@ -18,20 +18,20 @@
 constexpr char kConfig[] =
     R"({"version":7,"services":[{"name":"pool","engine":{"slots":16,)"
     R"("chunks":48,"models":[{"name":"m"}]}}]})";
-constexpr char kPlainConfig[] =
+constexpr char kConfigWithoutEngine[] =
     R"({"version":7,"services":[{"name":"pool","engine":null}]})";
-constexpr char kDeclared[] = R"({"model":"m","version":2})";
+constexpr char kDeclaration[] = R"({"model":"m","version":2})";
 constexpr char kReplica[] =
     R"({"service":"pool","address":"10.0.1.1:80","zone":"a","slots":4,)"
     R"("state":"ready"})";
 
 class RowSourceTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RowSourceTest);
-  CPPUNIT_TEST(AfterAStartItTakesOverFromANearEntry);
-  CPPUNIT_TEST(AnEntryThatKnowsNothingYetIsPassedOver);
-  CPPUNIT_TEST(WithoutAnEngineTheStoreIsLeftAlone);
-  CPPUNIT_TEST(NewWeightsAreTakenOverFromWhoTells);
-  CPPUNIT_TEST(AKnownListOfReplicasIsNotTakenOverAgain);
+  CPPUNIT_TEST(ReadsRowsFromLocalEntryAfterStart);
+  CPPUNIT_TEST(SkipsEntryWithoutRows);
+  CPPUNIT_TEST(DoesNotReadStoreWithoutEngine);
+  CPPUNIT_TEST(ReadsNewWeightsFromAnnouncingEntry);
+  CPPUNIT_TEST(DoesNotReadKnownReplicasAgain);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -48,39 +48,42 @@
     m_http->m_answers["store/rows-get"] = EntryRows({"10.0.0.1"});
   }
 
-  // Callers get no answer for 20 s: all processes were killed, and each host
-  // reads 390 KB from the store over one link. It takes what it needs over from
-  // an entry of its data centre, and asks the store for the entries there only.
-  void AfterAStartItTakesOverFromANearEntry() {
-    Tells("10.0.0.1", 5, 3s);
+  // Guards against callers without a response for 20 s after all processes were
+  // killed, because each host reads 390 KB from the store over one link. A
+  // target reads its rows from an entry of its data centre, and from the store
+  // only the list of entries there.
+  void ReadsRowsFromLocalEntryAfterStart() {
+    PrepareEntry("10.0.0.1", 5, 3s);
     m_rows->Start();
     m_io->run_for(100ms);
     CPPUNIT_ASSERT(m_state->m_engine);
     CPPUNIT_ASSERT_EQUAL(48U, m_state->m_engine->m_chunks);
     CPPUNIT_ASSERT_EQUAL(size_t{1}, m_state->m_replicas.size());
-    // Turns count from the declaration, not from when it is heard of.
+    // Loads are scheduled from the time of the declaration, not from the time
+    // at which this process learns of it.
     CPPUNIT_ASSERT(Now() - m_state->m_declared.at(2) >= Duration(3s));
     CPPUNIT_ASSERT_EQUAL(std::ptrdiff_t{1},
                          std::count(m_http->m_asked.begin(),
                                     m_http->m_asked.end(), "store/rows-get"));
-    const std::string& question = m_http->m_targets.front();
-    CPPUNIT_ASSERT(question.find(platform::kEntryTable) != std::string::npos);
-    CPPUNIT_ASSERT(question.find("part=a") != std::string::npos);
+    const std::string& query = m_http->m_targets.front();
+    CPPUNIT_ASSERT(query.find(platform::kEntryTable) != std::string::npos);
+    CPPUNIT_ASSERT(query.find("part=a") != std::string::npos);
   }
 
-  void AnEntryThatKnowsNothingYetIsPassedOver() {
+  void SkipsEntryWithoutRows() {
     m_http->m_answers["store/rows-get"] = EntryRows({"10.0.0.1", "10.0.0.2"});
-    Tells("10.0.0.2", 5, 0s);
+    PrepareEntry("10.0.0.2", 5, 0s);
     m_rows->Start();
     m_io->run_for(500ms);
     CPPUNIT_ASSERT(m_state->m_engine);
   }
 
-  // Entries know the tables later after a start of everything: the processes
-  // beside plain replicas, which no entry tells anything, read both from the
-  // store over the links that entries need.
-  void WithoutAnEngineTheStoreIsLeftAlone() {
-    Tells("10.0.0.1", 5, 0s, kPlainConfig);
+  // Target processes whose replica has no engine get no announcements. Guards
+  // against a version in which they read the operator's and the replicas' table
+  // from the store: after a start of all processes, these reads took up the
+  // links that entries need, and entries learned the tables late.
+  void DoesNotReadStoreWithoutEngine() {
+    PrepareEntry("10.0.0.1", 5, 0s, kConfigWithoutEngine);
     m_rows->Start();
     m_io->run_for(6s);
     CPPUNIT_ASSERT(m_state->m_config_version > 0);
@@ -93,43 +96,43 @@
                    "10.0.0.1/v1/replica-rows"));
   }
 
-  void NewWeightsAreTakenOverFromWhoTells() {
-    Tells("10.0.0.1", 5, 0s);
+  void ReadsNewWeightsFromAnnouncingEntry() {
+    PrepareEntry("10.0.0.1", 5, 0s);
     m_rows->Start();
     m_io->run_for(400ms);
     m_http->m_asked.clear();
-    links::FollowRequest request;
-    request.m_near = true;
+    links::SubscriptionRequest request;
+    request.m_same_data_center = true;
     request.m_weights_revision = 5;
     request.m_replicas_hash = 0;
-    m_rows->TakeTold(Endpoint("10.0.0.1", 2), request);
+    m_rows->HandleAnnouncement(Endpoint("10.0.0.1", 2), request);
     m_io->restart();
     m_io->run_for(20ms);
-    // Nothing new but another list of replicas.
+    // Only the list of replicas differs from the one known here.
     CPPUNIT_ASSERT(m_http->m_asked ==
                    std::vector<std::string>({"10.0.0.1/v1/replica-rows"}));
     m_http->m_asked.clear();
     request.m_weights_revision = 6;
-    m_rows->TakeTold(Endpoint("10.0.0.1", 2), request);
+    m_rows->HandleAnnouncement(Endpoint("10.0.0.1", 2), request);
     m_io->restart();
     m_io->run_for(20ms);
     CPPUNIT_ASSERT_EQUAL(std::string("10.0.0.1/v1/target-rows"),
                          m_http->m_asked.at(0));
   }
 
-  // Hosts hear of new weights late: all of a data centre took over the
-  // list of replicas with them, 80 KB each over the link of one entry. It is
-  // the one that they have.
-  void AKnownListOfReplicasIsNotTakenOverAgain() {
-    Tells("10.0.0.1", 5, 0s);
+  // Guards against hosts that learn of new weights late, because all hosts of a
+  // data centre read the list of replicas with them, 80 KB each over the link
+  // of one entry. A list that is known already must not be read again.
+  void DoesNotReadKnownReplicasAgain() {
+    PrepareEntry("10.0.0.1", 5, 0s);
     m_rows->Start();
     m_io->run_for(400ms);
     m_http->m_asked.clear();
-    links::FollowRequest request;
-    request.m_near = true;
+    links::SubscriptionRequest request;
+    request.m_same_data_center = true;
     request.m_weights_revision = 6;
     request.m_replicas_hash = decide::HashOf(m_state->m_replicas);
-    m_rows->TakeTold(Endpoint("10.0.0.1", 2), request);
+    m_rows->HandleAnnouncement(Endpoint("10.0.0.1", 2), request);
     m_io->restart();
     m_io->run_for(20ms);
     CPPUNIT_ASSERT(m_http->m_asked ==
@@ -137,35 +140,36 @@
   }
 
  private:
-  /// The store's answer about entries on these hosts.
+  /// The store's response to a read of the table of entries.
   static wire::Response EntryRows(const std::vector<std::string>& hosts) {
     std::string rows;
     for (const std::string& host : hosts) {
-      links::EntryNews news;
-      news.m_address = {host, "a", Endpoint(host, 1), Endpoint(host, 2)};
+      links::EntryUpdate update;
+      update.m_address = {host, "a", Endpoint(host, 1), Endpoint(host, 2)};
       rows += std::string(rows.empty() ? "" : ",") + R"({"key":")" + host +
               R"(","ver":1,"value":")" +
-              EncodeBase64(links::EncodeMessage(news)) + "\"}";
+              EncodeBase64(links::EncodeMessage(update)) + "\"}";
     }
     return wire::JsonResponse(
         200, R"({"ver":9,"now_ms":1000,"rows":[)" + rows + "]}");
   }
 
-  /// An entry tells its rows, of which the declaration is `age` old.
-  void Tells(const std::string& host,
-             uint64_t revision,
-             Duration age,
-             const std::string& config = kConfig) {
+  /// Prepares the responses of the entry on `host`, with a declaration of
+  /// weights that is `age` old.
+  void PrepareEntry(const std::string& host,
+                    uint64_t revision,
+                    Duration age,
+                    const std::string& config = kConfig) {
     const std::map<std::string, platform::Row> operator_rows = {
         {"config", {"config", config, 1, false}},
-        {"version/m", {"version/m", kDeclared, revision, false}}};
-    const links::RelayFacts facts = {100s, 100s + age, std::nullopt};
+        {"version/m", {"version/m", kDeclaration, revision, false}}};
+    const links::RelayMetadata facts = {100s, 100s + age, std::nullopt};
     m_http->m_answers[host + links::kTargetRowsPath] =
-        wire::Response(200, links::EncodeFacts(facts),
+        wire::Response(200, links::EncodeRelayMetadata(facts),
                        Deflate(links::EncodeRows(operator_rows, revision,
                                                  {{"version/m", 100s}})));
     m_http->m_answers[host + links::kReplicaRowsPath] =
-        wire::Response(200, links::EncodeFacts(facts),
+        wire::Response(200, links::EncodeRelayMetadata(facts),
                        Deflate(links::EncodeRows(
                            {{"i-1", {"i-1", kReplica, 3, false}}}, 3, {})));
   }
--- /dev/null
+++ b/src/libverbenalead/target/slot_granter.cc
@@ -0,0 +1,150 @@
+#include "target/slot_granter.h"
+
+namespace verbenalead::target {
+namespace {
+
+/// Time after the last report of an entry until its calls no longer count.
+constexpr Duration kCallReportLifetime = 2500ms;
+
+}  // namespace
+
+void SlotGranter::Grant(const Endpoint& entry,
+                        const links::SlotRequestMessage& request) {
+  if (!m_state.m_engine)
+    return;
+  EntrySubscription& follower = m_entries[entry];
+  follower.m_calls = request.m_calls;
+  follower.m_calls_reported_at = Now();
+  m_queue.m_slots = m_state.m_engine->m_slots;
+  m_queue.m_prefill_rate = m_state.m_engine->m_prefill_rate;
+  const TimePoint now = Now();
+  decide::SlotRequest slot_request;
+  slot_request.m_entry = entry;
+  slot_request.m_ticket = request.m_ticket;
+  slot_request.m_prompt_tokens = request.m_prompt_tokens;
+  slot_request.m_can_be_on_time = request.m_can_be_on_time;
+  slot_request.m_read_deadline = now + request.m_read_within;
+  slot_request.m_until = now + request.m_max_wait;
+  links::SlotAnswer answer;
+  answer.m_ticket = request.m_ticket;
+  answer.m_update = UpdateFor(follower);
+  if (!answer.m_update.m_loading) {
+    const auto decision =
+        decide::RequestSlot(m_queue, slot_request, Load(), now);
+    answer.m_granted = decision == decide::SlotVerdict::kGranted;
+    answer.m_queued = decision == decide::SlotVerdict::kQueued;
+  }
+  follower.m_slot_denied = !answer.m_granted && !answer.m_queued;
+  if (answer.m_granted)
+    CountGranted(follower, request.m_prompt_tokens);
+  m_datagrams.Send(entry, answer);
+}
+
+void SlotGranter::Withdraw(const Endpoint& entry, uint64_t ticket) {
+  decide::WithdrawRequest(m_queue, entry, ticket);
+}
+
+void SlotGranter::CountGranted(EntrySubscription& follower,
+                               uint32_t prompt_tokens) {
+  ++follower.m_calls.m_calls;
+  follower.m_calls.m_unread_tokens += prompt_tokens;
+}
+
+void SlotGranter::GrantWaiting() {
+  if (m_queue.m_slot_requests.empty() || m_engine_update().m_loading)
+    return;
+  for (const decide::SlotRequest& slot_request :
+       decide::GrantSlots(m_queue, Load(), Now())) {
+    EntrySubscription& follower = m_entries[slot_request.m_entry];
+    links::SlotAnswer answer;
+    answer.m_ticket = slot_request.m_ticket;
+    answer.m_granted = true;
+    answer.m_update = UpdateFor(follower);
+    CountGranted(follower, slot_request.m_prompt_tokens);
+    m_datagrams.Send(slot_request.m_entry, answer);
+  }
+}
+
+void SlotGranter::HandleCallReport(const Endpoint& entry,
+                                   const links::CallUpdate& update) {
+  EntrySubscription& follower = m_entries[entry];
+  follower.m_calls = update.m_calls;
+  follower.m_calls_reported_at = Now();
+  GrantWaiting();
+  // Entries that were denied a slot may have calls waiting, so they are
+  // notified of the change at once.
+  SendUpdates([](const EntrySubscription& other, const links::ReplicaUpdate&) {
+    return other.m_slot_denied;
+  });
+}
+
+void SlotGranter::Follow(const Endpoint& entry, TimePoint until) {
+  m_entries[entry].m_expires_at = until;
+}
+
+void SlotGranter::SendToAll() {
+  SendUpdates([](const EntrySubscription&, const links::ReplicaUpdate&) {
+    return true;
+  });
+}
+
+void SlotGranter::SendChanges() {
+  SendUpdates([](const EntrySubscription& follower,
+                 const links::ReplicaUpdate& update) {
+    return update != follower.m_last_update;
+  });
+}
+
+void SlotGranter::ExpireSilentEntries(TimePoint now) {
+  // An entry that died does not report the end of its calls.
+  for (auto& [entry, follower] : m_entries) {
+    if (follower.m_calls_reported_at + kCallReportLifetime <= now)
+      follower.m_calls = {};
+  }
+  GrantWaiting();
+  std::erase_if(m_entries, [now](const auto& entry) {
+    return entry.second.m_expires_at <= now &&
+           entry.second.m_calls.m_calls == 0;
+  });
+}
+
+links::ReplicaCalls SlotGranter::Calls() const {
+  links::ReplicaCalls sum;
+  for (const auto& [entry, follower] : m_entries) {
+    sum.m_calls += follower.m_calls.m_calls;
+    sum.m_unread_tokens += follower.m_calls.m_unread_tokens;
+  }
+  return sum;
+}
+
+decide::ReplicaLoad SlotGranter::Load() const {
+  const links::ReplicaCalls all = Calls();
+  return {all.m_calls, all.m_unread_tokens};
+}
+
+links::ReplicaUpdate SlotGranter::UpdateFor(
+    const EntrySubscription& follower) const {
+  links::ReplicaUpdate update = m_engine_update();
+  const links::ReplicaCalls all = Calls();
+  update.m_other_entries_calls.m_calls = all.m_calls - follower.m_calls.m_calls;
+  update.m_other_entries_calls.m_unread_tokens =
+      all.m_unread_tokens - follower.m_calls.m_unread_tokens;
+  update.m_queued_calls = static_cast<uint32_t>(m_queue.m_slot_requests.size());
+  return update;
+}
+
+template <typename Which>
+void SlotGranter::SendUpdates(Which which) {
+  if (!OwnReplica(m_state))
+    return;
+  for (auto& [entry, follower] : m_entries) {
+    const links::ReplicaUpdate update = UpdateFor(follower);
+    if (follower.m_expires_at <= Now() || !which(follower, update))
+      continue;
+    follower.m_last_update = update;
+    follower.m_slot_denied = false;
+    m_datagrams.Send(entry, update);
+  }
+}
+
+}  // namespace verbenalead::target
--- /dev/null
+++ b/src/libverbenalead/target/slot_granter_test.cc
@@ -0,0 +1,85 @@
+#include "target/slot_granter.h"
+
+#include <cppunit/extensions/HelperMacros.h>
+
+#include <boost/asio/io_context.hpp>
+
+namespace verbenalead::target {
+namespace {
+
+constexpr uint32_t kSlots = 4;
+const Endpoint kEntry("127.0.0.1", 9);
+const Endpoint kOther("127.0.0.2", 9);
+
+class SlotGranterTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(SlotGranterTest);
+  CPPUNIT_TEST(GrantsNoMoreThanAvailableSlots);
+  CPPUNIT_TEST(LearnsCallsOfEntriesAfterRestart);
+  CPPUNIT_TEST(DropsCallsOfDeadEntry);
+  CPPUNIT_TEST(GrantsNothingWhileLoading);
+  CPPUNIT_TEST_SUITE_END();
+
+ public:
+  void setUp() override {
+    m_state = std::make_unique<TargetState>(TargetOptions());
+    m_state->m_engine = model::EngineProfile();
+    m_state->m_engine->m_slots = kSlots;
+    m_update = {};
+    m_slot_granter = std::make_unique<SlotGranter>(*m_state, m_datagrams,
+                                                   [this] { return m_update; });
+  }
+
+  void GrantsNoMoreThanAvailableSlots() {
+    for (uint32_t call = 0; call < kSlots + 2; ++call)
+      RequestSlot(kEntry, std::min(call, kSlots));
+    CPPUNIT_ASSERT_EQUAL(kSlots, m_slot_granter->Calls().m_calls);
+  }
+
+  // Guards against a first event that is 0.7 s late after a target process was
+  // killed: the new process knows of no calls and would grant all slots again.
+  // Each request states the calls of its entry at the replica, so that the
+  // process needs no stored state.
+  void LearnsCallsOfEntriesAfterRestart() {
+    RequestSlot(kEntry, 2);
+    RequestSlot(kOther, 1);
+    RequestSlot(kOther, 1);
+    CPPUNIT_ASSERT_EQUAL(kSlots, m_slot_granter->Calls().m_calls);
+  }
+
+  // Guards against slots that stay unused because an entry died and does not
+  // report the end of its calls. Its calls count for 2.5 s after its last
+  // report.
+  void DropsCallsOfDeadEntry() {
+    RequestSlot(kEntry, 3);
+    m_slot_granter->ExpireSilentEntries(Now() + 1s);
+    CPPUNIT_ASSERT_EQUAL(kSlots, m_slot_granter->Calls().m_calls);
+    m_slot_granter->ExpireSilentEntries(Now() + 3s);
+    CPPUNIT_ASSERT_EQUAL(0U, m_slot_granter->Calls().m_calls);
+  }
+
+  void GrantsNothingWhileLoading() {
+    m_update.m_loading = true;
+    RequestSlot(kEntry, 0);
+    CPPUNIT_ASSERT_EQUAL(0U, m_slot_granter->Calls().m_calls);
+  }
+
+ private:
+  /// `entry`, which has `calls` at the replica, requests one more slot.
+  void RequestSlot(const Endpoint& entry, uint32_t calls) {
+    links::SlotRequestMessage request;
+    request.m_calls.m_calls = calls;
+    m_slot_granter->Grant(entry, request);
+  }
+
+  boost::asio::io_context m_io;
+  links::DatagramSocket m_datagrams{m_io.get_executor(),
+                                    Endpoint("127.0.0.1", 0)};
+  std::unique_ptr<TargetState> m_state;
+  links::ReplicaUpdate m_update;
+  std::unique_ptr<SlotGranter> m_slot_granter;
+};
+
+CPPUNIT_TEST_SUITE_REGISTRATION(SlotGranterTest);
+
+}  // namespace
+}  // namespace verbenalead::target
--- a/src/libverbenalead/target/staging_engine.h
+++ b/src/libverbenalead/target/staging_engine.h
@@ -10,12 +10,12 @@
 
 namespace verbenalead::target {
 
-/// Stands for an engine's staging area in tests.
+/// Simulates an engine's staging area in tests.
 class StagingEngine : public wire::Client {
  public:
   Awaitable<AsyncResult<std::unique_ptr<wire::ResponseReader>>>
   Open(Endpoint, wire::Request request, TimePoint) override {
-    if (m_down)
+    if (m_unreachable)
       co_return Failure{FailureCode::kUnreachable, "connect", "engine", "down"};
     const std::string chunk =
         request.m_path.substr(request.m_path.find("num=") + 4);
@@ -33,11 +33,12 @@
         std::make_unique<wire::FixedReader>(std::move(response)));
   }
 
-  /// By chunk number.
+  /// Staged bytes by chunk number.
   std::map<std::string, std::string> m_chunks;
   int m_puts = 0;
   int m_reads = 0;
-  bool m_down = false;
+  /// Connections fail.
+  bool m_unreachable = false;
 };
 
 }  // namespace verbenalead::target
--- a/src/libverbenalead/target/target_rows.cc
+++ b/src/libverbenalead/target/target_rows.cc
@@ -13,7 +13,8 @@
 namespace verbenalead::target {
 namespace {
 
-void TakeConfig(TargetState& state, const std::string& text) {
+/// Applies a newer configuration; logs and ignores a malformed one.
+void ApplyConfig(TargetState& state, const std::string& text) {
   auto config = CatchFailure([&] { return platform::DecodeConfig(text); });
   if (!config) {
     LogLine("bad_config").With(config.error()).Error();
@@ -37,7 +38,8 @@
       .Info();
 }
 
-void TakeWeights(TargetState& state, const std::string& text, Duration age) {
+/// Records the declaration of a version of this host's model, made `age` ago.
+void ApplyWeights(TargetState& state, const std::string& text, Duration age) {
   const auto declared = platform::DecodeWeights(text);
   if (!declared) {
     LogLine("bad_weights_row").Error();
@@ -65,30 +67,30 @@
   return nullptr;
 }
 
-void TakeOperatorRows(TargetState& state,
-                      const platform::Rows& rows,
-                      const std::map<std::string, Duration>& ages) {
-  // The configuration first: it says which model this host runs.
+void ApplyOperatorRows(TargetState& state,
+                       const platform::Rows& rows,
+                       const std::map<std::string, Duration>& ages) {
+  // The configuration comes first, as it defines which model this host runs.
   for (const platform::Row& row : rows.m_rows) {
     if (!row.m_deleted && row.m_key == platform::kConfigKey)
-      TakeConfig(state, row.m_value);
+      ApplyConfig(state, row.m_value);
   }
   for (const platform::Row& row : rows.m_rows) {
     if (row.m_deleted || !row.m_key.starts_with(platform::kWeightsKeyPrefix))
       continue;
     const auto age = ages.find(row.m_key);
-    TakeWeights(state, row.m_value,
-                age == ages.end() ? Duration() : age->second);
+    ApplyWeights(state, row.m_value,
+                 age == ages.end() ? Duration() : age->second);
   }
 }
 
-bool RunsEngine(const TargetState& state, const platform::Rows& rows) {
+bool HasEngine(const TargetState& state, const platform::Rows& rows) {
   for (const platform::Row& row : rows.m_rows) {
     if (row.m_deleted || row.m_key != platform::kConfigKey)
       continue;
     auto config =
         CatchFailure([&] { return platform::DecodeConfig(row.m_value); });
-    // TakeOperatorRows says why it can't be read.
+    // ApplyOperatorRows logs why the configuration is malformed.
     if (!config)
       return false;
     return std::any_of(config->m_services.begin(), config->m_services.end(),
@@ -100,10 +102,10 @@
   return false;
 }
 
-void TakeReplicaRows(TargetState& state,
-                     const platform::Rows& rows,
-                     bool whole) {
-  if (whole)
+void ApplyReplicaRows(TargetState& state,
+                      const platform::Rows& rows,
+                      bool is_snapshot) {
+  if (is_snapshot)
     state.m_listed.clear();
   for (const platform::Row& row : rows.m_rows) {
     state.m_listed.erase(row.m_key);
--- a/src/libverbenalead/target/upload_gate.cc
+++ b/src/libverbenalead/target/upload_admission.cc
@@ -1,4 +1,4 @@
-#include "target/upload_gate.h"
+#include "target/upload_admission.h"
 
 #include <boost/asio/redirect_error.hpp>
 #include <boost/asio/this_coro.hpp>
@@ -7,16 +7,18 @@
 namespace verbenalead::target {
 namespace {
 
-/// How often a waiting upload looks whether those under way are held up.
+/// Interval at which a waiting upload checks whether the current uploads are
+/// slowed down by their receivers (`decide::kSlowUpload`), so that it may
+/// begin.
 constexpr Duration kLook = 100ms;
 
 }  // namespace
 
-Awaitable<void> UploadGate::Wait(uint64_t id,
-                                 uint64_t version,
-                                 decide::UploadRequest request) {
+Awaitable<void> UploadAdmission::Wait(uint64_t id,
+                                      uint64_t version,
+                                      decide::UploadRequest request) {
   request.m_id = id;
-  decide::Ask(m_turns, version, request);
+  decide::EnqueueRequest(m_slots, version, request);
   auto timer = std::make_shared<boost::asio::steady_timer>(
       co_await boost::asio::this_coro::executor);
   m_waiting[id] = timer;
@@ -30,17 +32,17 @@
   }
 }
 
-void UploadGate::End(uint64_t id) {
-  decide::End(m_turns, id);
+void UploadAdmission::End(uint64_t id) {
+  decide::EndUpload(m_slots, id);
   m_waiting.erase(id);
   Admit();
 }
 
-void UploadGate::Admit() {
-  while (const auto id = decide::Next(m_turns, Now())) {
+void UploadAdmission::Admit() {
+  while (const auto id = decide::StartNextUpload(m_slots, Now())) {
     const auto found = m_waiting.find(*id);
     if (found == m_waiting.end()) {
-      decide::End(m_turns, *id);
+      decide::EndUpload(m_slots, *id);
       continue;
     }
     found->second->cancel();
--- a/src/libverbenalead/wire/recording_writer.h
+++ b/src/libverbenalead/wire/recording_writer.h
@@ -9,19 +9,19 @@
 
 namespace verbenalead::wire {
 
-/// Stands for a caller in tests: keeps what it is sent.
+/// A ResponseWriter for tests that acts as the caller and records the response.
 class RecordingWriter : public ResponseWriter {
  public:
   Awaitable<bool> Send(Response response) override {
-    m_heads += m_whole ? 2 : 1;
+    m_head_count += m_complete ? 2 : 1;
     m_status = response.m_status;
     m_headers = std::move(response.m_headers);
     m_body += response.m_body;
-    m_whole = true;
+    m_complete = true;
     co_return true;
   }
   Awaitable<bool> Start(ResponseHead head) override {
-    ++m_heads;
+    ++m_head_count;
     m_status = head.m_status;
     m_headers = std::move(head.m_headers);
     co_return true;
@@ -31,32 +31,33 @@
     co_return true;
   }
   Awaitable<bool> Finish(Headers) override {
-    m_whole = true;
+    m_complete = true;
     co_return true;
   }
-  bool gone() const override { return m_gone; }
-  void OnGone(std::function<void()> function) override {
-    m_on_gone = std::move(function);
+  bool disconnected() const override { return m_disconnected; }
+  void OnDisconnect(std::function<void()> function) override {
+    m_on_disconnect = std::move(function);
   }
 
-  /// The caller closes its connection.
-  void Leave() {
-    m_gone = true;
-    if (const auto on_gone = std::exchange(m_on_gone, nullptr))
-      on_gone();
+  /// Simulates that the caller closes its connection.
+  void Disconnect() {
+    m_disconnected = true;
+    if (const auto on_disconnect = std::exchange(m_on_disconnect, nullptr))
+      on_disconnect();
   }
 
-  /// Heads that were sent: one for each sound answer.
-  int m_heads = 0;
+  /// Number of heads sent. A correct response has exactly one; a Send() after a
+  /// complete response counts as 2.
+  int m_head_count = 0;
   int m_status = 0;
   Headers m_headers;
   std::string m_body;
-  /// The answer came to its end.
-  bool m_whole = false;
+  /// Whether the response was completed.
+  bool m_complete = false;
 
  private:
-  std::function<void()> m_on_gone;
-  bool m_gone = false;
+  std::function<void()> m_on_disconnect;
+  bool m_disconnected = false;
 };
 
 }  // namespace verbenalead::wire
--- a/src/vlctl/apply.cc
+++ b/src/vlctl/apply.cc
@@ -25,24 +25,25 @@
   return text.str();
 }
 
-ExitCode ApplyOne(const Context& context,
+ExitCode ApplyOne(const CommandContext& context,
                   const json::object& resource,
                   const std::string& operation) {
   if (!resource.contains("kind") || !resource.contains("name") ||
       !resource.contains("spec"))
-    return Complain(kBadUse, "a resource needs kind, name and spec");
+    return PrintError(kUsageError, "a resource needs kind, name and spec");
   wire::Headers headers{{"x-operation-id", operation},
                         {"x-operator", context.m_operator},
                         {"content-type", "application/json"}};
   if (resource.contains("revision"))
-    headers["if-match"] = Show(resource.at("revision"));
-  const std::string path = "/v1/resources/" + Show(resource.at("kind")) + "/" +
-                           Show(resource.at("name"));
+    headers["if-match"] = ToDisplayText(resource.at("revision"));
+  const std::string path = "/v1/resources/" +
+                           ToDisplayText(resource.at("kind")) + "/" +
+                           ToDisplayText(resource.at("name"));
   json::object answer;
   const ExitCode code =
-      ReadObject(context.m_client.Call("PUT", path, headers,
-                                       json::serialize(resource.at("spec"))),
-                 answer);
+      ParseResponse(context.m_client.Call("PUT", path, headers,
+                                          json::serialize(resource.at("spec"))),
+                    answer);
   if (code != kOk) {
     std::cerr << "vlctl: operation " << operation << "\n";
     return code;
@@ -51,16 +52,19 @@
     std::cout << json::serialize(answer) << "\n";
   else
     fmt::print("{}/{} accepted at revision {}, held by {} other entries\n",
-               Show(answer.at("kind")), Show(answer.at("name")),
-               Show(answer.at("revision")), Show(answer.at("held_by")));
+               ToDisplayText(answer.at("kind")),
+               ToDisplayText(answer.at("name")),
+               ToDisplayText(answer.at("revision")),
+               ToDisplayText(answer.at("held_by")));
   return kOk;
 }
 
-/// Where the kind of `resource` stands in the order in which kinds name each
-/// other; unknown kinds last.
-size_t OrderOf(const json::object& resource) {
+/// Index of the kind of `resource` in the order of declaration, in which each
+/// kind comes after the kinds that its resources refer to. Unknown kinds come
+/// last.
+size_t DeclarationOrder(const json::object& resource) {
   const json::value* kind = resource.if_contains("kind");
-  const std::string name = kind != nullptr ? Show(*kind) : "";
+  const std::string name = kind != nullptr ? ToDisplayText(*kind) : "";
   const std::vector<std::string>& kinds = model::ResourceKinds();
   return static_cast<size_t>(std::find(kinds.begin(), kinds.end(), name) -
                              kinds.begin());
@@ -68,29 +72,30 @@
 
 }  // namespace
 
-ExitCode Apply(const Context& context,
+ExitCode Apply(const CommandContext& context,
                const std::string& path,
                const std::string& operation) {
   auto text = ReadFile(path);
   if (!text)
-    return Complain(kBadUse, ToString(text.error()));
+    return PrintError(kUsageError, ToString(text.error()));
   boost::system::error_code error;
   const json::value document = json::parse(*text, error);
   if (error)
-    return Complain(kBadUse, path + " is not JSON: " + error.message());
+    return PrintError(kUsageError, path + " is not JSON: " + error.message());
   const json::array list =
       document.is_array() ? document.get_array() : json::array{document};
   const std::string base = operation.empty() ? NewId() : operation;
   std::vector<json::object> resources;
   for (const json::value& item : list) {
     if (!item.is_object())
-      return Complain(kBadUse, "a resource must be a JSON object");
+      return PrintError(kUsageError, "a resource must be a JSON object");
     resources.push_back(item.get_object());
   }
-  // What others name is declared first: the order in the file is free.
+  // Declares a resource before those that refer to it, so that the order of the
+  // resources in the file does not matter.
   std::stable_sort(resources.begin(), resources.end(),
                    [](const json::object& a, const json::object& b) {
-                     return OrderOf(a) < OrderOf(b);
+                     return DeclarationOrder(a) < DeclarationOrder(b);
                    });
   size_t number = 0;
   for (const json::object& resource : resources) {
--- a/src/vlctl/commands.h
+++ b/src/vlctl/commands.h
@@ -10,39 +10,44 @@
 
 namespace verbenalead::vlctl {
 
-/// What every command is given.
-struct Context {
+/// The client and the options that all commands share.
+struct CommandContext {
   OperatorClient m_client;
-  /// Print JSON for scripts in place of tables.
+  /// Print JSON, for scripts, instead of tables.
   bool m_json = false;
+  /// The operator's name, which the entry records with each write.
   std::string m_operator;
 };
 
-/// Applies each resource of the JSON file: one object or a list of
-/// {"kind", "name", "spec"[, "revision"]}.
-ExitCode Apply(const Context& context,
+/// Writes each resource of the JSON file at `path`, which holds one object or a
+/// list of objects {"kind", "name", "spec"[, "revision"]}. Stops at the first
+/// resource that is not accepted. `operation` is the operation id of the write,
+/// with the position appended if there are several resources; if it is empty, a
+/// new one is generated.
+ExitCode Apply(const CommandContext& context,
                const std::string& path,
                const std::string& operation);
-ExitCode Get(const Context& context,
+ExitCode Get(const CommandContext& context,
              const std::string& kind,
              const std::string& name);
-ExitCode Delete(const Context& context,
+ExitCode Delete(const CommandContext& context,
                 const std::string& kind,
                 const std::string& name,
                 const std::string& operation);
-/// Prints changes after `revision` until interrupted or `count` have come.
-ExitCode Watch(const Context& context,
+/// Prints each change after `revision`, until interrupted or until `count`
+/// changes were printed. 0: no limit.
+ExitCode Watch(const CommandContext& context,
                std::optional<uint64_t> revision,
                uint64_t count);
-ExitCode Drain(const Context& context, const std::string& target);
-ExitCode Trace(const Context& context, const std::string& request);
-ExitCode Status(const Context& context);
+ExitCode Drain(const CommandContext& context, const std::string& target);
+ExitCode Trace(const CommandContext& context, const std::string& request);
+ExitCode Status(const CommandContext& context);
 
-/// Checks the settings file of `program` ("vlentry" or "vltarget") without
-/// starting it.
+/// Validates the settings file at `path` for `program` ("vlentry" or
+/// "vltarget") without starting the program.
 ExitCode CheckSettings(const std::string& program, const std::string& path);
-/// Writes FILE.manifest.json for a file of weights and prints the spec of its
-/// `version` resource.
+/// Writes the manifest of the weights file at `path` to PATH.manifest.json and
+/// prints the `version` resource that refers to both files.
 ExitCode MakeManifest(const std::string& path,
                       const std::string& model,
                       const std::string& name,
--- a/src/vlctl/local_commands.cc
+++ b/src/vlctl/local_commands.cc
@@ -15,18 +15,21 @@
 
 Result<model::Manifest> ReadManifest(std::ifstream& file, uint64_t chunk_size) {
   model::ManifestBuilder builder;
-  Sha256Hasher whole;
+  Sha256Hasher hasher;
   uint64_t size = 0;
   std::string chunk(chunk_size, '\0');
   while (file.read(chunk.data(), static_cast<std::streamsize>(chunk_size)) ||
          file.gcount() > 0) {
     const std::string_view bytes(chunk.data(),
                                  static_cast<size_t>(file.gcount()));
-    whole.Update(bytes);
+    hasher.Update(bytes);
     builder.Chunk(Sha256(bytes));
     size += bytes.size();
   }
-  return builder.Whole(whole.Finish()).Size(size).ChunkSize(chunk_size).Build();
+  return builder.WeightsDigest(hasher.Finish())
+      .Size(size)
+      .ChunkSize(chunk_size)
+      .Build();
 }
 
 }  // namespace
@@ -34,14 +37,14 @@
 ExitCode CheckSettings(const std::string& program, const std::string& path) {
   if (program != "vlentry" && program != "vltarget") {
     std::cerr << "vlctl: the program is vlentry or vltarget\n";
-    return kBadUse;
+    return kUsageError;
   }
   const SettingsSchema schema =
       program == "vlentry" ? daemon::EntrySettings() : daemon::TargetSettings();
   auto settings = CatchFailure([&] { return schema.Load(path); });
   if (!settings) {
     std::cerr << "vlctl: " << ToString(settings.error()) << "\n";
-    return kBadUse;
+    return kUsageError;
   }
   std::cout << path << ": fine\n";
   return kOk;
@@ -56,7 +59,7 @@
   if (!manifest) {
     std::cerr << "vlctl: " << path << ": " << ToString(manifest.error())
               << "\n";
-    return kBadUse;
+    return kUsageError;
   }
   const std::string text = ToJson(*manifest);
   const std::string base = std::filesystem::path(path).filename().string();
@@ -65,7 +68,7 @@
                            {"weights", "/" + base},
                            {"manifest", "/" + base + ".manifest.json"},
                            {"manifest_digest", ToString(Sha256(text))},
-                           {"digest", ToString(manifest->whole())}};
+                           {"digest", ToString(manifest->digest())}};
   std::cout << boost::json::serialize(boost::json::object{
                    {"kind", "version"}, {"name", name}, {"spec", spec}})
             << "\n";
--- a/src/vlctl/operator_client.cc
+++ b/src/vlctl/operator_client.cc
@@ -11,9 +11,9 @@
 
 namespace asio = boost::asio;
 
-/// Runs `task` to its end on this thread.
+/// Runs `task` on this thread and returns its result when it has finished.
 template <typename T>
-T RunToEnd(Awaitable<T> task) {
+T RunBlocking(Awaitable<T> task) {
   asio::io_context context(1);
   std::optional<T> result;
   asio::co_spawn(context, std::move(task), [&](std::exception_ptr, T value) {
@@ -68,7 +68,7 @@
   return m_client->UseTls(path);
 }
 
-void OperatorClient::AddToken(wire::Request& request) const {
+void OperatorClient::AddAuthorization(wire::Request& request) const {
   if (!m_token.empty())
     request.m_headers["authorization"] = "Bearer " + m_token;
 }
@@ -83,18 +83,19 @@
   request.m_path = path;
   request.m_headers = headers;
   request.m_body = body;
-  AddToken(request);
-  return RunToEnd(
+  AddAuthorization(request);
+  return RunBlocking(
       wire::Fetch(*m_client, m_entry, std::move(request), Now() + m_timeout));
 }
 
-AsyncResult<bool> OperatorClient::Follow(
+AsyncResult<bool> OperatorClient::StreamLines(
     const std::string& path,
     const std::function<bool(const std::string&)>& on_line) const {
   wire::Request request;
   request.m_path = path;
-  AddToken(request);
-  return RunToEnd(ReadLines(*m_client, m_entry, std::move(request), on_line));
+  AddAuthorization(request);
+  return RunBlocking(
+      ReadLines(*m_client, m_entry, std::move(request), on_line));
 }
 
 }  // namespace verbenalead::vlctl
--- a/testsuite/standins/common/faults.cc
+++ b/testsuite/standins/common/faults.cc
@@ -13,14 +13,14 @@
   return json::parse(text).get_object();
 }
 
-/// Takes the answer and loses it.
-class LosingWriter : public wire::ResponseWriter {
+/// Discards the response, so that the client gets none.
+class DiscardingWriter : public wire::ResponseWriter {
  public:
   Awaitable<bool> Send(wire::Response) override { co_return true; }
   Awaitable<bool> Start(wire::ResponseHead) override { co_return true; }
   Awaitable<bool> Write(std::string) override { co_return true; }
   Awaitable<bool> Finish(wire::Headers) override { co_return true; }
-  bool gone() const override { return false; }
+  bool disconnected() const override { return false; }
 };
 
 Awaitable<void> Answer(std::shared_ptr<Faults> faults,
@@ -40,9 +40,9 @@
   }
   if (const int64_t delay = faults->Number("delay_ms"); delay > 0)
     co_await Sleep(std::chrono::milliseconds(delay));
-  if (faults->Spend("lose_answers")) {
-    LosingWriter losing;
-    co_await handler(request, losing);
+  if (faults->TryConsume("lose_answers")) {
+    DiscardingWriter discarding;
+    co_await handler(request, discarding);
     co_return;
   }
   co_await handler(request, writer);
@@ -73,7 +73,7 @@
              : std::string();
 }
 
-bool Faults::Spend(const std::string& name) {
+bool Faults::TryConsume(const std::string& name) {
   std::lock_guard lock(m_mutex);
   json::object object = Parse(m_json);
   json::value* value = object.if_contains(name);
--- a/testsuite/standins/engine/engine_handler.cc
+++ b/testsuite/standins/engine/engine_handler.cc
@@ -19,8 +19,9 @@
 
 constexpr uint64_t kDefaultTokens = 16;
 constexpr size_t kWordLength = 6;
-/// How soon an engine notices that a request was cancelled.
-constexpr Duration kLookForCaller = 50ms;
+/// Interval at which a request that is not streamed checks whether its caller
+/// has disconnected.
+constexpr Duration kCallerPollInterval = 50ms;
 
 struct Engine {
   EngineState m_state;
@@ -50,7 +51,7 @@
   return completion;
 }
 
-/// Word number `index` of the answer to `completion`.
+/// Word number `index` of the response to `completion`.
 std::string Word(const Completion& completion, uint64_t index) {
   const std::string seed = ToString(completion.m_digest) + "|" +
                            completion.m_prompt + "|" + std::to_string(index);
@@ -99,8 +100,8 @@
     text += Word(completion, i);
   const TimePoint done =
       Now() + TokenTime(*engine) * static_cast<int64_t>(completion.m_tokens);
-  while (Now() < done && !writer.gone())
-    co_await Sleep(std::min<Duration>(done - Now(), kLookForCaller));
+  while (Now() < done && !writer.disconnected())
+    co_await Sleep(std::min<Duration>(done - Now(), kCallerPollInterval));
   const wire::ResponseHead head = HeadFor(completion, "application/json");
   co_await writer.Send({200, head.m_headers, ChunkJson(completion, text)});
 }
@@ -148,7 +149,7 @@
   std::string m_version;
   Digest m_digest;
   std::string m_url;
-  uint64_t m_fence = 0;
+  uint64_t m_fencing_token = 0;
 };
 
 Result<Order> ReadOrder(const std::string& body) {
@@ -159,15 +160,17 @@
   BOOST_LEAF_AUTO(digest, model::TextField(object, "digest"));
   BOOST_LEAF_ASSIGN(order.m_digest, ParseDigest(digest));
   BOOST_LEAF_ASSIGN(order.m_url, model::TextField(object, "weights_url"));
-  BOOST_LEAF_ASSIGN(order.m_fence, model::NumberField(object, "fence"));
+  BOOST_LEAF_ASSIGN(order.m_fencing_token, model::NumberField(object, "fence"));
   return order;
 }
 
-bool TakeFence(Engine& engine, uint64_t fence) {
+bool AcceptFence(Engine& engine, uint64_t fence) {
   std::lock_guard lock(engine.m_state.m_mutex);
-  if (fence < engine.m_state.m_fence && !engine.m_faults->Flag("ignore_fence"))
+  if (fence < engine.m_state.m_fencing_token &&
+      !engine.m_faults->Flag("ignore_fence"))
     return false;
-  engine.m_state.m_fence = std::max(engine.m_state.m_fence, fence);
+  engine.m_state.m_fencing_token =
+      std::max(engine.m_state.m_fencing_token, fence);
   return true;
 }
 
@@ -175,7 +178,7 @@
   auto order = CatchFailure([&] { return ReadOrder(body); });
   if (!order)
     co_return wire::Response{400, {}, order.error().m_reason};
-  if (!TakeFence(*engine, order->m_fence))
+  if (!AcceptFence(*engine, order->m_fencing_token))
     co_return wire::Response{409, {}, "stale fencing number"};
   if (engine->m_faults->Flag("fail_load"))
     co_return wire::Response{500, {}, "out of memory"};
@@ -192,7 +195,7 @@
                                json::serialize(ShowModel(engine->m_state)));
 }
 
-wire::Response Show(Engine& engine, const std::string& path) {
+wire::Response RespondToQuery(Engine& engine, const std::string& path) {
   std::lock_guard lock(engine.m_state.m_mutex);
   const EngineState& state = engine.m_state;
   if (path == "/v1/models") {
@@ -228,7 +231,7 @@
     wire::Response response = co_await Load(engine, request.m_body);
     co_await writer.Send(std::move(response));
   } else {
-    co_await writer.Send(Show(*engine, request.m_path));
+    co_await writer.Send(RespondToQuery(*engine, request.m_path));
   }
 }
 
--- a/testsuite/standins/platform_origin/main.cc
+++ b/testsuite/standins/platform_origin/main.cc
@@ -25,7 +25,8 @@
          digests + "]}";
 }
 
-/// Faults beside the common ones: `spoil` spoils that many of the next chunks.
+/// Creates the handler. {"spoil": N} is its specific fault: it corrupts the
+/// next N chunks.
 wire::Handler MakeHandler(std::shared_ptr<standins::Faults> faults) {
   return [faults](const wire::Request& request,
                   wire::ResponseWriter& writer) -> Awaitable<void> {
@@ -36,7 +37,7 @@
     } else if (request.m_path.starts_with("/piece/")) {
       const auto chunk = static_cast<uint32_t>(Number(request, "num"));
       std::string bytes = PatternChunk(version, chunk);
-      if (faults->Spend("spoil"))
+      if (faults->TryConsume("spoil"))
         bytes[0] = static_cast<char>(bytes[0] + 1);
       response = wire::Response(200, {}, std::move(bytes));
     }
--- a/testsuite/standins/platform_replica/replica_handler.cc
+++ b/testsuite/standins/platform_replica/replica_handler.cc
@@ -15,17 +15,17 @@
 namespace verbenalead::standins {
 namespace {
 
-constexpr Duration kHeartbeat = 300ms;
+constexpr Duration kHeartbeatInterval = 300ms;
 
 uint64_t Number(const wire::Request& request, const char* name) {
   return std::strtoull(wire::QueryValue(request, name).c_str(), nullptr, 10);
 }
 
-/// Counts one call as running for as long as it lives, and logs that it runs
-/// and how that ended.
-class Running {
+/// Counts one call as active during the lifetime of the object. Logs the start
+/// of the run, and at its end how it ended.
+class RunScope {
  public:
-  Running(Replica& replica, const wire::Request& request)
+  RunScope(Replica& replica, const wire::Request& request)
       : m_replica(replica),
         m_call(wire::Get(request.m_headers, platform::kRequestId)) {
     ++m_replica.m_active;
@@ -37,17 +37,17 @@
         .With("weights", m_replica.m_version)
         .Info();
   }
-  ~Running() {
+  ~RunScope() {
     --m_replica.m_active;
     LogLine("run_ended").With("call", m_call).With("how", m_how).Info();
   }
-  Running(const Running&) = delete;
-  Running& operator=(const Running&) = delete;
+  RunScope(const RunScope&) = delete;
+  RunScope& operator=(const RunScope&) = delete;
 
-  /// All of the answer was sent.
-  void NoteWhole() { m_how = "whole"; }
-  /// This replica ended the answer itself.
-  void NoteBrokenOff() { m_how = "broken_off"; }
+  /// The complete response was sent.
+  void MarkComplete() { m_how = "whole"; }
+  /// The replica itself ended the response early.
+  void MarkBrokenOff() { m_how = "broken_off"; }
 
  private:
   Replica& m_replica;
@@ -74,7 +74,7 @@
   for (uint32_t chunk = 0; chunk < kPatternChunks; ++chunk)
     good &= replica->m_staged[chunk] == PatternChunk(version, chunk);
   replica->m_bad_loads += good ? 0 : 1;
-  co_await Sleep(replica->m_load);
+  co_await Sleep(replica->m_load_duration);
   replica->m_version = version;
   replica->m_loading = false;
 }
@@ -87,10 +87,10 @@
   if (error || !order.is_object())
     co_return wire::Response(400, {}, "");
   const boost::json::object& fields = order.as_object();
-  if (replica->m_loading ||
-      fields.at("precondition").to_number<uint64_t>() != replica->m_orders)
+  if (replica->m_loading || fields.at("precondition").to_number<uint64_t>() !=
+                                replica->m_accepted_orders)
     co_return wire::Response(409, {}, "");
-  ++replica->m_orders;
+  ++replica->m_accepted_orders;
   replica->m_loading = true;
   replica->m_version = 0;
   Spawn(executor, Load(replica, fields.at("version").to_number<uint64_t>()),
@@ -101,7 +101,7 @@
 Awaitable<void> Stream(std::shared_ptr<Replica> replica,
                        const wire::Request& request,
                        wire::ResponseWriter& writer) {
-  Running running(*replica, request);
+  RunScope running(*replica, request);
   const std::string usage = wire::Get(request.m_headers, platform::kTokenUsage);
   const uint64_t events =
       std::strtoull(usage.c_str() + usage.find(',') + 1, nullptr, 10);
@@ -113,9 +113,9 @@
   if (!co_await writer.Start(std::move(head)))
     co_return;
   for (uint64_t event = after + 1; event <= events; ++event) {
-    co_await Sleep(replica->m_event);
+    co_await Sleep(replica->m_event_interval);
     if (replica->m_loading) {
-      running.NoteBrokenOff();
+      running.MarkBrokenOff();
       co_return;
     }
     const std::string id = std::to_string(event);
@@ -123,7 +123,7 @@
       co_return;
   }
   if (co_await writer.Finish({}))
-    running.NoteWhole();
+    running.MarkComplete();
 }
 
 Awaitable<void> Call(std::shared_ptr<Replica> replica,
@@ -145,13 +145,13 @@
     co_await Stream(replica, request, writer);
     co_return;
   }
-  Running running(*replica, request);
-  if (replica->m_work > Duration())
-    co_await Sleep(replica->m_work);
+  RunScope running(*replica, request);
+  if (replica->m_call_duration > Duration())
+    co_await Sleep(replica->m_call_duration);
   wire::Response response(200, AnswerHeaders(request, *replica),
                           "ran: " + request.m_path);
   if (co_await writer.Send(std::move(response)))
-    running.NoteWhole();
+    running.MarkComplete();
 }
 
 std::string EncodeState(const Replica& replica) {
@@ -159,7 +159,7 @@
       boost::json::object{{"version", replica.m_version},
                           {"runs", replica.m_runs},
                           {"active", replica.m_active},
-                          {"orders", replica.m_orders},
+                          {"orders", replica.m_accepted_orders},
                           {"bad_loads", replica.m_bad_loads}});
 }
 
@@ -198,7 +198,7 @@
   };
 }
 
-Awaitable<void> KeepRegistered(std::shared_ptr<Replica> replica) {
+Awaitable<void> RegisterPeriodically(std::shared_ptr<Replica> replica) {
   http::Client http;
   platform::Store store(http, replica->m_store);
   while (true) {
@@ -206,7 +206,7 @@
                                         replica->m_id, EncodeRow(*replica));
     if (!written)
       LogLine("not_registered").With(written.error()).Debug();
-    co_await Sleep(kHeartbeat);
+    co_await Sleep(kHeartbeatInterval);
   }
 }
 
--- a/testsuite/standins/relay/main.cc
+++ b/testsuite/standins/relay/main.cc
@@ -18,29 +18,30 @@
       .Address("listen", "127.0.0.1:8400", "where POST /faults is taken")
       .Address("relay", "127.0.0.1:8401", "where connections are taken")
       .Address("forward", "127.0.0.1:8402", "where they are passed on to")
-      .Choice("log.level", {"info", "debug", "warn", "error"}, "least level");
+      .Choice("log.level", {"info", "debug", "warn", "error"},
+              "lowest level that is logged");
 }
 
-/// Takes {"silent": true}, {"far_silent": true}, {"cut": true} and
-/// {"delay_ms": N}.
+/// Handles the commands {"silent": true}, {"far_silent": true},
+/// {"cut": true} and {"delay_ms": N}.
 Awaitable<void> Command(standins::Relay& relay,
                         const wire::Request& request,
                         wire::ResponseWriter& writer) {
   standins::Faults faults;
   const bool good = faults.Set(request.m_body);
   if (good && faults.Flag("silent"))
-    relay.Silence();
+    relay.SilenceAll();
   if (good && faults.Flag("far_silent"))
-    relay.SilenceFar();
+    relay.SilenceFarSide();
   if (good && faults.Flag("cut"))
-    relay.Cut();
+    relay.CloseAll();
   if (good)
-    relay.Delay(std::chrono::milliseconds(faults.Number("delay_ms")));
+    relay.SetDelay(std::chrono::milliseconds(faults.Number("delay_ms")));
   co_await writer.Send({good ? 200 : 400, {}, ""});
 }
 
 int Serve(const Settings& settings) {
-  // One thread, so that commands and connections need no lock.
+  // Commands and connections run on one thread and therefore need no lock.
   IoThreads threads(1);
   standins::Relay relay(settings.Address("forward"));
   http::Server commands(
@@ -50,7 +51,7 @@
       });
   wire::Listener listener(threads,
                           [&relay](boost::asio::ip::tcp::socket socket) {
-                            relay.Take(std::move(socket));
+                            relay.Accept(std::move(socket));
                           });
   if (!commands.Listen(settings.Address("listen")) ||
       !listener.Listen(settings.Address("relay"))) {
